--- a/src/bench/java/puffinbarrow/bench/Bench.java
+++ b/src/bench/java/puffinbarrow/bench/Bench.java
@@ -12,14 +12,18 @@
         for (String name : args) {
             switch (name) {
                 case "frames", "turn" -> new Runner(new OptionsBuilder()
-                        .include(name.equals("frames") ? FrameBench.class.getSimpleName()
-                                : TurnBench.class.getSimpleName())
-                        .addProfiler(GCProfiler.class).build()).run();
+                                .include(
+                                        name.equals("frames")
+                                                ? FrameBench.class.getSimpleName()
+                                                : TurnBench.class.getSimpleName())
+                                .addProfiler(GCProfiler.class)
+                                .build())
+                        .run();
                 case "spread" -> SocketBench.spread(100, 300);
                 case "streams" -> SocketBench.streams(1000);
                 case "memory" -> puffinbarrow.memory.MemoryBench.main(new String[0]);
-                default -> throw new IllegalArgumentException("no benchmark " + name
-                        + ", expected frames, turn, spread, streams or memory");
+                default -> throw new IllegalArgumentException(
+                        "no benchmark " + name + ", expected frames, turn, spread, streams or memory");
             }
         }
     }
--- a/src/bench/java/puffinbarrow/bench/SocketBench.java
+++ b/src/bench/java/puffinbarrow/bench/SocketBench.java
@@ -50,9 +50,13 @@
                 store.begin(i, "10.0.0." + i % SERVERS + ":80");
             }
             List<Problem> problems = new ArrayList<>();
-            config = CoordinatorConfig.parse("bench", "coordinator 0 of 1\nregistry 127.0.0.1:"
-                    + registry.address().getPort() + " push\nstore 127.0.0.1:" + store.address().getPort() + "\nslices "
-                    + slices + "\ngroup g utility 1 budget 1s expiry 2s retriable\n" + more, problems);
+            config = CoordinatorConfig.parse(
+                    "bench",
+                    "coordinator 0 of 1\nregistry 127.0.0.1:"
+                            + registry.address().getPort() + " push\nstore 127.0.0.1:"
+                            + store.address().getPort() + "\nslices "
+                            + slices + "\ngroup g utility 1 budget 1s expiry 2s retriable\n" + more,
+                    problems);
             if (!problems.isEmpty()) {
                 throw new IllegalStateException(problems.toString());
             }
@@ -60,16 +64,28 @@
             for (int i = 0; i < count; i++) {
                 Frame.Hello hello = new Frame.Hello(1, 0, Frame.Role.PROXY, i, i % 3, i, true, 5);
                 Outlet[] up = new Outlet[1];
-                proxies.add(new Dialer(net, "bench", coordinator.address(), () -> hello, 1 << 20, 1 << 22, frame -> {
-                    if (frame instanceof Frame.Orders orders) {
-                        lines.addAndGet(orders.orders().size());
-                        orders.orders().stream().filter(o -> o instanceof Order.Mark).forEach(o -> {
-                            up[0].send(FrameWriter.one(new Frame.Applied(((Order.Mark) o).number(), 1)));
-                            applied.incrementAndGet();
-                            lastAppliedAt = System.nanoTime();
-                        });
-                    }
-                }, outlet -> up[0] = outlet).start());
+                proxies.add(new Dialer(
+                                net,
+                                "bench",
+                                coordinator.address(),
+                                () -> hello,
+                                1 << 20,
+                                1 << 22,
+                                frame -> {
+                                    if (frame instanceof Frame.Orders orders) {
+                                        lines.addAndGet(orders.orders().size());
+                                        orders.orders().stream()
+                                                .filter(o -> o instanceof Order.Mark)
+                                                .forEach(o -> {
+                                                    up[0].send(FrameWriter.one(
+                                                            new Frame.Applied(((Order.Mark) o).number(), 1)));
+                                                    applied.incrementAndGet();
+                                                    lastAppliedAt = System.nanoTime();
+                                                });
+                                    }
+                                },
+                                outlet -> up[0] = outlet)
+                        .start());
             }
             until(() -> value("streams.joined") == count && value("slices.charge") == slices);
         }
@@ -94,7 +110,7 @@
 
         /** Until nothing has been applied for a second. */
         void quiet() {
-            for (long before = -1; before != applied.get();) {
+            for (long before = -1; before != applied.get(); ) {
                 before = applied.get();
                 pause(1500);
             }
@@ -130,9 +146,17 @@
                 fleet.quiet();
                 double theory = (fleet.value("channel.lines.sent") - linesBefore) / fleet.config.linesPerS;
                 double took = (fleet.lastAppliedAt - began) / 1e9;
-                System.out.printf(Locale.ROOT, "spread %d: %d proxies, %d slices, %d answers; %.3f s to the last applied, "
-                        + "%.3f s the channel needs for its lines, ratio %.2f%n", round, proxies, slices,
-                        fleet.applied.get() - appliedBefore, took, theory, took / theory);
+                System.out.printf(
+                        Locale.ROOT,
+                        "spread %d: %d proxies, %d slices, %d answers; %.3f s to the last applied, "
+                                + "%.3f s the channel needs for its lines, ratio %.2f%n",
+                        round,
+                        proxies,
+                        slices,
+                        fleet.applied.get() - appliedBefore,
+                        took,
+                        theory,
+                        took / theory);
             }
         }
     }
@@ -142,13 +166,21 @@
         long before = used();
         try (Fleet fleet = new Fleet(count, 300, "pace 400000\nqueue 400000\nhead 1\nintake 100000\n")) {
             fleet.quiet();
-            System.out.printf(Locale.ROOT, "streams: %d joined, %d answers, %d refusals, %.1f MB heap more than before "
-                    + "(both ends)%n", count, fleet.applied.get(), (long) fleet.value("channel.cut_off{cause=queue_full}"),
+            System.out.printf(
+                    Locale.ROOT,
+                    "streams: %d joined, %d answers, %d refusals, %.1f MB heap more than before " + "(both ends)%n",
+                    count,
+                    fleet.applied.get(),
+                    (long) fleet.value("channel.cut_off{cause=queue_full}"),
                     (used() - before) / 1e6);
-            double[] quantiles = {fleet.value("turn.us.max"), fleet.value("turn.us.total")
-                    / Math.max(1, fleet.value("turn.us.count"))};
-            System.out.printf(Locale.ROOT, "streams: a turn takes %.0f us on average, %.0f us at most%n",
-                    quantiles[1], quantiles[0]);
+            double[] quantiles = {
+                fleet.value("turn.us.max"), fleet.value("turn.us.total") / Math.max(1, fleet.value("turn.us.count"))
+            };
+            System.out.printf(
+                    Locale.ROOT,
+                    "streams: a turn takes %.0f us on average, %.0f us at most%n",
+                    quantiles[1],
+                    quantiles[0]);
         }
     }
 
--- a/src/bench/java/puffinbarrow/bench/TurnBench.java
+++ b/src/bench/java/puffinbarrow/bench/TurnBench.java
@@ -38,9 +38,26 @@
     @Setup
     public void setUp() {
         int slices = servers * 4;
-        Settings settings = new Settings(false, false, true, List.of(new Settings.Group(1, SECOND),
-                new Settings.Group(3, SECOND / 2)), slices, false, 40_000, 20_000, 12, 0, 10 * SECOND, SECOND,
-                3 * SECOND, 17 * SECOND, 0.2, 4, false, false, 0);
+        Settings settings = new Settings(
+                false,
+                false,
+                true,
+                List.of(new Settings.Group(1, SECOND), new Settings.Group(3, SECOND / 2)),
+                slices,
+                false,
+                40_000,
+                20_000,
+                12,
+                0,
+                10 * SECOND,
+                SECOND,
+                3 * SECOND,
+                17 * SECOND,
+                0.2,
+                4,
+                false,
+                false,
+                0);
         logic = new Logic(settings, 7);
         now = 100 * SECOND;
         List<Event> events = new ArrayList<>();
@@ -70,8 +87,8 @@
         now += SECOND;
         List<Event> events = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
-            events.add(new Event.ServerSums("10.0.0." + i + ":80", i % 3, SECOND, 100_000_000, 0, 20,
-                    Map.of(Event.Measure.BUSY, 0.5)));
+            events.add(new Event.ServerSums(
+                    "10.0.0." + i + ":80", i % 3, SECOND, 100_000_000, 0, 20, Map.of(Event.Measure.BUSY, 0.5)));
         }
         for (int i = 0; i < servers * 4; i++) {
             events.add(new Event.SliceDemand(i, i % 2, 5, 0, SECOND));
--- a/src/bench/java/puffinbarrow/memory/MemoryBench.java
+++ b/src/bench/java/puffinbarrow/memory/MemoryBench.java
@@ -32,13 +32,29 @@
     private MemoryBench() {}
 
     static Facts.OfServer server(int i, long at) {
-        return new Facts.OfServer("10.0." + i / 250 + "." + i % 250 + ":8080", at, 0, List.of(1L, at), List.of(at),
-                List.of(at), "well", 0, 1, 1e8, 0.5);
+        return new Facts.OfServer(
+                "10.0." + i / 250 + "." + i % 250 + ":8080",
+                at,
+                0,
+                List.of(1L, at),
+                List.of(at),
+                List.of(at),
+                "well",
+                0,
+                1,
+                1e8,
+                0.5);
     }
 
     static Facts.OfSlice slice(int i, long at) {
-        return new Facts.OfSlice(i, at, List.of(new Facts.Line("10.0.0." + i % 250 + ":8080", 1),
-                new Facts.Line("10.0.1." + i % 250 + ":8080", 0.03)), 12, at);
+        return new Facts.OfSlice(
+                i,
+                at,
+                List.of(
+                        new Facts.Line("10.0.0." + i % 250 + ":8080", 1),
+                        new Facts.Line("10.0.1." + i % 250 + ":8080", 0.03)),
+                12,
+                at);
     }
 
     static List<Facts.Fact> state(int servers, int slices, long at) {
@@ -97,8 +113,11 @@
             }
             pause(10);
         }
-        System.out.printf(Locale.ROOT, "hand-off of a round at 80 servers and 300 slices, 30 of them moved: %.0f us on the "
-                + "decision thread, %d of 400 rounds committed together%n", spent / 1e3 / measured,
+        System.out.printf(
+                Locale.ROOT,
+                "hand-off of a round at 80 servers and 300 slices, 30 of them moved: %.0f us on the "
+                        + "decision thread, %d of 400 rounds committed together%n",
+                spent / 1e3 / measured,
                 400 - keeper.commits());
         // What it writes at the pace of rounds, when nothing coalesces.
         long bytes = keeper.bytes();
@@ -138,8 +157,12 @@
                 }
             }
             double sqlite = (System.nanoTime() - began) / 1e6 / count;
-            System.out.printf(Locale.ROOT, "a forced commit of 110 facts: ours %.2f ms, SQLite %.2f ms, ratio %.2f%n", ours,
-                    sqlite, ours / sqlite);
+            System.out.printf(
+                    Locale.ROOT,
+                    "a forced commit of 110 facts: ours %.2f ms, SQLite %.2f ms, ratio %.2f%n",
+                    ours,
+                    sqlite,
+                    ours / sqlite);
         }
     }
 
@@ -202,9 +225,16 @@
                 throw new IllegalStateException(found + " " + read + " " + rows);
             }
         }
-        System.out.printf(Locale.ROOT, "a start with 10,000 servers and 100,000 slices: ours %.0f ms, CBOR %.0f ms (ratio "
-                + "%.2f), SQLite %.0f ms (ratio %.2f); %.1f MB%n", best[0], best[1], best[0] / best[1], best[2],
-                best[0] / best[2], size(ours) / 1e6);
+        System.out.printf(
+                Locale.ROOT,
+                "a start with 10,000 servers and 100,000 slices: ours %.0f ms, CBOR %.0f ms (ratio "
+                        + "%.2f), SQLite %.0f ms (ratio %.2f); %.1f MB%n",
+                best[0],
+                best[1],
+                best[0] / best[1],
+                best[2],
+                best[0] / best[2],
+                size(ours) / 1e6);
     }
 
     private static long size(Path folder) throws IOException {
@@ -272,8 +302,8 @@
                     in.nextToken();
                     double took = in.getDoubleValue();
                     in.nextToken();
-                    image.put(new Facts.OfServer(id, at, draining, starts, falls, returns, standing, hold, size, took,
-                            in.getDoubleValue()));
+                    image.put(new Facts.OfServer(
+                            id, at, draining, starts, falls, returns, standing, hold, size, took, in.getDoubleValue()));
                     in.nextToken();
                 } else {
                     int slice = in.getIntValue();
--- a/src/main/java/puffinbarrow/Logic.java
+++ b/src/main/java/puffinbarrow/Logic.java
@@ -29,11 +29,33 @@
     // ---- A server's standing: the table of transitions, read by step().
 
     /** ILL, OUT and RETURNING are masked; OUT and RETURNING also lose their lines. */
-    private enum State { WELL, SUSPECT, ILL, TRIAL, OUT, RETURNING }
-
-    private enum Input { GOOD, BAD, AWFUL, HOLD_OVER, LEAVES, RESTARTS, RELISTED, EMPTIED, NEEDED, RECALLED }
-
-    private enum Effect { NONE, HOLD, CLEAR }
+    private enum State {
+        WELL,
+        SUSPECT,
+        ILL,
+        TRIAL,
+        OUT,
+        RETURNING
+    }
+
+    private enum Input {
+        GOOD,
+        BAD,
+        AWFUL,
+        HOLD_OVER,
+        LEAVES,
+        RESTARTS,
+        RELISTED,
+        EMPTIED,
+        NEEDED,
+        RECALLED
+    }
+
+    private enum Effect {
+        NONE,
+        HOLD,
+        CLEAR
+    }
 
     private record Row(Set<State> states, Input input, State next, Effect effect) {}
 
@@ -83,11 +105,13 @@
         boolean ready;
         /** 0: listed. Else the list has dropped it, though it may live: 1 and the probes it has missed. */
         int unlisted;
+
         State state = State.OUT;
         long holdNs;
         long holdUntil;
         /** Since when its mask has bound us: told that it left, or a proxy joined that lacks the mask. */
         long bindsSince;
+
         double tries, dropped, tookNs;
         boolean pressed;
         double report = Double.NaN;
@@ -128,6 +152,7 @@
         final Ring heard = new Ring(8, SECOND);
         /** At the latest push. */
         int urgency;
+
         double demand;
         long movedAt = Long.MIN_VALUE / 2;
         long settledAt;
@@ -150,6 +175,7 @@
     private final TreeSet<String> maskSent = new TreeSet<>();
     /** Servers whose mask, or that they have none, is to be stated again. */
     private final TreeSet<String> masksDue = new TreeSet<>(), everMasked = new TreeSet<>();
+
     private final ArrayDeque<Turn> turns = new ArrayDeque<>();
     private final ArrayDeque<Long> turnTimes = new ArrayDeque<>();
     private boolean levelsDue = true;
@@ -262,7 +288,8 @@
             }
             case CALM_LOAD -> calmLoad = likely ? Math.max(calmLoad, e.value()) : calmLoad;
             case CALM_WHOLE -> calmWhole = likely ? Math.max(calmWhole, e.value()) : calmWhole;
-            case SHED -> shed = Math.max(shed, Math.min(sure, 0.8 * (set.groups().size() - 1)));
+            case SHED -> shed =
+                    Math.max(shed, Math.min(sure, 0.8 * (set.groups().size() - 1)));
             case STRAINED -> strained |= likely;
         }
         levelsDue = true;
@@ -275,8 +302,9 @@
                 new Event.Recalled(Event.Recall.CALM_WHOLE, "", calmWhole, 1),
                 new Event.Recalled(Event.Recall.SHED, "", shed, 1),
                 new Event.Recalled(Event.Recall.STRAINED, "", strained ? 1 : 0, 1)));
-        servers.values().stream().filter(v -> v.holdNs > 0).forEach(v ->
-                known.add(new Event.Recalled(Event.Recall.HOLD_NS, v.id, v.holdNs, 1)));
+        servers.values().stream()
+                .filter(v -> v.holdNs > 0)
+                .forEach(v -> known.add(new Event.Recalled(Event.Recall.HOLD_NS, v.id, v.holdNs, 1)));
         return known;
     }
 
@@ -393,8 +421,7 @@
     }
 
     private static double reported(Map<Measure, Double> report, double size) {
-        for (Measure measure : EnumSet.of(Measure.BUSY, Measure.HELD, Measure.WAITING,
-                Measure.DELIVERED_PER_S)) {
+        for (Measure measure : EnumSet.of(Measure.BUSY, Measure.HELD, Measure.WAITING, Measure.DELIVERED_PER_S)) {
             if (report.containsKey(measure)) {
                 // Cores busy are a share of the server's own already; counts are put per listed size.
                 return report.get(measure) / (measure == Measure.BUSY ? 1 : size);
@@ -433,23 +460,26 @@
 
     private void judge() {
         newSums = false;
-        List<Server> heard = servers.values().stream().filter(v -> v.ready && v.tries >= 5).toList();
+        List<Server> heard =
+                servers.values().stream().filter(v -> v.ready && v.tries >= 5).toList();
         double usualShare = median(heard.stream().map(v -> v.dropped / v.tries));
-        double usualTime = median(heard.stream().filter(v -> v.tries > v.dropped)
-                .map(v -> v.tookNs / (v.tries - v.dropped)));
+        double usualTime =
+                median(heard.stream().filter(v -> v.tries > v.dropped).map(v -> v.tookNs / (v.tries - v.dropped)));
         // Guards cold servers against tries again: where a third of all tries is dropped, those with proof go
         // on to whoever has room, and push over the next one.
         double lost = heard.stream().mapToDouble(v -> v.dropped).sum();
         boolean many = lost > 0.3 * heard.stream().mapToDouble(v -> v.tries).sum();
         levelsDue |= many != crowded;
         crowded = many;
-        double shortest = set.groups().stream().mapToDouble(Settings.Group::budgetNs).min().orElse(SECOND);
+        double shortest = set.groups().stream()
+                .mapToDouble(Settings.Group::budgetNs)
+                .min()
+                .orElse(SECOND);
         List<Server> bad = new ArrayList<>();
         for (Server server : servers.values()) {
             // Fewer tries say nothing, unless nearly all fail; a trial gets few, so fewer must do.
             boolean sure = server.dropped >= 4 && server.dropped > 0.8 * server.tries;
-            if (!server.ready || server.masked()
-                    || server.tries < (server.state == State.TRIAL ? 3 : 8) && !sure) {
+            if (!server.ready || server.masked() || server.tries < (server.state == State.TRIAL ? 3 : 8) && !sure) {
                 continue;
             }
             double share = server.dropped / server.tries;
@@ -460,10 +490,8 @@
             // answers, and a mask would only hand the load to the next one.
             // Under strain every server may drop most; an ill one then shows by reporting little or nothing.
             // The sums are of some seconds ago, when what was moved off since was still here.
-            double carried = relative(server, server.demand)
-                    - server.shift.over(now, 4) / Math.max(0.01, ownPart);
-            boolean explained = carried > 1.4
-                    || strained && warmth(server) >= 1 && server.report > 0.6 * usualReport;
+            double carried = relative(server, server.demand) - server.shift.over(now, 4) / Math.max(0.01, ownPart);
+            boolean explained = carried > 1.4 || strained && warmth(server) >= 1 && server.report > 0.6 * usualReport;
             // Half of what makes a line bad: the server is pressed, and gives up a slice this round.
             // Slow counts only where it hurts: against the latency budget, not just the middle server.
             double late = delivered < 3 ? 0 : server.tookNs / delivered / shortest;
@@ -483,8 +511,11 @@
         // Guards against a bad view: where most look ill it is the view, the load or ourselves, and masking
         // would push the rest over. Not more than a third may be masked as ill at a time.
         long ready = servers.values().stream().filter(s -> s.ready).count();
-        long ill = servers.values().stream().filter(s -> s.ready && s.state == State.ILL).count();
-        long warm = servers.values().stream().filter(s -> s.ready && warmth(s) >= 1).count();
+        long ill = servers.values().stream()
+                .filter(s -> s.ready && s.state == State.ILL)
+                .count();
+        long warm =
+                servers.values().stream().filter(s -> s.ready && warmth(s) >= 1).count();
         boolean doubt = bad.size() + ill > ready * 0.4;
         for (Server server : bad) {
             boolean awful = server.dropped / server.tries > 0.6;
@@ -516,7 +547,10 @@
         // Guards against shedding what less traffic can't help (lost answers, a group slow by itself): where
         // servers are full their good answers take a third of the budget, and their cores are not half idle.
         double late = usualTime
-                / set.groups().stream().mapToDouble(Settings.Group::budgetNs).average().orElse(SECOND);
+                / set.groups().stream()
+                        .mapToDouble(Settings.Group::budgetNs)
+                        .average()
+                        .orElse(SECOND);
         boolean idle = coresKnown && usualReport < 0.55;
         boolean more = !idle && (usualShare > 0.1 && late > 0.3 || late > 0.5);
         boolean less = idle || (usualShare < 0.03 || late < 0.2) && late < 0.35;
@@ -542,14 +576,16 @@
     /** The part of a group let in: least utility for its latency budget (which stands for work) first. */
     private double level(int group) {
         long before = IntStream.range(0, set.groups().size())
-                .filter(i -> value(i) < value(group) || value(i) == value(group) && i < group).count();
+                .filter(i -> value(i) < value(group) || value(i) == value(group) && i < group)
+                .count();
         boolean most = before == set.groups().size() - 1;
         double part = Math.max(0.2, Math.min(1, 1 - (shed - 0.8 * before)));
         return set.levelIsRate() ? 1e6 : !set.levelsHeeded() || most ? 1 : part;
     }
 
     private double value(int group) {
-        return set.groups().get(group).utility() / Math.max(1, set.groups().get(group).budgetNs());
+        return set.groups().get(group).utility()
+                / Math.max(1, set.groups().get(group).budgetNs());
     }
 
     private static double median(Stream<Double> values) {
@@ -591,7 +627,12 @@
     }
 
     private static double each(Slice slice) {
-        return slice.demand / Math.max(1, slice.want.keySet().stream().filter(id -> full(slice, id)).count());
+        return slice.demand
+                / Math.max(
+                        1,
+                        slice.want.keySet().stream()
+                                .filter(id -> full(slice, id))
+                                .count());
     }
 
     private void weigh() {
@@ -611,15 +652,25 @@
         if (loud == 0) {
             fleetDemand = mine;
         }
-        wholeSize = Math.max(wholeSize,
-                servers.values().stream().filter(v -> v.ready).mapToDouble(v -> v.size).sum());
+        wholeSize = Math.max(
+                wholeSize,
+                servers.values().stream()
+                        .filter(v -> v.ready)
+                        .mapToDouble(v -> v.size)
+                        .sum());
         for (Server server : servers.values()) {
             server.count = server.demand = server.spareDemand = 0;
             server.report = now - server.reportAt > 4 * set.roundNs() ? Double.NaN : server.report;
             fleetSize += server.usable() ? room(server) : 0;
         }
-        usualReport = Math.max(1e-9, servers.values().stream().filter(Server::usable)
-                .mapToDouble(v -> v.report).filter(v -> !Double.isNaN(v)).average().orElse(1));
+        usualReport = Math.max(
+                1e-9,
+                servers.values().stream()
+                        .filter(Server::usable)
+                        .mapToDouble(v -> v.report)
+                        .filter(v -> !Double.isNaN(v))
+                        .average()
+                        .orElse(1));
         for (Slice slice : slices) {
             if (slice.mine) {
                 slice.demand = loud == 0 ? usual : Math.max(slice.demand, usual / 20);
@@ -656,8 +707,10 @@
 
     /** Counts a slice's load on the servers that carry it under the masks that stand. */
     private void place(Slice slice) {
-        double sum = slice.want.entrySet().stream().filter(v -> !servers.get(v.getKey()).masked())
-                .mapToDouble(Map.Entry::getValue).sum();
+        double sum = slice.want.entrySet().stream()
+                .filter(v -> !servers.get(v.getKey()).masked())
+                .mapToDouble(Map.Entry::getValue)
+                .sum();
         for (Map.Entry<String, Double> line : slice.want.entrySet()) {
             Server server = servers.get(line.getKey());
             if (!server.masked()) {
@@ -672,8 +725,10 @@
     /** What a slice adds to a server's score: its slice load, and what the next reports will show of it. */
     private double sliceLoad(Slice slice, Server server) {
         double demand = relative(server, each(slice));
-        return SLICE_PART * (COUNT_PART / room(server) * fleetSize / Math.max(1, ownPart * slices.length)
-                + DEMAND_PART * demand) + REPORT_PART * ownPart * demand;
+        return SLICE_PART
+                        * (COUNT_PART / room(server) * fleetSize / Math.max(1, ownPart * slices.length)
+                                + DEMAND_PART * demand)
+                + REPORT_PART * ownPart * demand;
     }
 
     private long moves;
@@ -718,15 +773,15 @@
 
     /** Guards cold servers: one that carries more than its part, however that came, loses slices at once. */
     private void easeCold() {
-        for (Server server : servers.values().stream().filter(v -> v.usable() && warmth(v) < 1).toList()) {
+        for (Server server : servers.values().stream()
+                .filter(v -> v.usable() && warmth(v) < 1)
+                .toList()) {
             for (Slice slice : slices) {
                 // A quarter over the part that fits keeps a slice from going back and forth.
-                if (relative(server, server.demand) > 1.25 * coldPart()
-                        && slice.mine && full(slice, server.id)) {
+                if (relative(server, server.demand) > 1.25 * coldPart() && slice.mine && full(slice, server.id)) {
                     Server target = leastLoaded(slice, server.id, false);
                     // Not all on the one warm server left: twice its part is the most it is given.
-                    if (target != null && warmth(target) >= 1
-                            && relative(target, target.demand + each(slice)) < 2) {
+                    if (target != null && warmth(target) >= 1 && relative(target, target.demand + each(slice)) < 2) {
                         shift(slice, server, target);
                     }
                 }
@@ -739,9 +794,13 @@
         List<Server> fit = new ArrayList<>();
         for (int pass = 0; pass < 3 && fit.isEmpty(); pass++) {
             int at = pass;
-            servers.values().stream().filter(v -> v.usable() && !slice.want.containsKey(v.id)
-                    && !v.id.equals(source) && (at > 0 || v.state == State.WELL)
-                    && (spare ? warmth(v) >= 1 : at > 1 || fits(v, slice))).forEach(fit::add);
+            servers.values().stream()
+                    .filter(v -> v.usable()
+                            && !slice.want.containsKey(v.id)
+                            && !v.id.equals(source)
+                            && (at > 0 || v.state == State.WELL)
+                            && (spare ? warmth(v) >= 1 : at > 1 || fits(v, slice)))
+                    .forEach(fit::add);
         }
         if (fit.isEmpty()) {
             return null;
@@ -757,35 +816,43 @@
 
     /** A spare's part: enough to keep a connection and some keys warm, too little to cost anything. */
     private static final double SPARE = 0.03;
+
     private static final Comparator<Server> BY_SCORE = Comparator.comparingDouble(v -> v.score);
 
     private void mendAll() {
         // Nothing left to pick: what is listed ready must serve, ill or cold. And where most warm servers are
         // masked as ill, cold ones would get it all and be pushed over, so the ill serve.
         boolean none = servers.values().stream().noneMatch(Server::usable);
-        List<Server> warm = servers.values().stream().filter(v -> v.ready && warmth(v) >= 1).toList();
+        List<Server> warm =
+                servers.values().stream().filter(v -> v.ready && warmth(v) >= 1).toList();
         long ill = warm.stream().filter(v -> v.state == State.ILL).count();
         List<Server> needed = ill > warm.size() / 2 ? warm : List.of();
-        (none ? servers.values() : needed).stream().filter(v -> none && v.ready || v.state == State.ILL)
-                .toList().forEach(v -> step(v, Input.NEEDED));
+        (none ? servers.values() : needed)
+                .stream()
+                        .filter(v -> none && v.ready || v.state == State.ILL)
+                        .toList()
+                        .forEach(v -> step(v, Input.NEEDED));
         Arrays.stream(slices).filter(v -> v.mine).forEach(this::mend);
     }
 
     private void mend(Slice slice) {
         double top = top(slice);
-        boolean bareSoon = slice.want.keySet().stream().allMatch(id -> servers.get(id).leaving());
+        boolean bareSoon =
+                slice.want.keySet().stream().allMatch(id -> servers.get(id).leaving());
         if (bareSoon && servers.values().stream().noneMatch(Server::usable)) {
             return;
         }
         slice.want.keySet().removeIf(id -> servers.get(id).leaving());
-        List<Server> open = slice.want.keySet().stream().map(servers::get).filter(v -> !v.masked()).toList();
+        List<Server> open = slice.want.keySet().stream()
+                .map(servers::get)
+                .filter(v -> !v.masked())
+                .toList();
         boolean carried = open.stream().anyMatch(v -> slice.want.get(v.id) > top / 2);
         Server spare = open.stream().min(BY_SCORE).orElse(null);
         if (!carried) {
             // Orphan. The spare was the least-loaded server when it was chosen and has carried the slice
             // since the mask; it keeps it unless it is now above the mean.
-            boolean keep = spare != null && fits(spare, slice)
-                    && spare.score <= meanScore() + sliceLoad(slice, spare);
+            boolean keep = spare != null && fits(spare, slice) && spare.score <= meanScore() + sliceLoad(slice, spare);
             Server target = keep ? spare : leastLoaded(slice, null, false);
             target = target == null ? spare : target;
             if (target != null) {
@@ -805,8 +872,10 @@
      */
     private void spread(Slice slice, long usable) {
         double part = fleetDemand <= 0 ? 0 : ownPart * slice.demand / fleetDemand * usable;
-        List<Server> lines = slice.want.keySet().stream().filter(id -> full(slice, id))
-                .map(servers::get).toList();
+        List<Server> lines = slice.want.keySet().stream()
+                .filter(id -> full(slice, id))
+                .map(servers::get)
+                .toList();
         if (part / lines.size() > 0.5 && lines.size() < 4) {
             Server target = leastLoaded(slice, null, false);
             if (target != null && fits(target, slice)) {
@@ -819,7 +888,9 @@
     }
 
     private void mendSpares(Slice slice) {
-        long usable = slice.want.keySet().stream().filter(id -> !servers.get(id).masked()).count();
+        long usable = slice.want.keySet().stream()
+                .filter(id -> !servers.get(id).masked())
+                .count();
         if (usable < 2) {
             Server spare = leastLoaded(slice, null, true);
             if (spare != null) {
@@ -827,13 +898,21 @@
                 spare.spareDemand += slice.demand;
             }
         } else if (usable > 2) {
-            slice.want.keySet().stream().filter(id -> !full(slice, id)).map(servers::get)
-                    .filter(v -> v.state == State.WELL).max(BY_SCORE).ifPresent(v -> slice.want.remove(v.id));
+            slice.want.keySet().stream()
+                    .filter(id -> !full(slice, id))
+                    .map(servers::get)
+                    .filter(v -> v.state == State.WELL)
+                    .max(BY_SCORE)
+                    .ifPresent(v -> slice.want.remove(v.id));
         }
     }
 
     private double meanScore() {
-        return servers.values().stream().filter(Server::usable).mapToDouble(v -> v.score).average().orElse(0);
+        return servers.values().stream()
+                .filter(Server::usable)
+                .mapToDouble(v -> v.score)
+                .average()
+                .orElse(0);
     }
 
     // ---- Balancing, once a cycle.
@@ -873,8 +952,10 @@
 
     /** A fresh server, or one back from illness, gains a slice a cycle from the most loaded. */
     private void gain(Server target, Server source, List<Slice> offered) {
-        offered.stream().filter(v -> fits(target, v) && helps(v, source, target))
-                .max(Comparator.comparingDouble(v -> v.demand)).ifPresent(v -> shift(v, source, target));
+        offered.stream()
+                .filter(v -> fits(target, v) && helps(v, source, target))
+                .max(Comparator.comparingDouble(v -> v.demand))
+                .ifPresent(v -> shift(v, source, target));
     }
 
     /**
@@ -900,8 +981,10 @@
 
     private void even(List<Server> usable) {
         double mean = meanScore();
-        double deviation = Math.sqrt(usable.stream().mapToDouble(v -> (v.score - mean) * (v.score - mean))
-                .average().orElse(0));
+        double deviation = Math.sqrt(usable.stream()
+                .mapToDouble(v -> (v.score - mean) * (v.score - mean))
+                .average()
+                .orElse(0));
         while (!moveTimes.isEmpty() && now - moveTimes.peekFirst() > 60 * SECOND) {
             moveTimes.pollFirst();
         }
@@ -930,16 +1013,16 @@
     }
 
     private boolean helps(Slice slice, Server source, Server target) {
-        return source != target
-                && target.score + sliceLoad(slice, target) < source.score - sliceLoad(slice, source);
+        return source != target && target.score + sliceLoad(slice, target) < source.score - sliceLoad(slice, source);
     }
 
     /** How long a slice stays where it came, as each move costs warm keys. */
     private static final long HOLD = 20 * SECOND;
 
     private List<Slice> movable(Server source, long hold) {
-        return Arrays.stream(slices).filter(v -> v.mine && full(v, source.id)
-                && now - v.movedAt > hold).toList();
+        return Arrays.stream(slices)
+                .filter(v -> v.mine && full(v, source.id) && now - v.movedAt > hold)
+                .toList();
     }
 
     private void shift(Slice slice, Server from, Server to) {
@@ -1002,19 +1085,24 @@
     private void push() {
         Arrays.stream(slices).filter(v -> v.want.equals(v.sent)).forEach(v -> v.settledAt = now);
         lined = null;
-        List<Slice> late = Arrays.stream(slices).filter(v -> v.mine && !v.want.equals(v.sent)).toList();
+        List<Slice> late = Arrays.stream(slices)
+                .filter(v -> v.mine && !v.want.equals(v.sent))
+                .toList();
         late.forEach(v -> v.urgency = urgency(v));
-        List<Slice> due = late.stream().sorted(Comparator.<Slice>comparingInt(v -> v.urgency)
-                .thenComparing(v -> v.settledAt).thenComparing(v -> v.number)).toList();
-        List<Server> masks = servers.values().stream().filter(v -> v.masked()
-                && (masksDue.contains(v.id) || !maskSent.contains(v.id)) && !noLineOn(v.id))
-                .sorted(Comparator.comparing(v -> maskSent.contains(v.id))).toList();
+        List<Slice> due = late.stream()
+                .sorted(Comparator.<Slice>comparingInt(v -> v.urgency)
+                        .thenComparing(v -> v.settledAt)
+                        .thenComparing(v -> v.number))
+                .toList();
+        List<Server> masks = servers.values().stream()
+                .filter(v -> v.masked() && (masksDue.contains(v.id) || !maskSent.contains(v.id)) && !noLineOn(v.id))
+                .sorted(Comparator.comparing(v -> maskSent.contains(v.id)))
+                .toList();
         TreeSet<String> lifted = new TreeSet<>(maskSent);
         lifted.addAll(masksDue);
         lifted.removeIf(id -> servers.get(id).masked());
         // What the rules demand: a server that left, a slice with nothing open. Illness waits for its turn.
-        boolean binding = masks.stream().anyMatch(Server::leaving)
-                || !due.isEmpty() && urgency(due.get(0)) == 0;
+        boolean binding = masks.stream().anyMatch(Server::leaving) || !due.isEmpty() && urgency(due.get(0)) == 0;
         if (joined.isEmpty() || masks.isEmpty() && due.isEmpty() && lifted.isEmpty() && !levelsDue) {
             return;
         }
@@ -1028,7 +1116,8 @@
         double ahead = set.linesPerS() * set.graceNs() / SECOND / 4 / set.queueLimit();
         double ordinary = Math.min(0.48, ahead);
         double part = binding ? 0.7 : ordinary;
-        double waiting = turns.stream().mapToDouble(v -> v.linesEach * v.waiting.size()).sum();
+        double waiting =
+                turns.stream().mapToDouble(v -> v.linesEach * v.waiting.size()).sum();
         long age = turns.isEmpty() ? 0 : now - turns.peekFirst().sentAt;
         double known = (binding ? 0.2 : 0.37) * set.queueLimit();
         double credit = Math.min(known, 0.8 * set.linesPerS() * age / SECOND);
@@ -1037,7 +1126,8 @@
         double lines = most - Math.max(0, waiting - credit) / reach;
         // A turn costs its heads: it waits until most of what it needs has room, but never for ever.
         long bare = due.stream().filter(v -> urgency(v) == 0).count();
-        double worth = binding ? Math.min(masks.size() + bare, 0.4 * most)
+        double worth = binding
+                ? Math.min(masks.size() + bare, 0.4 * most)
                 : Math.min(masks.size() + lifted.size() + 2 * due.size(), 0.6 * most);
         if (!mayTurn(binding) || lines < worth && !turns.isEmpty()) {
             dirty |= binding;
@@ -1053,14 +1143,13 @@
             turnTimes.pollFirst();
         }
         // The other half is kept for drains and orphans, a tenth for the unforeseen.
-        return now - lastTurn >= (binding ? 200 * MS : gap) && (set.messagesAllowed() == 0
-                || turnTimes.size() < set.messagesAllowed() * (binding ? 0.9 : 0.5));
+        return now - lastTurn >= (binding ? 200 * MS : gap)
+                && (set.messagesAllowed() == 0 || turnTimes.size() < set.messagesAllowed() * (binding ? 0.9 : 0.5));
     }
 
     private int levelLines;
 
-    private void send(List<Slice> due, List<Server> masks, TreeSet<String> lifted, double lines,
-            double rest) {
+    private void send(List<Slice> due, List<Server> masks, TreeSet<String> lifted, double lines, double rest) {
         int before = out.size();
         double full = before + Math.max(1, lines);
         if (levelsDue) {
@@ -1097,7 +1186,8 @@
                 masksDue.remove(server.id);
             }
         }
-        due.stream().filter(v -> out.size() < before + rest || out.size() == before && turns.isEmpty())
+        due.stream()
+                .filter(v -> out.size() < before + rest || out.size() == before && turns.isEmpty())
                 .forEach(v -> sendSlice(v, false));
         due.stream().filter(v -> out.size() < before + rest).forEach(v -> sendSlice(v, true));
         if (out.size() > before) {
@@ -1115,15 +1205,18 @@
 
     /** The heaviest of the new lines alone: what a slice needs so as not to be bare. */
     private void sendTop(Slice slice) {
-        slice.want.entrySet().stream().filter(v -> !servers.get(v.getKey()).masked())
-                .max(Map.Entry.comparingByValue()).ifPresent(v -> sendLine(slice, v.getKey(), v.getValue()));
+        slice.want.entrySet().stream()
+                .filter(v -> !servers.get(v.getKey()).masked())
+                .max(Map.Entry.comparingByValue())
+                .ifPresent(v -> sendLine(slice, v.getKey(), v.getValue()));
     }
 
     /** New lines and old ones; old lines of masked servers cost nothing but their place and go last. */
     private void sendSlice(Slice slice, boolean all) {
         slice.want.forEach((id, weight) -> sendLine(slice, id, weight));
-        List.copyOf(slice.sent.keySet()).stream().filter(id -> !slice.want.containsKey(id)
-                && (all || !maskSent.contains(id))).forEach(id -> sendLine(slice, id, 0));
+        List.copyOf(slice.sent.keySet()).stream()
+                .filter(id -> !slice.want.containsKey(id) && (all || !maskSent.contains(id)))
+                .forEach(id -> sendLine(slice, id, 0));
     }
 
     private void sendLine(Slice slice, String id, double weight) {
@@ -1136,8 +1229,10 @@
 
     private boolean leavesBare(String id) {
         return servers.values().stream().anyMatch(Server::usable)
-                && Arrays.stream(slices).anyMatch(v -> v.mine && v.sent.containsKey(id)
-                        && v.sent.keySet().stream().allMatch(s -> s.equals(id) || maskSent.contains(s)));
+                && Arrays.stream(slices)
+                        .anyMatch(v -> v.mine
+                                && v.sent.containsKey(id)
+                                && v.sent.keySet().stream().allMatch(s -> s.equals(id) || maskSent.contains(s)));
     }
 
     /**
@@ -1149,8 +1244,8 @@
         for (int i = 0; i < set.groups().size(); i++) {
             levels.merge(level(i), 1 << i, Integer::sum);
         }
-        levels.forEach((level, groups) -> out.add(new Order.SetLevel(Order.ALL_TABLES, groups, level,
-                strained || crowded ? Retry.NEVER : Retry.ON_PROOF)));
+        levels.forEach((level, groups) -> out.add(new Order.SetLevel(
+                Order.ALL_TABLES, groups, level, strained || crowded ? Retry.NEVER : Retry.ON_PROOF)));
         return levels.size();
     }
 }
--- a/src/main/java/puffinbarrow/audit/Audit.java
+++ b/src/main/java/puffinbarrow/audit/Audit.java
@@ -22,14 +22,28 @@
  * the settings in, findings out.
  */
 public final class Audit {
-    public enum Rule { BARE, TWICE, DRAIN, COLD, QUEUE, VOICE }
+    public enum Rule {
+        BARE,
+        TWICE,
+        DRAIN,
+        COLD,
+        QUEUE,
+        VOICE
+    }
 
     /** One breach, with what shows it. */
     public record Finding(Rule rule, long at, String evidence) {}
 
     /** How far a record's own figures went: the worst seen, whether or not it broke the rule. */
-    public record Verdict(List<Finding> findings, long longestBareNs, long latestDrainNs, double mostColdPart,
-            double mostQueued, int mostMessages, long attempts, long ordersFrames) {
+    public record Verdict(
+            List<Finding> findings,
+            long longestBareNs,
+            long latestDrainNs,
+            double mostColdPart,
+            double mostQueued,
+            int mostMessages,
+            long attempts,
+            long ordersFrames) {
         public boolean kept() {
             return findings.isEmpty();
         }
@@ -43,6 +57,7 @@
         boolean listed, ready;
         /** When the coordinator was told that it drains or is gone; 0 while it is not. */
         long leftAt;
+
         long started;
         /** When the coordinator was told of the present start. */
         long startToldAt;
@@ -78,8 +93,8 @@
     /** The lines of one coordinator that wait; steps are taken once nothing earlier can come any more. */
     private static final class Queue {
         // At equal times what leaves goes first: it made the room.
-        final PriorityQueue<Step> steps = new PriorityQueue<>(
-                Comparator.comparingLong(Step::at).thenComparingDouble(Step::lines));
+        final PriorityQueue<Step> steps =
+                new PriorityQueue<>(Comparator.comparingLong(Step::at).thenComparingDouble(Step::lines));
         double waiting;
     }
 
@@ -108,6 +123,7 @@
     private final Map<Integer, Queue> queues = new TreeMap<>();
     /** Flows in the order of their first try: each is judged, and forgotten, once it can be repeated no more. */
     private final ArrayDeque<Seen.Sent> begun = new ArrayDeque<>();
+
     private final long flowNs;
     private long longestBare, latestDrain, attempts, ordersFrames;
     private double mostCold, mostQueued;
@@ -117,7 +133,11 @@
     public Audit(CoordinatorConfig config, long epochNs) {
         this.config = config;
         this.epochNs = epochNs;
-        this.flowNs = AFTER_EXPIRY_NS + config.groups.stream().mapToLong(g -> g.expiryNs() + g.windowNs()).max().orElse(0);
+        this.flowNs = AFTER_EXPIRY_NS
+                + config.groups.stream()
+                        .mapToLong(g -> g.expiryNs() + g.windowNs())
+                        .max()
+                        .orElse(0);
     }
 
     /** Evidence counts from then, for what is found from now on. */
@@ -129,20 +149,22 @@
     public static Verdict judge(CoordinatorConfig config, List<Seen> seen, long epochNs) {
         Audit audit = new Audit(config, epochNs);
         seen.forEach(audit::take);
-        return audit.verdict(seen.isEmpty() ? epochNs : seen.get(seen.size() - 1).at());
+        return audit.verdict(
+                seen.isEmpty() ? epochNs : seen.get(seen.size() - 1).at());
     }
 
     /** Of all that was taken, which ended then; nothing may be taken after. */
     public Verdict verdict(long at) {
         endOfRecord(at);
-        return new Verdict(findings, longestBare, latestDrain, mostCold, mostQueued, mostMessages, attempts, ordersFrames);
+        return new Verdict(
+                findings, longestBare, latestDrain, mostCold, mostQueued, mostMessages, attempts, ordersFrames);
     }
 
     private void found(Rule rule, long at, String key, String evidence) {
         // One line for each kind of case: a server sent to a thousand times is one finding.
         if (said.add(rule + " " + key)) {
-            findings.add(new Finding(rule, at, String.format(java.util.Locale.ROOT, "%.3f s: %s",
-                    (at - epochNs) / 1e9, evidence)));
+            findings.add(new Finding(
+                    rule, at, String.format(java.util.Locale.ROOT, "%.3f s: %s", (at - epochNs) / 1e9, evidence)));
         }
     }
 
@@ -175,8 +197,7 @@
         } else if (seen instanceof Seen.Took s) {
             took(s);
         } else if (seen instanceof Seen.TableRead s) {
-            TreeMap<String, Double> table = proxy(s.proxy()).tables
-                    .computeIfAbsent(s.slice(), n -> new TreeMap<>());
+            TreeMap<String, Double> table = proxy(s.proxy()).tables.computeIfAbsent(s.slice(), n -> new TreeMap<>());
             table.clear();
             s.lines().forEach(line -> table.put(line.server(), line.weight()));
             look(s.proxy(), proxy(s.proxy()), s.slice(), s.at());
@@ -269,22 +290,28 @@
     /** Whether the coordinator in charge is bound to see that the proxy has a line: it could give one. */
     private boolean binding(Proxy proxy, int owner, int slice, long at) {
         Coordinator coordinator = coordinators.get(owner);
-        return coordinator != null && proxy.joinedAt.containsKey(owner) && coordinator.chargeAt.containsKey(slice)
+        return coordinator != null
+                && proxy.joinedAt.containsKey(owner)
+                && coordinator.chargeAt.containsKey(slice)
                 && coordinator.servers.values().stream()
-                .anyMatch(s -> s.ready && (s.started == 0 || at - s.started >= config.warmNs));
+                        .anyMatch(s -> s.ready && (s.started == 0 || at - s.started >= config.warmNs));
     }
 
     private void bareFor(int number, int slice, long since, long until) {
         longestBare = Math.max(longestBare, until - since);
         if (until - since > config.bareNs) {
-            found(Rule.BARE, until, number + "/" + slice, "proxy " + number + " had no backend for slice " + slice
-                    + " for " + (until - since) / 1_000_000 + " ms, " + config.bareNs / 1_000_000 + " allowed");
+            found(
+                    Rule.BARE,
+                    until,
+                    number + "/" + slice,
+                    "proxy " + number + " had no backend for slice " + slice + " for " + (until - since) / 1_000_000
+                            + " ms, " + config.bareNs / 1_000_000 + " allowed");
         }
     }
 
     private void endOfRecord(long at) {
-        proxies.forEach((number, proxy) -> Map.copyOf(proxy.bareSince)
-                .forEach((slice, since) -> bareFor(number, slice, since, at)));
+        proxies.forEach((number, proxy) ->
+                Map.copyOf(proxy.bareSince).forEach((slice, since) -> bareFor(number, slice, since, at)));
         forget(Long.MAX_VALUE);
         runs.values().forEach(this::effects);
         queues.forEach((number, queue) -> drain(number, queue, Long.MAX_VALUE));
@@ -294,16 +321,25 @@
 
     /** A term belongs to one coordinator, and a proxy never goes back to an older one. */
     private void took(Seen.Took took) {
-        Integer voice = voices.computeIfAbsent(took.slice(), s -> new HashMap<>()).putIfAbsent(took.term(), took.coordinator());
+        Integer voice =
+                voices.computeIfAbsent(took.slice(), s -> new HashMap<>()).putIfAbsent(took.term(), took.coordinator());
         if (voice != null && voice != took.coordinator()) {
-            found(Rule.VOICE, took.at(), "two " + took.slice() + " " + took.term(), "orders for slice " + took.slice()
-                    + " under term " + took.term() + " from coordinators " + voice + " and " + took.coordinator());
+            found(
+                    Rule.VOICE,
+                    took.at(),
+                    "two " + took.slice() + " " + took.term(),
+                    "orders for slice " + took.slice() + " under term " + took.term() + " from coordinators " + voice
+                            + " and " + took.coordinator());
         }
         Map<Integer, Long> latest = proxy(took.proxy()).terms;
         long before = latest.getOrDefault(took.slice(), 0L);
         if (took.term() < before) {
-            found(Rule.VOICE, took.at(), "back " + took.proxy() + " " + took.slice(), "proxy " + took.proxy() + " took orders "
-                    + "for slice " + took.slice() + " under term " + took.term() + " after " + before);
+            found(
+                    Rule.VOICE,
+                    took.at(),
+                    "back " + took.proxy() + " " + took.slice(),
+                    "proxy " + took.proxy() + " took orders " + "for slice " + took.slice() + " under term "
+                            + took.term() + " after " + before);
         }
         latest.merge(took.slice(), took.term(), Math::max);
     }
@@ -316,12 +352,13 @@
         Set<Integer> touched = new TreeSet<>();
         boolean maskChanged = false;
         for (Order order : applied.orders()) {
-            if (order instanceof Order.SetLine o
-                    && proxy.owner.getOrDefault(o.table(), -1) == applied.coordinator()) {
+            if (order instanceof Order.SetLine o && proxy.owner.getOrDefault(o.table(), -1) == applied.coordinator()) {
                 TreeMap<String, Double> table = proxy.tables.computeIfAbsent(o.table(), t -> new TreeMap<>());
                 if (config.soleOwner && o.weight() > 0) {
                     table.clear();
-                    latestOwner.merge(o.table(), new Owner(applied.orderedAtNs(), o.server()),
+                    latestOwner.merge(
+                            o.table(),
+                            new Owner(applied.orderedAtNs(), o.server()),
                             (a, b) -> b.orderedAtNs() >= a.orderedAtNs() ? b : a);
                 }
                 table.compute(o.server(), (s, was) -> o.weight() > 0 ? o.weight() : null);
@@ -349,18 +386,21 @@
         queue.steps.add(new Step(arrived.orderedAtNs(), config.headLines + arrived.lines()));
         queue.steps.add(new Step(Math.max(arrived.at(), arrived.orderedAtNs()), -config.headLines - arrived.lines()));
         drain(arrived.coordinator(), queue, arrived.at() - LONGEST_WAY_NS);
-        ArrayDeque<Long> times = proxy(arrived.proxy()).messages
-                .computeIfAbsent(arrived.coordinator(), c -> new ArrayDeque<>());
+        ArrayDeque<Long> times =
+                proxy(arrived.proxy()).messages.computeIfAbsent(arrived.coordinator(), c -> new ArrayDeque<>());
         times.addLast(arrived.orderedAtNs());
         while (times.peekLast() - times.peekFirst() > config.messagesSpanNs) {
             times.pollFirst();
         }
         mostMessages = Math.max(mostMessages, times.size());
         if (config.messages > 0 && times.size() > config.messages) {
-            found(Rule.QUEUE, arrived.at(), "messages " + arrived.coordinator() + "/" + arrived.proxy(),
+            found(
+                    Rule.QUEUE,
+                    arrived.at(),
+                    "messages " + arrived.coordinator() + "/" + arrived.proxy(),
                     "coordinator " + arrived.coordinator() + " wrote " + times.size() + " messages to proxy "
-                    + arrived.proxy() + " within " + config.messagesSpanNs / 1e9 + " s, " + config.messages
-                    + " allowed");
+                            + arrived.proxy() + " within " + config.messagesSpanNs / 1e9 + " s, " + config.messages
+                            + " allowed");
         }
     }
 
@@ -371,8 +411,12 @@
             queue.waiting += step.lines();
             mostQueued = Math.max(mostQueued, queue.waiting);
             if (queue.waiting > config.queueLines) {
-                found(Rule.QUEUE, step.at(), "lines " + number, "coordinator " + number + " had "
-                        + Math.round(queue.waiting) + " lines waiting, " + Math.round(config.queueLines) + " allowed");
+                found(
+                        Rule.QUEUE,
+                        step.at(),
+                        "lines " + number,
+                        "coordinator " + number + " had " + Math.round(queue.waiting) + " lines waiting, "
+                                + Math.round(config.queueLines) + " allowed");
             }
         }
     }
@@ -382,9 +426,10 @@
     private void sent(Seen.Sent sent) {
         attempts++;
         flows.computeIfAbsent(sent.flow(), f -> {
-            begun.addLast(sent);
-            return new ArrayList<>(1);
-        }).add(new Try(sent, null));
+                    begun.addLast(sent);
+                    return new ArrayList<>(1);
+                })
+                .add(new Try(sent, null));
         forget(sent.at() - flowNs);
         Proxy proxy = proxy(sent.proxy());
         Coordinator coordinator = coordinators.get(sent.coordinator());
@@ -395,22 +440,31 @@
             long from = Math.max(server.leftAt, Math.max(joined, charge));
             latestDrain = Math.max(latestDrain, sent.at() - from);
             if (sent.at() - from > config.graceNs) {
-                found(Rule.DRAIN, sent.at(), sent.proxy() + "/" + sent.server(), "proxy " + sent.proxy()
-                        + " sent to " + sent.server() + " " + (sent.at() - from) / 1_000_000
-                        + " ms after coordinator " + sent.coordinator() + " was bound to stop it, "
-                        + config.graceNs / 1_000_000 + " allowed");
+                found(
+                        Rule.DRAIN,
+                        sent.at(),
+                        sent.proxy() + "/" + sent.server(),
+                        "proxy " + sent.proxy()
+                                + " sent to " + sent.server() + " " + (sent.at() - from) / 1_000_000
+                                + " ms after coordinator " + sent.coordinator() + " was bound to stop it, "
+                                + config.graceNs / 1_000_000 + " allowed");
             }
         }
         Cold start = cold.get(sent.server());
         // Of this start: one that was told of an earlier life knows nothing of this one.
-        boolean knowing = server != null && server.ready && joined != null && start != null
-                && server.started == start.start.at() && (proxy.lastOrderAt.getOrDefault(sent.coordinator(), Long.MIN_VALUE) > server.startToldAt
-                || sent.at() - server.startToldAt > config.graceNs);
+        boolean knowing = server != null
+                && server.ready
+                && joined != null
+                && start != null
+                && server.started == start.start.at()
+                && (proxy.lastOrderAt.getOrDefault(sent.coordinator(), Long.MIN_VALUE) > server.startToldAt
+                        || sent.at() - server.startToldAt > config.graceNs);
         coldLoad(sent, start, knowing);
     }
 
     private void coldLoad(Seen.Sent sent, Cold server, boolean knowing) {
-        if (server == null || server.start.coldNs() <= 0
+        if (server == null
+                || server.start.coldNs() <= 0
                 || sent.at() - server.start.at() > server.start.coldNs() + config.fallNs) {
             return;
         }
@@ -427,10 +481,15 @@
             mostCold = Math.max(mostCold, server.work / budget);
             // A tenth of slack for chance, as draws of work are uneven over a second.
             if (server.work > 1.1 * budget) {
-                found(Rule.COLD, sent.at(), sent.server() + server.start.at(), "cold " + sent.server() + " was sent "
-                        + String.format(java.util.Locale.ROOT, "%.2f", server.work / budget * config.fallMultiple)
-                        + " times what it can do, " + config.fallMultiple + " allowed, "
-                        + (sent.at() - server.start.at()) / 1_000_000 + " ms after its start");
+                found(
+                        Rule.COLD,
+                        sent.at(),
+                        sent.server() + server.start.at(),
+                        "cold " + sent.server() + " was sent "
+                                + String.format(
+                                        java.util.Locale.ROOT, "%.2f", server.work / budget * config.fallMultiple)
+                                + " times what it can do, " + config.fallMultiple + " allowed, "
+                                + (sent.at() - server.start.at()) / 1_000_000 + " ms after its start");
             }
         }
     }
@@ -456,15 +515,26 @@
             held.remove(ran.flow());
             return;
         }
-        held.values().stream().filter(s -> !s.equals(ran.server())).findFirst().ifPresent(other ->
-                found(Rule.TWICE, ran.at(), "owners " + ran.slice(), "writes of slice " + ran.slice() + " at "
-                        + ran.server() + " and " + other + " at a time"));
+        held.values().stream()
+                .filter(s -> !s.equals(ran.server()))
+                .findFirst()
+                .ifPresent(other -> found(
+                        Rule.TWICE,
+                        ran.at(),
+                        "owners " + ran.slice(),
+                        "writes of slice " + ran.slice() + " at " + ran.server() + " and " + other + " at a time"));
         held.put(ran.flow(), ran.server());
         String last = lastWriter.put(ran.slice(), ran.server());
         Owner now = latestOwner.get(ran.slice());
-        if (last != null && !last.equals(ran.server()) && now != null && !now.server().equals(ran.server())) {
-            found(Rule.TWICE, ran.at(), "former " + ran.slice(), "a write of slice " + ran.slice() + " at "
-                    + ran.server() + " after " + last + " had taken over");
+        if (last != null
+                && !last.equals(ran.server())
+                && now != null
+                && !now.server().equals(ran.server())) {
+            found(
+                    Rule.TWICE,
+                    ran.at(),
+                    "former " + ran.slice(),
+                    "a write of slice " + ran.slice() + " at " + ran.server() + " after " + last + " had taken over");
         }
     }
 
@@ -486,8 +556,12 @@
             Seen.Ended before = tries.get(i - 1).ended();
             boolean mayHaveRun = before == null || !before.proof();
             if (mayHaveRun && group.repeats() == CoordinatorConfig.Repeats.NON_RETRIABLE) {
-                found(Rule.TWICE, again.at(), "resent " + group.name(), "proxy " + again.proxy() + " sent a "
-                        + group.name() + " flow again without proof that its first try never ran");
+                found(
+                        Rule.TWICE,
+                        again.at(),
+                        "resent " + group.name(),
+                        "proxy " + again.proxy() + " sent a " + group.name()
+                                + " flow again without proof that its first try never ran");
             }
         }
     }
@@ -497,19 +571,25 @@
         for (int i = 1; i < all.size(); i++) {
             Seen.Ran first = all.get(0);
             Seen.Ran again = all.get(i);
-            boolean scope = switch (group.scope()) {
-                case "zone" -> first.zone() == again.zone();
-                case "cell" -> first.cell() == again.cell();
-                default -> true;
-            };
-            boolean broken = switch (group.repeats()) {
-                case RETRIABLE -> false;
-                case DEDUPED -> !scope || again.at() - first.at() > group.windowNs();
-                case NON_RETRIABLE -> true;
-            };
+            boolean scope =
+                    switch (group.scope()) {
+                        case "zone" -> first.zone() == again.zone();
+                        case "cell" -> first.cell() == again.cell();
+                        default -> true;
+                    };
+            boolean broken =
+                    switch (group.repeats()) {
+                        case RETRIABLE -> false;
+                        case DEDUPED -> !scope || again.at() - first.at() > group.windowNs();
+                        case NON_RETRIABLE -> true;
+                    };
             if (broken) {
-                found(Rule.TWICE, again.at(), "ran " + group.name(), "a " + group.name() + " flow took effect at "
-                        + first.server() + " and again at " + again.server());
+                found(
+                        Rule.TWICE,
+                        again.at(),
+                        "ran " + group.name(),
+                        "a " + group.name() + " flow took effect at " + first.server() + " and again at "
+                                + again.server());
             }
         }
     }
--- a/src/main/java/puffinbarrow/audit/Seen.java
+++ b/src/main/java/puffinbarrow/audit/Seen.java
@@ -30,8 +30,17 @@
     record OwnerRead(long at, int proxy, int slice, int coordinator) implements Seen {}
 
     /** An attempt left a proxy. {@code workNs} is its work on one core of speed 1. */
-    record Sent(long at, int proxy, String server, int slice, int group, long flow, int attempt, long workNs,
-            int coordinator) implements Seen {}
+    record Sent(
+            long at,
+            int proxy,
+            String server,
+            int slice,
+            int group,
+            long flow,
+            int attempt,
+            long workNs,
+            int coordinator)
+            implements Seen {}
 
     /** The attempt's end as the proxy saw it; {@code proof} that it never ran. */
     record Ended(long at, int proxy, long flow, int attempt, boolean good, boolean proof) implements Seen {}
@@ -41,6 +50,5 @@
             implements Seen {}
 
     /** A server's process began; what it can do by its age. */
-    record Started(long at, String server, double cores, double speed, double coldFrom, long coldNs)
-            implements Seen {}
+    record Started(long at, String server, double cores, double speed, double coldFrom, long coldNs) implements Seen {}
 }
--- a/src/main/java/puffinbarrow/cli/BenchCommands.java
+++ b/src/main/java/puffinbarrow/cli/BenchCommands.java
@@ -23,10 +23,22 @@
 import puffinbarrow.memory.Kills;
 
 /** Long runs that prove something, kept out of the tests. */
-@Command(name = "bench", mixinStandardHelpOptions = true, description = "Long runs that prove something.",
-        subcommands = {BenchCommands.MemoryKill.class, BenchCommands.MemoryDays.class, LoadBench.class, LoadMeasures.Rate.class,
-            LoadMeasures.Memory.class, LoadMeasures.LongTrace.class, LoadMeasures.Target.class, LeaseBench.class, EmulatorBench.class,
-            BenchCommands.MemoryWriter.class})
+@Command(
+        name = "bench",
+        mixinStandardHelpOptions = true,
+        description = "Long runs that prove something.",
+        subcommands = {
+            BenchCommands.MemoryKill.class,
+            BenchCommands.MemoryDays.class,
+            LoadBench.class,
+            LoadMeasures.Rate.class,
+            LoadMeasures.Memory.class,
+            LoadMeasures.LongTrace.class,
+            LoadMeasures.Target.class,
+            LeaseBench.class,
+            EmulatorBench.class,
+            BenchCommands.MemoryWriter.class
+        })
 final class BenchCommands implements Callable<Integer> {
     @Override
     public Integer call() {
@@ -37,13 +49,19 @@
     /** The command line of this program, for a child process of its own. */
     static List<String> self(String... arguments) {
         List<String> command = new ArrayList<>(List.of(
-                Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:TieredStopAtLevel=1", "-XX:+UseSerialGC",
-                "-cp", System.getProperty("java.class.path"), "puffinbarrow.cli.Main"));
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-XX:TieredStopAtLevel=1",
+                "-XX:+UseSerialGC",
+                "-cp",
+                System.getProperty("java.class.path"),
+                "puffinbarrow.cli.Main"));
         command.addAll(List.of(arguments));
         return command;
     }
 
-    @Command(name = "memory-kill", mixinStandardHelpOptions = true,
+    @Command(
+            name = "memory-kill",
+            mixinStandardHelpOptions = true,
             description = "Kills a writing process again and again; every start must find a whole state.")
     static final class MemoryKill implements Callable<Integer> {
         @Option(names = "--rounds", paramLabel = "N", description = "how often (${DEFAULT-VALUE})")
@@ -65,7 +83,9 @@
         }
     }
 
-    @Command(name = "memory-days", mixinStandardHelpOptions = true,
+    @Command(
+            name = "memory-days",
+            mixinStandardHelpOptions = true,
             description = "Days with a restart in the middle of flapping and drains, with memory against without.")
     static final class MemoryDays implements Callable<Integer> {
         @Option(names = "--seeds", paramLabel = "N", description = "days of each kind (${DEFAULT-VALUE})")
@@ -74,7 +94,8 @@
         @Option(names = "--at-once", paramLabel = "N", description = "days played at a time (${DEFAULT-VALUE})")
         private int atOnce = 4;
 
-        private static final String FLEET = """
+        private static final String FLEET =
+                """
                 coordinators 1
                 proxies 6
                 backends 12 cores 4
@@ -101,8 +122,8 @@
                 List<Future<Run[]>> pairs = new ArrayList<>();
                 for (int i = 0; i < seeds; i++) {
                     long seed = 100 + i;
-                    pairs.add(runs.submit(() -> new Run[] {day(kind.getValue(), seed, false),
-                        day(kind.getValue(), seed, true)}));
+                    pairs.add(runs.submit(
+                            () -> new Run[] {day(kind.getValue(), seed, false), day(kind.getValue(), seed, true)}));
                 }
                 List<Double> gain = new ArrayList<>();
                 double[] sums = new double[6];
@@ -118,13 +139,25 @@
                         both[k].broken().forEach(f -> System.out.println("  " + arm + ": " + f));
                     }
                 }
-                double mean = gain.stream().mapToDouble(Double::doubleValue).average().orElse(0);
-                double error = Math.sqrt(gain.stream().mapToDouble(g -> (g - mean) * (g - mean)).sum()
-                        / Math.max(1, seeds - 1) / seeds);
-                System.out.printf(Locale.ROOT, "memory %s, %d seeds: service %.4f without, %.4f with; in the 10 s after the "
-                        + "restart %.4f, %.4f (difference %+.4f, standard error %.4f); sends to flapping or drained "
-                        + "servers then %.1f, %.1f%n", kind.getKey(), seeds, sums[0] / seeds, sums[3] / seeds,
-                        sums[1] / seeds, sums[4] / seeds, mean, error, sums[2] / seeds, sums[5] / seeds);
+                double mean =
+                        gain.stream().mapToDouble(Double::doubleValue).average().orElse(0);
+                double error = Math.sqrt(
+                        gain.stream().mapToDouble(g -> (g - mean) * (g - mean)).sum() / Math.max(1, seeds - 1) / seeds);
+                System.out.printf(
+                        Locale.ROOT,
+                        "memory %s, %d seeds: service %.4f without, %.4f with; in the 10 s after the "
+                                + "restart %.4f, %.4f (difference %+.4f, standard error %.4f); sends to flapping or drained "
+                                + "servers then %.1f, %.1f%n",
+                        kind.getKey(),
+                        seeds,
+                        sums[0] / seeds,
+                        sums[3] / seeds,
+                        sums[1] / seeds,
+                        sums[4] / seeds,
+                        mean,
+                        error,
+                        sums[2] / seeds,
+                        sums[5] / seeds);
             }
             runs.shutdown();
             System.out.println(sound ? "all rules kept" : "A RULE BROKE");
@@ -138,10 +171,13 @@
                 throw new IllegalStateException(problems.toString());
             }
             script.seed = seed;
-            try (Day day = new Day(script, new PrintStream(OutputStream.nullOutputStream()),
-                    new Day.Bend(Logic::new, List.of()))) {
+            try (Day day = new Day(
+                    script, new PrintStream(OutputStream.nullOutputStream()), new Day.Bend(Logic::new, List.of()))) {
                 Page page = day.run();
-                return new Run(page.service(), page.service(11_000_000_000L, 21_000_000_000L), page.sentToStruck(),
+                return new Run(
+                        page.service(),
+                        page.service(11_000_000_000L, 21_000_000_000L),
+                        page.sentToStruck(),
                         page.verdict().findings());
             }
         }
--- a/src/main/java/puffinbarrow/cli/Commands.java
+++ b/src/main/java/puffinbarrow/cli/Commands.java
@@ -26,13 +26,26 @@
 import puffinbarrow.replay.Replay;
 
 /** The sub-commands. Exit codes: 0 fine, 1 failed, 2 usage or settings, 3 a rule broke. */
-@Command(name = "puffinbarrow", mixinStandardHelpOptions = true, version = "puffinbarrow 0.2",
+@Command(
+        name = "puffinbarrow",
+        mixinStandardHelpOptions = true,
+        version = "puffinbarrow 0.2",
         description = "A control service that hands tables to plain proxies.",
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {"0:fine", "1:failed", "2:usage or settings", "3:a rule broke"},
-        subcommands = {Commands.Run.class, Commands.Check.class, Commands.Status.class, Commands.PlayDay.class,
-            Commands.PlayTap.class, MemoryCommands.class, BenchCommands.class, LoadCommands.class, ChaosCommands.class,
-            EmulateCommands.class, Commands.WireHelp.class})
+        subcommands = {
+            Commands.Run.class,
+            Commands.Check.class,
+            Commands.Status.class,
+            Commands.PlayDay.class,
+            Commands.PlayTap.class,
+            MemoryCommands.class,
+            BenchCommands.class,
+            LoadCommands.class,
+            ChaosCommands.class,
+            EmulateCommands.class,
+            Commands.WireHelp.class
+        })
 public final class Commands {
     static final int FINE = 0, FAILED = 1, USAGE = 2, RULE = 3;
 
@@ -59,10 +72,16 @@
         return problems.isEmpty();
     }
 
-    @Command(name = "coordinator", mixinStandardHelpOptions = true,
+    @Command(
+            name = "coordinator",
+            mixinStandardHelpOptions = true,
             description = "Runs a coordinator until it is told to end (TERM, INT); HUP reads its settings again.")
     static final class Run implements Callable<Integer> {
-        @Option(names = {"-c", "--config"}, required = true, paramLabel = "FILE", description = "its settings")
+        @Option(
+                names = {"-c", "--config"},
+                required = true,
+                paramLabel = "FILE",
+                description = "its settings")
         private Path file;
 
         @Override
@@ -104,7 +123,9 @@
         }
     }
 
-    @Command(name = "check-config", mixinStandardHelpOptions = true,
+    @Command(
+            name = "check-config",
+            mixinStandardHelpOptions = true,
             description = "Reads a coordinator's settings and prints every mistake with its line.")
     static final class Check implements Callable<Integer> {
         @Parameters(paramLabel = "FILE", description = "the settings")
@@ -122,7 +143,9 @@
         }
     }
 
-    @Command(name = "status", mixinStandardHelpOptions = true,
+    @Command(
+            name = "status",
+            mixinStandardHelpOptions = true,
             description = "Asks a running coordinator how things stand, by its admin listener.")
     static final class Status implements Callable<Integer> {
         @Parameters(paramLabel = "ADDRESS:PORT|PORT-FILE", description = "its admin listener, or its port-file")
@@ -135,7 +158,9 @@
         public Integer call() throws IOException {
             InetSocketAddress address;
             try {
-                address = Files.isRegularFile(Path.of(where)) ? Ports.read(Path.of(where)).admin() : Ports.address(where);
+                address = Files.isRegularFile(Path.of(where))
+                        ? Ports.read(Path.of(where)).admin()
+                        : Ports.address(where);
             } catch (IOException wrong) {
                 System.err.println("status: " + wrong.getMessage());
                 return USAGE;
@@ -145,34 +170,46 @@
                 System.out.print(answer);
                 return answer.isEmpty() || answer.startsWith("error") ? FAILED : FINE;
             } catch (IOException silent) {
-                System.err.println("status: no answer from " + address.getHostString() + ":" + address.getPort() + ": " + silent.getMessage());
+                System.err.println("status: no answer from " + address.getHostString() + ":" + address.getPort() + ": "
+                        + silent.getMessage());
                 return FAILED;
             }
         }
     }
 
-    @Command(name = "day", mixinStandardHelpOptions = true,
+    @Command(
+            name = "day",
+            mixinStandardHelpOptions = true,
             description = "Plays a scripted day on loopback against real coordinators and judges the five rules.")
     static final class PlayDay implements Callable<Integer> {
-        @Parameters(arity = "0..1", paramLabel = "FILE", description = "the script, or default or"
-                + " monday, which are built in (default: ${DEFAULT-VALUE})", defaultValue = "default")
+        @Parameters(
+                arity = "0..1",
+                paramLabel = "FILE",
+                description = "the script, or default or" + " monday, which are built in (default: ${DEFAULT-VALUE})",
+                defaultValue = "default")
         private Path file;
 
         @Option(names = "--seed", paramLabel = "N", description = "another seed than the script's")
         private Long seed;
 
-        @Option(names = {"-o", "--out"}, paramLabel = "PAGE", description = "writes figures, rules and charts as HTML")
+        @Option(
+                names = {"-o", "--out"},
+                paramLabel = "PAGE",
+                description = "writes figures, rules and charts as HTML")
         private Path out;
 
-        @Option(names = "--log", paramLabel = "LEVEL", description = "what coordinators log (default: ${DEFAULT-VALUE})")
+        @Option(
+                names = "--log",
+                paramLabel = "LEVEL",
+                description = "what coordinators log (default: ${DEFAULT-VALUE})")
         private String level = "error";
 
         @Override
         public Integer call() throws IOException, InterruptedException {
             List<Problem> problems = new ArrayList<>();
             String builtIn = Files.exists(file) ? null : builtIn(file.toString());
-            Script script = builtIn == null ? Script.read(file, problems)
-                    : Script.parse(file + ".day", builtIn, problems);
+            Script script =
+                    builtIn == null ? Script.read(file, problems) : Script.parse(file + ".day", builtIn, problems);
             script.forSockets(problems);
             if (!sound(problems)) {
                 return USAGE;
@@ -189,7 +226,6 @@
                 return !page.verdict().kept() ? RULE : page.sound() ? FINE : FAILED;
             }
         }
-
     }
 
     /** A script that comes with the program, or null. */
@@ -199,7 +235,9 @@
         }
     }
 
-    @Command(name = "replay", mixinStandardHelpOptions = true,
+    @Command(
+            name = "replay",
+            mixinStandardHelpOptions = true,
             description = "Plays a recorded bench day through real coordinators and compares their orders.")
     static final class PlayTap implements Callable<Integer> {
         @Parameters(paramLabel = "TAP", arity = "1..*", description = "files written with --tap")
@@ -211,7 +249,8 @@
             int code = FINE;
             for (Path tap : taps) {
                 Replay.Result result = Replay.play(tap, Logic::new);
-                System.out.printf("%s: %d batches, %d coordinators, %d orders compared, %d timers and log lines inside%n",
+                System.out.printf(
+                        "%s: %d batches, %d coordinators, %d orders compared, %d timers and log lines inside%n",
                         tap, result.batches(), result.coordinators(), result.orders(), result.inside());
                 System.out.println(result.equal() ? "equal" : "DIFFERENT: " + result.difference());
                 code = result.equal() ? code : FAILED;
--- a/src/main/java/puffinbarrow/cli/EmulateCommands.java
+++ b/src/main/java/puffinbarrow/cli/EmulateCommands.java
@@ -25,9 +25,16 @@
 import puffinbarrow.emulator.Token;
 
 /** Days in simulated time. */
-@Command(name = "emulate", mixinStandardHelpOptions = true, description = "Days in simulated time: the same decisions at"
-        + " sizes that sockets do not reach.", subcommands = {EmulateCommands.Run.class, EmulateCommands.Play.class,
-            EmulateCommands.Hunt.class, EmulateCommands.Write.class})
+@Command(
+        name = "emulate",
+        mixinStandardHelpOptions = true,
+        description = "Days in simulated time: the same decisions at" + " sizes that sockets do not reach.",
+        subcommands = {
+            EmulateCommands.Run.class,
+            EmulateCommands.Play.class,
+            EmulateCommands.Hunt.class,
+            EmulateCommands.Write.class
+        })
 final class EmulateCommands implements Callable<Integer> {
     @Override
     public Integer call() {
@@ -46,8 +53,12 @@
     private static Policy policy(String name, List<Problem> problems) {
         Policy policy = Policy.named(name);
         if (policy == null) {
-            problems.add(new Problem("--policy", 0, "'" + name + "', expected one of "
-                    + String.join(", ", Policy.ALL.stream().map(Policy::name).toList())));
+            problems.add(new Problem(
+                    "--policy",
+                    0,
+                    "'" + name + "', expected one of "
+                            + String.join(
+                                    ", ", Policy.ALL.stream().map(Policy::name).toList())));
         }
         return policy;
     }
@@ -73,8 +84,12 @@
 
     @Command(name = "run", mixinStandardHelpOptions = true, description = "Plays one day and judges the rules.")
     static final class Run implements Callable<Integer> {
-        @Parameters(arity = "0..1", paramLabel = "FILE", defaultValue = "default", description = "a day's script with model"
-                + " lines, or default or monday, which are built in (default: ${DEFAULT-VALUE})")
+        @Parameters(
+                arity = "0..1",
+                paramLabel = "FILE",
+                defaultValue = "default",
+                description = "a day's script with model"
+                        + " lines, or default or monday, which are built in (default: ${DEFAULT-VALUE})")
         private Path file;
 
         @Option(names = "--token", paramLabel = "TOKEN", description = "a day as a search told it, in place of a file")
@@ -83,8 +98,12 @@
         @Option(names = "--seed", paramLabel = "N", description = "another seed than the script's")
         private Long seed;
 
-        @Option(names = "--policy", paramLabel = "NAME", description = "what coordinators decide with: ours, random,"
-                + " least-loaded, two-choices, bounded-hash, oracle (${DEFAULT-VALUE})", defaultValue = "ours")
+        @Option(
+                names = "--policy",
+                paramLabel = "NAME",
+                description = "what coordinators decide with: ours, random,"
+                        + " least-loaded, two-choices, bounded-hash, oracle (${DEFAULT-VALUE})",
+                defaultValue = "ours")
         private String policy;
 
         @Option(names = "--most-events", paramLabel = "N", description = "ends the run as failed (${DEFAULT-VALUE})")
@@ -115,23 +134,37 @@
             Outcome outcome = new Fleet(setup, by, new Heap(), mostEvents).run();
             double took = (System.nanoTime() - began) / 1e9;
             System.out.print(outcome.text());
-            System.out.printf(Locale.ROOT, "%n%d events in %.1f s of this machine: %.2f million events/s, %.0f flows/s; up after %.1f s"
-                    + " of its own time; %d flows open at most; decisions %.1f%% of the time, %.1f us an event they were told%n",
-                    outcome.events, took, outcome.events / took / 1e6, outcome.intended / took, outcome.beganAtNs / 1e9,
-                    outcome.mostOpen, 100 * outcome.decisionNs / 1e9 / took,
+            System.out.printf(
+                    Locale.ROOT,
+                    "%n%d events in %.1f s of this machine: %.2f million events/s, %.0f flows/s; up after %.1f s"
+                            + " of its own time; %d flows open at most; decisions %.1f%% of the time, %.1f us an event they were told%n",
+                    outcome.events,
+                    took,
+                    outcome.events / took / 1e6,
+                    outcome.intended / took,
+                    outcome.beganAtNs / 1e9,
+                    outcome.mostOpen,
+                    100 * outcome.decisionNs / 1e9 / took,
                     outcome.decisionNs / 1e3 / Math.max(1, outcome.decisionEvents));
-            return outcome.failed != null || !outcome.whole() ? Commands.FAILED : outcome.verdict.kept() ? Commands.FINE
-                    : Commands.RULE;
+            return outcome.failed != null || !outcome.whole()
+                    ? Commands.FAILED
+                    : outcome.verdict.kept() ? Commands.FINE : Commands.RULE;
         }
     }
 
-    @Command(name = "experiment", mixinStandardHelpOptions = true, description = "Plays an experiment's runs side by side; goes"
-            + " on where an earlier try was cut off.")
+    @Command(
+            name = "experiment",
+            mixinStandardHelpOptions = true,
+            description = "Plays an experiment's runs side by side; goes" + " on where an earlier try was cut off.")
     static final class Play implements Callable<Integer> {
         @Parameters(paramLabel = "FILE", description = "the experiment")
         private Path file;
 
-        @Option(names = {"-o", "--out"}, required = true, paramLabel = "FOLDER", description = "where results go")
+        @Option(
+                names = {"-o", "--out"},
+                required = true,
+                paramLabel = "FOLDER",
+                description = "where results go")
         private Path out;
 
         @Option(names = "--threads", paramLabel = "N", description = "runs at a time (half the processors)")
@@ -176,8 +209,11 @@
         }
     }
 
-    @Command(name = "search", mixinStandardHelpOptions = true, description = "Hunts an experiment's ranges for the day that"
-            + " breaks a rule or loses most, and cuts it down to what matters; exit 3 if a rule broke.")
+    @Command(
+            name = "search",
+            mixinStandardHelpOptions = true,
+            description = "Hunts an experiment's ranges for the day that"
+                    + " breaks a rule or loses most, and cuts it down to what matters; exit 3 if a rule broke.")
     static final class Hunt implements Callable<Integer> {
         @Parameters(paramLabel = "FILE", description = "the experiment; its levels are passed over")
         private Path file;
@@ -191,14 +227,20 @@
         @Option(names = "--policy", paramLabel = "NAME", description = "(${DEFAULT-VALUE})", defaultValue = "ours")
         private String policy;
 
-        @Option(names = "--against", paramLabel = "NAME", description = "what losses are counted against, or none: rules only"
-                + " (${DEFAULT-VALUE})", defaultValue = "oracle")
+        @Option(
+                names = "--against",
+                paramLabel = "NAME",
+                description = "what losses are counted against, or none: rules only" + " (${DEFAULT-VALUE})",
+                defaultValue = "oracle")
         private String against;
 
         @Option(names = "--threads", paramLabel = "N", description = "runs at a time (half the processors)")
         private int threads = usualThreads();
 
-        @Option(names = {"-o", "--out"}, paramLabel = "FILE", description = "writes the day there")
+        @Option(
+                names = {"-o", "--out"},
+                paramLabel = "FILE",
+                description = "writes the day there")
         private Path out;
 
         @Override
@@ -211,7 +253,8 @@
                 return Commands.USAGE;
             }
             Logs.set(false, "off");
-            Search.Find find = new Search(experiment, by, other, seed, Math.max(1, threads), EmulateCommands::progress).run(days);
+            Search.Find find =
+                    new Search(experiment, by, other, seed, Math.max(1, threads), EmulateCommands::progress).run(days);
             if (find == null) {
                 System.out.println("none of " + days + " days breaks a rule or loses anything");
                 return Commands.FINE;
--- a/src/main/java/puffinbarrow/cli/LeaseBench.java
+++ b/src/main/java/puffinbarrow/cli/LeaseBench.java
@@ -9,8 +9,12 @@
 import puffinbarrow.lease.Simulation;
 
 /** The lease core in simulated time: random troubles by the million steps, and what a take-over costs. */
-@Command(name = "lease", mixinStandardHelpOptions = true, description = "Random kills, splits, pauses and delays against the"
-        + " lease core in simulated time; exit 3 if two voices, a term that goes back or a lost slice is found.")
+@Command(
+        name = "lease",
+        mixinStandardHelpOptions = true,
+        description =
+                "Random kills, splits, pauses and delays against the"
+                        + " lease core in simulated time; exit 3 if two voices, a term that goes back or a lost slice is found.")
 final class LeaseBench implements Callable<Integer> {
     @Option(names = "--steps", paramLabel = "N", description = "in all (${DEFAULT-VALUE})")
     private long steps = 1_000_000;
@@ -28,7 +32,8 @@
         long doubled = 0;
         for (long at = seed; done < steps; at++, runs++) {
             // Every fourth run with clocks that jump.
-            Simulation.Plan plan = Simulation.plan(at, 3 + (int) (at % 3), 24, LEASE_NS, 60 * LEASE_NS, 0.05, at % 4 == 0);
+            Simulation.Plan plan =
+                    Simulation.plan(at, 3 + (int) (at % 3), 24, LEASE_NS, 60 * LEASE_NS, 0.05, at % 4 == 0);
             Simulation.Outcome outcome = Simulation.run(plan);
             done += outcome.steps();
             refused += outcome.refused();
@@ -39,8 +44,8 @@
                 return Commands.RULE;
             }
         }
-        System.out.println(runs + " runs, " + done + " steps, nothing broken; " + refused + " old orders refused by proxies, "
-                + doubled + " repeated ones passed over");
+        System.out.println(runs + " runs, " + done + " steps, nothing broken; " + refused
+                + " old orders refused by proxies, " + doubled + " repeated ones passed over");
         kills(5, 300);
         kills(5, 10_000);
         return Commands.FINE;
@@ -56,8 +61,16 @@
         int runs = slices > 1000 ? 2 : 20;
         for (int i = 0; i < runs; i++) {
             long length = 60 * LEASE_NS;
-            Simulation.Plan plan = new Simulation.Plan(seed + i, members, slices, 1, LEASE_NS, length, 0.05, false, List.of(
-                    new Simulation.Fault(Simulation.Kind.KILL, 30 * LEASE_NS, 20 * LEASE_NS, i % members)));
+            Simulation.Plan plan = new Simulation.Plan(
+                    seed + i,
+                    members,
+                    slices,
+                    1,
+                    LEASE_NS,
+                    length,
+                    0.05,
+                    false,
+                    List.of(new Simulation.Fault(Simulation.Kind.KILL, 30 * LEASE_NS, 20 * LEASE_NS, i % members)));
             Simulation.Outcome outcome = Simulation.run(plan);
             silent.add(outcome.silentMs());
             moves += outcome.moves();
@@ -66,10 +79,19 @@
             writes += outcome.writes() / ((length + 46 * LEASE_NS) / 1e9);
             uneven = Math.max(uneven, outcome.unevenness());
         }
-        System.out.printf(Locale.ROOT, "%d members, %d slices, a kill and a return: silent p50 %.0f ms, p99 %.0f ms, most %.0f"
-                + " ms (a lease is %.0f ms); changes of voice %.2f of the least possible; %.1f writes/s; shares differ by %d"
-                + " at most%n", members, slices, (double) silent.getValueAtPercentile(50),
-                (double) silent.getValueAtPercentile(99), (double) silent.getMaxValue(), LEASE_NS / 1e6,
-                (double) moves / least, writes / runs, uneven);
+        System.out.printf(
+                Locale.ROOT,
+                "%d members, %d slices, a kill and a return: silent p50 %.0f ms, p99 %.0f ms, most %.0f"
+                        + " ms (a lease is %.0f ms); changes of voice %.2f of the least possible; %.1f writes/s; shares differ by %d"
+                        + " at most%n",
+                members,
+                slices,
+                (double) silent.getValueAtPercentile(50),
+                (double) silent.getValueAtPercentile(99),
+                (double) silent.getMaxValue(),
+                LEASE_NS / 1e6,
+                (double) moves / least,
+                writes / runs,
+                uneven);
     }
 }
--- a/src/main/java/puffinbarrow/cli/LoadBench.java
+++ b/src/main/java/puffinbarrow/cli/LoadBench.java
@@ -20,7 +20,9 @@
 import puffinbarrow.standin.Delays;
 
 /** How true the load generator's figures are, against stand-ins whose delays are known. */
-@Command(name = "load-accuracy", mixinStandardHelpOptions = true,
+@Command(
+        name = "load-accuracy",
+        mixinStandardHelpOptions = true,
         description = "Reported percentiles against injected delays, a stall against its arithmetic, a busy host.")
 final class LoadBench implements Callable<Integer> {
     @Option(names = "--seeds", paramLabel = "N", description = "runs of each kind (${DEFAULT-VALUE})")
@@ -71,12 +73,21 @@
             StringBuilder line = new StringBuilder(String.format("%-28s", kind.getKey()));
             for (int i = 0; i < worst.length; i++) {
                 java.util.Arrays.sort(off[i]);
-                line.append(String.format(Locale.ROOT, " p%s off by %.2f%% (%.2f%%)", QUANTILES[i], 100 * off[i][seeds / 2],
+                line.append(String.format(
+                        Locale.ROOT,
+                        " p%s off by %.2f%% (%.2f%%)",
+                        QUANTILES[i],
+                        100 * off[i][seeds / 2],
                         100 * worst[i]));
                 within &= worst[i] < WITHIN;
             }
-            System.out.printf(Locale.ROOT, "%s median (worst) of %d seeds; senders late by p90 %.2f ms, p99 %.2f ms%n", line,
-                    seeds, lag.getValueAtPercentile(90) / 1e3, lag.getValueAtPercentile(99) / 1e3);
+            System.out.printf(
+                    Locale.ROOT,
+                    "%s median (worst) of %d seeds; senders late by p90 %.2f ms, p99 %.2f ms%n",
+                    line,
+                    seeds,
+                    lag.getValueAtPercentile(90) / 1e3,
+                    lag.getValueAtPercentile(99) / 1e3);
         }
         stall();
         busy();
@@ -110,22 +121,32 @@
             }
             boolean offered = result.lag.getValueAtPercentile(99) < OFFERED_LATE_US
                     && result.all.count(Result.Outcome.IN_BUDGET) >= 0.99 * result.intended;
-            System.out.printf(Locale.ROOT, "%8.0f flows/s: senders late by p99 %.2f ms, %d of %d answered in budget%s%n", rate,
-                    result.lag.getValueAtPercentile(99) / 1e3, result.all.count(Result.Outcome.IN_BUDGET),
-                    result.intended, offered ? "" : "  not offered");
+            System.out.printf(
+                    Locale.ROOT,
+                    "%8.0f flows/s: senders late by p99 %.2f ms, %d of %d answered in budget%s%n",
+                    rate,
+                    result.lag.getValueAtPercentile(99) / 1e3,
+                    result.all.count(Result.Outcome.IN_BUDGET),
+                    result.intended,
+                    offered ? "" : "  not offered");
             good = offered ? rate : good;
             bad = offered ? bad : rate;
         }
-        System.out.printf(Locale.ROOT, "this host offers %.0f flows/s with %d senders, the answering stand-in in the same "
-                + "process; the scenario asks for %.0f at most%n", good, scenario.senders, scenario.mostRate());
+        System.out.printf(
+                Locale.ROOT,
+                "this host offers %.0f flows/s with %d senders, the answering stand-in in the same "
+                        + "process; the scenario asks for %.0f at most%n",
+                good,
+                scenario.senders,
+                scenario.mostRate());
         return good >= scenario.mostRate() ? Commands.FINE : Commands.FAILED;
     }
 
     /** A stall of 2 s at a constant rate: a flow meant to start x before its end waits x. */
     private static void stall() throws Exception {
         try (Delays target = target(u -> 2e6, 1);
-                Engine engine = new Engine(scenario(target, 1, "rate 1000\nlength 10s\narrivals constant\n"
-                        + "connections 50\n"))) {
+                Engine engine = new Engine(
+                        scenario(target, 1, "rate 1000\nlength 10s\narrivals constant\n" + "connections 50\n"))) {
             Thread still = new Thread(() -> {
                 try {
                     TimeUnit.SECONDS.sleep(3);
@@ -139,9 +160,14 @@
             // 2 s of 10 s of flows wait evenly between 0 and 2 s: the share above t is (2 - t) / 10.
             for (double quantile : new double[] {85, 90, 95, 99}) {
                 double arithmetic = 2000 - (100 - quantile) / 100 * 10_000;
-                System.out.printf(Locale.ROOT, "stall of 2 s, p%.0f: reported %.0f ms, by arithmetic %.0f ms; a closed loop "
-                        + "would show %.0f ms%n", quantile, result.all.latency.getValueAtPercentile(quantile) / 1e3,
-                        arithmetic, result.all.service.getValueAtPercentile(quantile) / 1e3);
+                System.out.printf(
+                        Locale.ROOT,
+                        "stall of 2 s, p%.0f: reported %.0f ms, by arithmetic %.0f ms; a closed loop "
+                                + "would show %.0f ms%n",
+                        quantile,
+                        result.all.latency.getValueAtPercentile(quantile) / 1e3,
+                        arithmetic,
+                        result.all.service.getValueAtPercentile(quantile) / 1e3);
             }
         }
     }
@@ -165,9 +191,13 @@
                     Engine engine = new Engine(scenario(target, 1, "rate 1000\nlength 5s\n"))) {
                 Result result = engine.run(null);
                 Histogram own = result.hiccups;
-                System.out.printf(Locale.ROOT, "%s host: p99 %.1f ms, its own wake-ups late by p99 %.1f ms, busy seconds %s%n",
-                        burn ? "burning" : "quiet", result.all.latency.getValueAtPercentile(99) / 1e3,
-                        own.getValueAtPercentile(99) / 1e3, result.hostBusy());
+                System.out.printf(
+                        Locale.ROOT,
+                        "%s host: p99 %.1f ms, its own wake-ups late by p99 %.1f ms, busy seconds %s%n",
+                        burn ? "burning" : "quiet",
+                        result.all.latency.getValueAtPercentile(99) / 1e3,
+                        own.getValueAtPercentile(99) / 1e3,
+                        result.hostBusy());
             } finally {
                 burners.forEach(Thread::interrupt);
             }
--- a/src/main/java/puffinbarrow/cli/LoadCommands.java
+++ b/src/main/java/puffinbarrow/cli/LoadCommands.java
@@ -11,8 +11,8 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import puffinbarrow.config.Problem;
-import puffinbarrow.load.Flow;
 import puffinbarrow.load.Engine;
+import puffinbarrow.load.Flow;
 import puffinbarrow.load.Report;
 import puffinbarrow.load.Result;
 import puffinbarrow.load.Scenario;
@@ -22,9 +22,16 @@
 import puffinbarrow.load.TraceFlows;
 
 /** The load generator: open arrivals, latency from the intended start, loopback targets only. */
-@Command(name = "load", mixinStandardHelpOptions = true, description = "Sends load to targets on this machine.",
-        subcommands = {LoadCommands.Run.class, LoadCommands.Shape.class, LoadCommands.FromTrace.class,
-             LoadCommands.Compare.class})
+@Command(
+        name = "load",
+        mixinStandardHelpOptions = true,
+        description = "Sends load to targets on this machine.",
+        subcommands = {
+            LoadCommands.Run.class,
+            LoadCommands.Shape.class,
+            LoadCommands.FromTrace.class,
+            LoadCommands.Compare.class
+        })
 final class LoadCommands implements Callable<Integer> {
     @Override
     public Integer call() {
@@ -39,17 +46,24 @@
         return problems.isEmpty() ? scenario : null;
     }
 
-    @Command(name = "run", mixinStandardHelpOptions = true, description = "Sends a scenario; exit 1 if a flow was lost"
-            + " from sight.")
+    @Command(
+            name = "run",
+            mixinStandardHelpOptions = true,
+            description = "Sends a scenario; exit 1 if a flow was lost" + " from sight.")
     static final class Run implements Callable<Integer> {
         @Parameters(paramLabel = "SCENARIO", description = "what to send")
         private Path file;
 
-        @Option(names = {"-o", "--out"}, paramLabel = "FOLDER", description = "where results are written")
+        @Option(
+                names = {"-o", "--out"},
+                paramLabel = "FOLDER",
+                description = "where results are written")
         private Path out;
 
-        @Option(names = "--record", paramLabel = "FILE", description = "writes the flows as a trace, to be sent exactly"
-                + " so again (.gz zips)")
+        @Option(
+                names = "--record",
+                paramLabel = "FILE",
+                description = "writes the flows as a trace, to be sent exactly" + " so again (.gz zips)")
         private Path record;
 
         @Option(names = "--dry", description = "sends nothing to the targets: says what rate this host can offer")
@@ -89,7 +103,10 @@
         }
     }
 
-    @Command(name = "shape", mixinStandardHelpOptions = true, description = "Draws a scenario's arrivals without sending.")
+    @Command(
+            name = "shape",
+            mixinStandardHelpOptions = true,
+            description = "Draws a scenario's arrivals without sending.")
     static final class Shape implements Callable<Integer> {
         @Parameters(paramLabel = "SCENARIO", description = "what to draw")
         private Path file;
@@ -126,25 +143,35 @@
         int step = (counts.size() + 59) / 60;
         List<Long> bars = new ArrayList<>();
         for (int i = 0; i < counts.size(); i += step) {
-            bars.add(counts.subList(i, Math.min(counts.size(), i + step)).stream().mapToLong(Long::longValue).sum());
+            bars.add(counts.subList(i, Math.min(counts.size(), i + step)).stream()
+                    .mapToLong(Long::longValue)
+                    .sum());
         }
         long most = Math.max(1, bars.stream().mapToLong(Long::longValue).max().orElse(1));
         for (int i = 0; i < bars.size(); i++) {
-            System.out.printf(Locale.ROOT, "%5d s %7d %s%n", i * step, bars.get(i), "#".repeat((int) (60 * bars.get(i)
-                    / most)));
+            System.out.printf(
+                    Locale.ROOT, "%5d s %7d %s%n", i * step, bars.get(i), "#".repeat((int) (60 * bars.get(i) / most)));
         }
-        System.out.printf("%d flows in %d s%n", counts.stream().mapToLong(Long::longValue).sum(), counts.size());
+        System.out.printf(
+                "%d flows in %d s%n", counts.stream().mapToLong(Long::longValue).sum(), counts.size());
     }
 
     private static void told(TraceFlows trace) {
-        System.out.printf("trace: %s, %d lines, %d malformed, %d later than could be put in order, %d of no group%n",
-                trace.format().name().toLowerCase(Locale.ROOT), trace.lines(), trace.malformed(), trace.late(),
+        System.out.printf(
+                "trace: %s, %d lines, %d malformed, %d later than could be put in order, %d of no group%n",
+                trace.format().name().toLowerCase(Locale.ROOT),
+                trace.lines(),
+                trace.malformed(),
+                trace.late(),
                 trace.unmatched());
         trace.shown().forEach(System.out::println);
     }
 
-    @Command(name = "trace", mixinStandardHelpOptions = true, description = "Reads a recorded trace and writes a scenario"
-            + " to send it by; exit 1 if too much is malformed.")
+    @Command(
+            name = "trace",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Reads a recorded trace and writes a scenario" + " to send it by; exit 1 if too much is malformed.")
     static final class FromTrace implements Callable<Integer> {
         /** So many beginnings of paths become groups of their own. */
         private static final int GROUPS = 5;
@@ -158,11 +185,16 @@
         @Option(names = "--column", paramLabel = "FIELD=NAME", description = "names a column, such as time=started_at")
         private java.util.Map<String, String> columns = java.util.Map.of();
 
-        @Option(names = "--malformed", paramLabel = "SHARE", description = "the share of lines that may be (${DEFAULT-VALUE})")
+        @Option(
+                names = "--malformed",
+                paramLabel = "SHARE",
+                description = "the share of lines that may be (${DEFAULT-VALUE})")
         private double malformed = 0.01;
 
-        @Option(names = {"-o", "--out"}, paramLabel = "SCENARIO", description = "writes a scenario with a group for each"
-                + " common beginning of paths")
+        @Option(
+                names = {"-o", "--out"},
+                paramLabel = "SCENARIO",
+                description = "writes a scenario with a group for each" + " common beginning of paths")
         private Path out;
 
         @Override
@@ -199,15 +231,24 @@
                     exit = Commands.FAILED;
                 }
                 double seconds = count == 0 ? 0 : (last - first) / 1e9;
-                System.out.printf(Locale.ROOT, "%s: %d lines, %d malformed, %.1f s, %.1f flows/s%n",
-                        trace.format().name().toLowerCase(Locale.ROOT), trace.lines(), trace.malformed(), seconds,
+                System.out.printf(
+                        Locale.ROOT,
+                        "%s: %d lines, %d malformed, %.1f s, %.1f flows/s%n",
+                        trace.format().name().toLowerCase(Locale.ROOT),
+                        trace.lines(),
+                        trace.malformed(),
+                        seconds,
                         seconds > 0 ? count / seconds : 0);
                 trace.shown().forEach(System.out::println);
             }
             List<java.util.Map.Entry<String, Long>> most = new ArrayList<>(paths.entrySet());
             most.sort(java.util.Map.Entry.<String, Long>comparingByValue().reversed());
             for (var path : most.subList(0, Math.min(20, most.size()))) {
-                System.out.printf(Locale.ROOT, "%8d  %5.1f%%  %s%n", path.getValue(), 100.0 * path.getValue() / count,
+                System.out.printf(
+                        Locale.ROOT,
+                        "%8d  %5.1f%%  %s%n",
+                        path.getValue(),
+                        100.0 * path.getValue() / count,
                         path.getKey());
             }
             if (out != null && exit == Commands.FINE) {
@@ -231,20 +272,31 @@
 
         private String scenario(List<java.util.Map.Entry<String, Long>> most) {
             StringBuilder text = new StringBuilder("trace " + file + (format == null ? "" : " " + format) + "\n");
-            columns.forEach((field, name) -> text.append("column ").append(field).append(' ').append(name).append('\n'));
+            columns.forEach((field, name) -> text.append("column ")
+                    .append(field)
+                    .append(' ')
+                    .append(name)
+                    .append('\n'));
             text.append("target 127.0.0.1:8080\n");
             int number = 0;
             for (var path : most) {
-                text.append("group g").append(number++).append(" share ").append(path.getValue())
-                        .append(" utility 1 budget 1s expiry 5s path ").append(path.getKey());
+                text.append("group g")
+                        .append(number++)
+                        .append(" share ")
+                        .append(path.getValue())
+                        .append(" utility 1 budget 1s expiry 5s path ")
+                        .append(path.getKey());
                 text.append(path.getKey().equals("/") ? "\n" : " match " + path.getKey() + "\n");
             }
-            return text.append("group rest share 1 utility 1 budget 1s expiry 5s path /\n").toString();
+            return text.append("group rest share 1 utility 1 budget 1s expiry 5s path /\n")
+                    .toString();
         }
     }
 
-    @Command(name = "compare", mixinStandardHelpOptions = true, description = "Sets two result folders side by side and"
-            + " says what is noise.")
+    @Command(
+            name = "compare",
+            mixinStandardHelpOptions = true,
+            description = "Sets two result folders side by side and" + " says what is noise.")
     static final class Compare implements Callable<Integer> {
         @Parameters(index = "0", paramLabel = "A")
         private Path a;
--- a/src/main/java/puffinbarrow/cli/LoadMeasures.java
+++ b/src/main/java/puffinbarrow/cli/LoadMeasures.java
@@ -51,7 +51,9 @@
         static Child start(double delayMs) throws IOException {
             List<String> command = BenchCommands.self("bench", "load-target", "--delay-ms", Double.toString(delayMs));
             command.removeIf(word -> word.startsWith("-XX:"));
-            Process process = new ProcessBuilder(command).redirectError(ProcessBuilder.Redirect.INHERIT).start();
+            Process process = new ProcessBuilder(command)
+                    .redirectError(ProcessBuilder.Redirect.INHERIT)
+                    .start();
             BufferedReader said = new BufferedReader(new InputStreamReader(process.getInputStream()));
             return new Child(process, Integer.parseInt(said.readLine().trim()));
         }
@@ -64,16 +66,21 @@
 
     static Scenario scenario(int port, String more) {
         List<Problem> problems = new ArrayList<>();
-        Scenario scenario = Scenario.parse("measure", "target 127.0.0.1:" + port
-                + "\ngroup g share 1 utility 1 budget 1s expiry 20s path /\n" + more, problems);
+        Scenario scenario = Scenario.parse(
+                "measure",
+                "target 127.0.0.1:" + port + "\ngroup g share 1 utility 1 budget 1s expiry 20s path /\n" + more,
+                problems);
         if (!problems.isEmpty()) {
             throw new IllegalStateException(problems.toString());
         }
         return scenario;
     }
 
-    @Command(name = "load-rate", mixinStandardHelpOptions = true, description = "The rate reached, beside wrk's on the same "
-            + "stand-in with the same connections, taken in turn.")
+    @Command(
+            name = "load-rate",
+            mixinStandardHelpOptions = true,
+            description = "The rate reached, beside wrk's on the same "
+                    + "stand-in with the same connections, taken in turn.")
     static final class Rate implements Callable<Integer> {
         @Option(names = "--rounds", paramLabel = "N", description = "pairs (${DEFAULT-VALUE})")
         private int rounds = 5;
@@ -103,8 +110,13 @@
                     Result result = ours(target.port, theirs);
                     double reached = result.all.latency.getTotalCount() / took;
                     ratios.add(reached / theirs);
-                    System.out.printf(Locale.ROOT, "wrk %.0f/s, ours %.0f/s of as many intended: %.2f; from the intended "
-                            + "start p50 %.2f ms, p99 %.2f ms; from the sending p50 %.2f ms%n", theirs, reached, reached / theirs,
+                    System.out.printf(
+                            Locale.ROOT,
+                            "wrk %.0f/s, ours %.0f/s of as many intended: %.2f; from the intended "
+                                    + "start p50 %.2f ms, p99 %.2f ms; from the sending p50 %.2f ms%n",
+                            theirs,
+                            reached,
+                            reached / theirs,
                             result.all.latency.getValueAtPercentile(50) / 1e3,
                             result.all.latency.getValueAtPercentile(99) / 1e3,
                             result.all.service.getValueAtPercentile(50) / 1e3);
@@ -120,9 +132,15 @@
 
         private Result ours(int port, double rate) throws IOException {
             long began = System.nanoTime();
-            try (Engine engine = new Engine(scenario(port, String.format(Locale.ROOT, "rate %.0f%narrivals constant%n"
-                    + "length 5s%nconnections %d%nsenders %d%nin-flight 100000%n", Math.min(190_000, rate), connections,
-                    senders)))) {
+            try (Engine engine = new Engine(scenario(
+                    port,
+                    String.format(
+                            Locale.ROOT,
+                            "rate %.0f%narrivals constant%n"
+                                    + "length 5s%nconnections %d%nsenders %d%nin-flight 100000%n",
+                            Math.min(190_000, rate),
+                            connections,
+                            senders)))) {
                 Result result = engine.run(null);
                 took = Math.max(5, (System.nanoTime() - began) / 1e9);
                 return result;
@@ -131,8 +149,10 @@
 
         private double wrk(int port) throws IOException, InterruptedException {
             try {
-                Process process = new ProcessBuilder("wrk", "-t" + senders, "-c" + connections, "-d5s",
-                        "http://127.0.0.1:" + port + "/").redirectErrorStream(true).start();
+                Process process = new ProcessBuilder(
+                                "wrk", "-t" + senders, "-c" + connections, "-d5s", "http://127.0.0.1:" + port + "/")
+                        .redirectErrorStream(true)
+                        .start();
                 String text = new String(process.getInputStream().readAllBytes());
                 process.waitFor();
                 Matcher m = Pattern.compile("Requests/sec:\\s*([0-9.]+)").matcher(text);
@@ -161,8 +181,10 @@
             // Answers take 8 s, so that flows sent in 4 s are all open from then on.
             try (Child target = Child.start(8000)) {
                 long before = heap();
-                Scenario scenario = scenario(target.port, "rate " + flows / 4 + "\narrivals constant\nlength 4s\n"
-                        + "connections " + flows + "\nin-flight " + 2 * flows + "\n");
+                Scenario scenario = scenario(
+                        target.port,
+                        "rate " + flows / 4 + "\narrivals constant\nlength 4s\n" + "connections " + flows
+                                + "\nin-flight " + 2 * flows + "\n");
                 try (Engine engine = new Engine(scenario)) {
                     Result[] result = new Result[1];
                     Thread run = new Thread(() -> result[0] = engine.run(null));
@@ -172,7 +194,11 @@
                     }
                     long open = engine.openFlows();
                     long used = heap() - before;
-                    System.out.printf(Locale.ROOT, "%d flows in flight: %.1f MB of heap, %.1f KB each%n", open, used / 1e6,
+                    System.out.printf(
+                            Locale.ROOT,
+                            "%d flows in flight: %.1f MB of heap, %.1f KB each%n",
+                            open,
+                            used / 1e6,
                             used / 1e3 / Math.max(1, open));
                     run.join();
                     System.out.println("outcomes " + result[0].all.outcomes + (result[0].whole() ? "" : " NOT WHOLE"));
@@ -182,8 +208,11 @@
         }
     }
 
-    @Command(name = "load-trace", mixinStandardHelpOptions = true, description = "Reads a long trace, a hundredth of it out "
-            + "of order and some malformed, in bounded memory.")
+    @Command(
+            name = "load-trace",
+            mixinStandardHelpOptions = true,
+            description =
+                    "Reads a long trace, a hundredth of it out " + "of order and some malformed, in bounded memory.")
     static final class LongTrace implements Callable<Integer> {
         @Option(names = "--lines", paramLabel = "N", description = "(${DEFAULT-VALUE})")
         private long lines = 10_000_000;
@@ -210,9 +239,17 @@
                     }
                     double s = (System.nanoTime() - began) / 1e9;
                     boolean whole = count + flows.malformed() == flows.lines() && flows.lines() == lines && ordered;
-                    System.out.printf(Locale.ROOT, "%d lines (%.0f MB): %d flows, %d malformed, %d later than could be put in "
-                            + "order, %s; heap at most %.1f MB; %.0f lines/s%n", flows.lines(), Files.size(file) / 1e6,
-                            count, flows.malformed(), flows.late(), ordered ? "in order" : "NOT IN ORDER", most / 1e6,
+                    System.out.printf(
+                            Locale.ROOT,
+                            "%d lines (%.0f MB): %d flows, %d malformed, %d later than could be put in "
+                                    + "order, %s; heap at most %.1f MB; %.0f lines/s%n",
+                            flows.lines(),
+                            Files.size(file) / 1e6,
+                            count,
+                            flows.malformed(),
+                            flows.late(),
+                            ordered ? "in order" : "NOT IN ORDER",
+                            most / 1e6,
                             lines / s);
                     return whole ? Commands.FINE : Commands.FAILED;
                 }
@@ -226,8 +263,9 @@
                 for (long i = 0; i < lines; i++) {
                     // 2,000 lines a second; each hundredth is written up to 3 s late, one in 10,000 is cut.
                     long second = i / 2000 - (i % 100 == 0 ? Math.min(i / 2000, i / 100 % 4) : 0);
-                    String line = String.format("10.0.0.%d - - [06/Apr/2026:%02d:%02d:%02d +0200] \"GET /basket/%d HTTP/1.1\""
-                            + " 200 %d", i % 250, second / 3600, second / 60 % 60, second % 60, i % 997, i % 5000);
+                    String line = String.format(
+                            "10.0.0.%d - - [06/Apr/2026:%02d:%02d:%02d +0200] \"GET /basket/%d HTTP/1.1\"" + " 200 %d",
+                            i % 250, second / 3600, second / 60 % 60, second % 60, i % 997, i % 5000);
                     out.write(i % 10_000 == 77 ? line.substring(0, 30) : line);
                     out.newLine();
                 }
--- a/src/main/java/puffinbarrow/cli/MemoryCommands.java
+++ b/src/main/java/puffinbarrow/cli/MemoryCommands.java
@@ -12,9 +12,16 @@
 import puffinbarrow.memory.Inspect;
 
 /** Looks into a coordinator's memory folder, live or dead; only {@code compact} writes. */
-@Command(name = "memory", mixinStandardHelpOptions = true, description = "Looks into a coordinator's memory.",
-        subcommands = {MemoryCommands.Show.class, MemoryCommands.Verify.class, MemoryCommands.Compact.class,
-            MemoryCommands.Export.class})
+@Command(
+        name = "memory",
+        mixinStandardHelpOptions = true,
+        description = "Looks into a coordinator's memory.",
+        subcommands = {
+            MemoryCommands.Show.class,
+            MemoryCommands.Verify.class,
+            MemoryCommands.Compact.class,
+            MemoryCommands.Export.class
+        })
 final class MemoryCommands implements Callable<Integer> {
     @Override
     public Integer call() {
@@ -31,25 +38,39 @@
         public Integer call() throws IOException {
             Inspect.Found found = Inspect.look(folder);
             found.words().forEach(System.out::println);
-            long servers = found.image().all().stream().filter(f -> f instanceof Facts.OfServer).count();
-            long slices = found.image().all().stream().filter(f -> f instanceof Facts.OfSlice).count();
+            long servers = found.image().all().stream()
+                    .filter(f -> f instanceof Facts.OfServer)
+                    .count();
+            long slices = found.image().all().stream()
+                    .filter(f -> f instanceof Facts.OfSlice)
+                    .count();
             Facts.OfSelf self = found.image().self();
             System.out.println(servers + " servers, " + slices + " slices");
             if (self != null) {
                 long now = TimeUnit.MILLISECONDS.toNanos(System.currentTimeMillis());
-                System.out.printf(Locale.ROOT, "last word %.1f s ago, %s end; %d charges, calm load %.3f, shed %.2f%s%n",
-                        (now - self.atNs()) / 1e9, self.cleanEnd() ? "clean" : "no clean", self.charges().size(),
-                        self.calmLoad(), self.shed(), self.strained() ? ", strained" : "");
+                System.out.printf(
+                        Locale.ROOT,
+                        "last word %.1f s ago, %s end; %d charges, calm load %.3f, shed %.2f%s%n",
+                        (now - self.atNs()) / 1e9,
+                        self.cleanEnd() ? "clean" : "no clean",
+                        self.charges().size(),
+                        self.calmLoad(),
+                        self.shed(),
+                        self.strained() ? ", strained" : "");
             }
-            found.image().all().stream().filter(f -> f instanceof Facts.OfServer s
+            found.image().all().stream()
+                    .filter(f -> f instanceof Facts.OfServer s
                             && (!s.standing().equals("well") || s.falls().size() > 1))
-                    .map(f -> (Facts.OfServer) f).forEach(s -> System.out.println("  " + s.id() + " " + s.standing()
-                            + ", fell " + s.falls().size() + " times, hold " + s.holdNs() / 1_000_000 + " ms"));
+                    .map(f -> (Facts.OfServer) f)
+                    .forEach(s -> System.out.println("  " + s.id() + " " + s.standing() + ", fell "
+                            + s.falls().size() + " times, hold " + s.holdNs() / 1_000_000 + " ms"));
             return Commands.FINE;
         }
     }
 
-    @Command(name = "verify", mixinStandardHelpOptions = true,
+    @Command(
+            name = "verify",
+            mixinStandardHelpOptions = true,
             description = "Whether there is a whole state; exit 1 if not.")
     static final class Verify implements Callable<Integer> {
         @Parameters(paramLabel = "FOLDER", description = "the memory's folder")
@@ -63,7 +84,9 @@
         }
     }
 
-    @Command(name = "compact", mixinStandardHelpOptions = true,
+    @Command(
+            name = "compact",
+            mixinStandardHelpOptions = true,
             description = "Writes one snapshot of what is believed; the folder must be nobody's.")
     static final class Compact implements Callable<Integer> {
         @Parameters(paramLabel = "FOLDER", description = "the memory's folder")
--- a/src/main/java/puffinbarrow/cli/Signals.java
+++ b/src/main/java/puffinbarrow/cli/Signals.java
@@ -12,7 +12,9 @@
         try {
             return Signal.handle(new Signal(name), signal -> work.run()) != SignalHandler.SIG_IGN;
         } catch (IllegalArgumentException unknownHere) {
-            org.slf4j.LoggerFactory.getLogger("puffinbarrow.coordinator").atWarn().addKeyValue("signal", name)
+            org.slf4j.LoggerFactory.getLogger("puffinbarrow.coordinator")
+                    .atWarn()
+                    .addKeyValue("signal", name)
                     .log("not handled on this system");
             return false;
         }
--- a/src/main/java/puffinbarrow/config/CoordinatorConfig.java
+++ b/src/main/java/puffinbarrow/config/CoordinatorConfig.java
@@ -13,10 +13,14 @@
 /** The settings of one coordinator, decoded once at start; docs/settings.md lists the keywords. */
 public final class CoordinatorConfig {
     /** What may be repeated, and within what scope. */
-    public enum Repeats { RETRIABLE, DEDUPED, NON_RETRIABLE }
+    public enum Repeats {
+        RETRIABLE,
+        DEDUPED,
+        NON_RETRIABLE
+    }
 
-    public record Group(String name, double utility, long budgetNs, long expiryNs, Repeats repeats, String scope,
-            long windowNs) {}
+    public record Group(
+            String name, double utility, long budgetNs, long expiryNs, Repeats repeats, String scope, long windowNs) {}
 
     public int number;
     public int of = 1;
@@ -53,6 +57,7 @@
     public long leaseNs;
     /** A proxy stops sending writes to a single owner so long after its stream broke or the slice changed hands. */
     public long proxyLeaseNs = 1_500_000_000L;
+
     public int inbox = 65_536;
     public long outboundBytes = 4 << 20;
     public int frameBytes = 1 << 20;
@@ -70,18 +75,45 @@
 
     static {
         String[][] all = {
-            {"coordinator", "NUMBER of COUNT"}, {"zone", "NAME"}, {"zones", "NAME..."},
-            {"listen", "ADDRESS:PORT"}, {"admin", "ADDRESS:PORT"}, {"registry", "ADDRESS:PORT push|ask"},
-            {"store", "ADDRESS:PORT"}, {"peer", "NUMBER ADDRESS:PORT"}, {"seed", "NUMBER"},
+            {"coordinator", "NUMBER of COUNT"},
+            {"zone", "NAME"},
+            {"zones", "NAME..."},
+            {"listen", "ADDRESS:PORT"},
+            {"admin", "ADDRESS:PORT"},
+            {"registry", "ADDRESS:PORT push|ask"},
+            {"store", "ADDRESS:PORT"},
+            {"peer", "NUMBER ADDRESS:PORT"},
+            {"seed", "NUMBER"},
             {"group", "NAME utility N budget TIME expiry TIME retriable|deduped SCOPE TIME|non-retriable"},
-            {"slices", "COUNT [sole-owner]"}, {"levels", "share|rate|off"}, {"queue", "LINES"},
-            {"pace", "LINES-A-SECOND"}, {"head", "LINES"}, {"messages", "COUNT per TIME"}, {"round", "TIME"},
-            {"intake", "LINES-A-SECOND"}, {"grace", "TIME"}, {"bare", "TIME"}, {"warm", "TIME"},
-            {"cold-share", "SHARE"}, {"fall-multiple", "N for TIME"}, {"probes", "on|off"},
-            {"gone", "binds|stays"}, {"tick", "TIME"}, {"inbox", "FRAMES"}, {"outbound", "SIZE"},
-            {"frame", "SIZE"}, {"hello", "TIME"}, {"idle", "TIME"}, {"log", "text|json LEVEL"},
-            {"port-file", "PATH"}, {"failed-batches", "FOLDER"},
-            {"memory", "FOLDER [at-most SIZE]"}, {"lease", "TIME"}, {"proxy-lease", "TIME"}, {"include", "FILE"}};
+            {"slices", "COUNT [sole-owner]"},
+            {"levels", "share|rate|off"},
+            {"queue", "LINES"},
+            {"pace", "LINES-A-SECOND"},
+            {"head", "LINES"},
+            {"messages", "COUNT per TIME"},
+            {"round", "TIME"},
+            {"intake", "LINES-A-SECOND"},
+            {"grace", "TIME"},
+            {"bare", "TIME"},
+            {"warm", "TIME"},
+            {"cold-share", "SHARE"},
+            {"fall-multiple", "N for TIME"},
+            {"probes", "on|off"},
+            {"gone", "binds|stays"},
+            {"tick", "TIME"},
+            {"inbox", "FRAMES"},
+            {"outbound", "SIZE"},
+            {"frame", "SIZE"},
+            {"hello", "TIME"},
+            {"idle", "TIME"},
+            {"log", "text|json LEVEL"},
+            {"port-file", "PATH"},
+            {"failed-batches", "FOLDER"},
+            {"memory", "FOLDER [at-most SIZE]"},
+            {"lease", "TIME"},
+            {"proxy-lease", "TIME"},
+            {"include", "FILE"}
+        };
         for (String[] each : all) {
             KEYWORDS.put(each[0], each[1]);
         }
@@ -89,6 +121,7 @@
 
     /** What a running coordinator may take up from a file read again; all else needs a start. */
     private static final List<String> ALIVE = List.of("log", "inbox", "idle", "hello");
+
     private static final List<String> REPEATABLE = List.of("group", "peer");
 
     private final Map<String, Statement> at = new LinkedHashMap<>();
@@ -125,8 +158,14 @@
         config.listOnRequest = from.listOnRequest();
         config.levels = from.levelIsRate() ? "rate" : from.levelsHeeded() ? "share" : "off";
         for (Settings.Group group : from.groups()) {
-            config.groups.add(new Group("group-" + config.groups.size(), group.utility(), group.budgetNs(),
-                    group.budgetNs(), Repeats.RETRIABLE, "all", 0));
+            config.groups.add(new Group(
+                    "group-" + config.groups.size(),
+                    group.utility(),
+                    group.budgetNs(),
+                    group.budgetNs(),
+                    Repeats.RETRIABLE,
+                    "all",
+                    0));
         }
         config.slices = from.slices();
         config.soleOwner = from.soleOwner();
@@ -155,8 +194,8 @@
         }
         Statement before = at.putIfAbsent(keyword, statement);
         if (before != null && !REPEATABLE.contains(keyword)) {
-            problems.add(statement.problem(keyword + ": stands twice, expected once (first at " + before.file()
-                    + ":" + before.line() + ")"));
+            problems.add(statement.problem(
+                    keyword + ": stands twice, expected once (first at " + before.file() + ":" + before.line() + ")"));
             return;
         }
         Words w = new Words(statement, problems);
@@ -274,8 +313,8 @@
     private void whole(String name, List<Problem> problems) {
         for (String needed : List.of("coordinator", "registry", "group")) {
             if (!at.containsKey(needed)) {
-                problems.add(new Problem(name, 0, "no line '" + needed + "', expected: " + needed + " "
-                        + KEYWORDS.get(needed)));
+                problems.add(new Problem(
+                        name, 0, "no line '" + needed + "', expected: " + needed + " " + KEYWORDS.get(needed)));
             }
         }
         if (groups.size() > 30) {
@@ -295,17 +334,24 @@
         }
         // A message to each proxy costs its head at least; what cannot leave within the grace cannot keep it.
         if (queueLines > linesPerS * graceNs / 1e9) {
-            clash(problems, "queue", "a full queue of " + (long) queueLines + " lines takes "
-                    + Math.round(queueLines / linesPerS * 10) / 10.0 + "s at " + (long) linesPerS
-                    + " lines a second, expected no longer than the grace of " + graceNs / 1e9 + "s");
+            clash(
+                    problems,
+                    "queue",
+                    "a full queue of " + (long) queueLines + " lines takes "
+                            + Math.round(queueLines / linesPerS * 10) / 10.0 + "s at " + (long) linesPerS
+                            + " lines a second, expected no longer than the grace of " + graceNs / 1e9 + "s");
         }
         if (headLines >= queueLines) {
-            clash(problems, "head", "found a head of " + headLines + " lines, expected less than the queue's "
-                    + queueLines);
+            clash(
+                    problems,
+                    "head",
+                    "found a head of " + headLines + " lines, expected less than the queue's " + queueLines);
         }
         if (tickNs > roundNs) {
-            clash(problems, "tick", "found a tick longer than a round of sums, expected " + roundNs / 1e9
-                    + "s at most");
+            clash(
+                    problems,
+                    "tick",
+                    "found a tick longer than a round of sums, expected " + roundNs / 1e9 + "s at most");
         }
         if (warmNs > 0 && coldShare <= 0) {
             clash(problems, "cold-share", "found 0, expected the part a backend can do at its start");
@@ -314,18 +360,25 @@
 
     private void clash(List<Problem> problems, String keyword, String text) {
         Statement where = at.get(keyword);
-        problems.add(where == null ? new Problem("defaults", 0, keyword + ": " + text)
-                : where.problem(keyword + ": " + text));
+        problems.add(
+                where == null
+                        ? new Problem("defaults", 0, keyword + ": " + text)
+                        : where.problem(keyword + ": " + text));
     }
 
     /** The lines that differ from a file read again: those that may not change alive, each with its line. */
     public List<Problem> refusedChanges(CoordinatorConfig again) {
         List<Problem> refused = new ArrayList<>();
         List<List<String>> mine = statements.stream().map(Statement::words).toList();
-        List<List<String>> theirs = again.statements.stream().map(Statement::words).toList();
-        again.statements.stream().filter(s -> !ALIVE.contains(s.keyword()) && !mine.contains(s.words()))
-                .forEach(s -> refused.add(s.problem(s.keyword() + ": cannot change while running, expected a restart")));
-        statements.stream().filter(s -> !ALIVE.contains(s.keyword()) && !theirs.contains(s.words())
+        List<List<String>> theirs =
+                again.statements.stream().map(Statement::words).toList();
+        again.statements.stream()
+                .filter(s -> !ALIVE.contains(s.keyword()) && !mine.contains(s.words()))
+                .forEach(
+                        s -> refused.add(s.problem(s.keyword() + ": cannot change while running, expected a restart")));
+        statements.stream()
+                .filter(s -> !ALIVE.contains(s.keyword())
+                        && !theirs.contains(s.words())
                         && again.statements.stream().noneMatch(t -> t.keyword().equals(s.keyword())))
                 .forEach(s -> refused.add(s.problem(s.keyword() + ": the line is gone, expected a restart")));
         return refused;
@@ -346,10 +399,28 @@
 
     /** What the decisions may read of this. */
     public Settings settings() {
-        return new Settings(listOnRequest, levels.equals("rate"), !levels.equals("off"),
-                groups.stream().map(g -> new Settings.Group(g.utility(), g.budgetNs())).toList(), slices, soleOwner,
-                queueLines, linesPerS, headLines, messages, messagesSpanNs, roundNs, graceNs, warmNs, coldShare,
-                fallMultiple, probes, goneStays, 0);
+        return new Settings(
+                listOnRequest,
+                levels.equals("rate"),
+                !levels.equals("off"),
+                groups.stream()
+                        .map(g -> new Settings.Group(g.utility(), g.budgetNs()))
+                        .toList(),
+                slices,
+                soleOwner,
+                queueLines,
+                linesPerS,
+                headLines,
+                messages,
+                messagesSpanNs,
+                roundNs,
+                graceNs,
+                warmNs,
+                coldShare,
+                fallMultiple,
+                probes,
+                goneStays,
+                0);
     }
 
     public static Map<String, String> keywords() {
--- a/src/main/java/puffinbarrow/config/Lines.java
+++ b/src/main/java/puffinbarrow/config/Lines.java
@@ -42,16 +42,18 @@
         Path whole = file.toAbsolutePath().normalize();
         String name = file.toString();
         if (open.contains(whole) || open.size() >= DEEPEST) {
-            problems.add(from.problem(open.contains(whole) ? "include goes round in a circle: " + name
-                    : "include is nested over " + DEEPEST + " deep"));
+            problems.add(from.problem(
+                    open.contains(whole)
+                            ? "include goes round in a circle: " + name
+                            : "include is nested over " + DEEPEST + " deep"));
             return;
         }
         String text;
         try {
             text = Files.readString(whole, StandardCharsets.UTF_8);
         } catch (IOException unreadable) {
-            String why = "cannot read " + name + ": " + unreadable.getClass().getSimpleName()
-                    .replace("Exception", "");
+            String why = "cannot read " + name + ": "
+                    + unreadable.getClass().getSimpleName().replace("Exception", "");
             problems.add(from == null ? new Problem(name, 0, why) : from.problem(why));
             return;
         }
@@ -76,8 +78,8 @@
             if (!statement.keyword().equals("include")) {
                 statements.add(statement);
             } else if (words.size() != 2) {
-                problems.add(statement.problem("include: found " + (words.size() - 1)
-                        + " words, expected one file name"));
+                problems.add(
+                        statement.problem("include: found " + (words.size() - 1) + " words, expected one file name"));
             } else {
                 Path other = Path.of(words.get(1));
                 file(other.isAbsolute() || folder == null ? other : folder.resolve(other), open, statement);
--- a/src/main/java/puffinbarrow/config/Words.java
+++ b/src/main/java/puffinbarrow/config/Words.java
@@ -71,8 +71,9 @@
         String word = text("one of " + String.join(", ", words));
         if (sound && !List.of(words).contains(word)) {
             String near = nearest(word, List.of(words));
-            wrong(quote(word), "one of " + String.join(", ", words)
-                    + (near == null ? "" : " (did you mean " + near + "?)"));
+            wrong(
+                    quote(word),
+                    "one of " + String.join(", ", words) + (near == null ? "" : " (did you mean " + near + "?)"));
         }
         return sound ? word : words[0];
     }
@@ -109,7 +110,8 @@
     public double share(String what) {
         String word = text(what);
         try {
-            double value = word.endsWith("%") ? Double.parseDouble(word.substring(0, word.length() - 1)) / 100
+            double value = word.endsWith("%")
+                    ? Double.parseDouble(word.substring(0, word.length() - 1)) / 100
                     : Double.parseDouble(word);
             if (value >= 0 && value <= 1) {
                 return value;
@@ -200,7 +202,8 @@
     }
 
     private static String plain(double value) {
-        return value == Math.rint(value) && Math.abs(value) < 1e15 ? Long.toString((long) value)
+        return value == Math.rint(value) && Math.abs(value) < 1e15
+                ? Long.toString((long) value)
                 : Double.toString(value);
     }
 
--- a/src/main/java/puffinbarrow/control/Event.java
+++ b/src/main/java/puffinbarrow/control/Event.java
@@ -5,12 +5,28 @@
 
 /** What a coordinator can learn. Times are nanoseconds; ids are kept as they came. */
 public sealed interface Event {
-    enum Listed { READY, DRAINING, GONE }
+    enum Listed {
+        READY,
+        DRAINING,
+        GONE
+    }
 
     /** What a load report can hold: share of cores busy, flows held, flows waiting, and so on. */
-    enum Measure { BUSY, HELD, WAITING, SERVICE_MS, DELIVERED_PER_S, DROPPED_PER_S }
-
-    enum ListKind { PATCH, WHOLE, STALE_COPY, BROKEN }
+    enum Measure {
+        BUSY,
+        HELD,
+        WAITING,
+        SERVICE_MS,
+        DELIVERED_PER_S,
+        DROPPED_PER_S
+    }
+
+    enum ListKind {
+        PATCH,
+        WHOLE,
+        STALE_COPY,
+        BROKEN
+    }
 
     record Entry(String server, int zone, int kind, int cell, Listed listed, double size, long startedNs) {}
 
@@ -28,8 +44,9 @@
     record ProxyLeft(int proxy) implements Event {}
 
     /** What the proxies of a zone met at a server over a span. */
-    record ServerSums(String server, int zone, long spanNs, long tookNs, long dropped, long tries,
-            Map<Measure, Double> report) implements Event {}
+    record ServerSums(
+            String server, int zone, long spanNs, long tookNs, long dropped, long tries, Map<Measure, Double> report)
+            implements Event {}
 
     /** Flows of a traffic group that came to a proxy. */
     record ProxyDemand(int proxy, int group, long flows, long dropped, long spanNs) implements Event {}
@@ -42,7 +59,14 @@
     record StoredLine(int slice, String server, double weight) implements Event {}
 
     /** What a former life can have learned: that a server flaps, a hold it had, what the fleet bore, how it shed. */
-    enum Recall { FLAPPING, HOLD_NS, CALM_LOAD, CALM_WHOLE, SHED, STRAINED }
+    enum Recall {
+        FLAPPING,
+        HOLD_NS,
+        CALM_LOAD,
+        CALM_WHOLE,
+        SHED,
+        STRAINED
+    }
 
     /** Something learned before a restart; {@code server} is empty where it is about the fleet. Confidence 0 to 1. */
     record Recalled(Recall kind, String server, double value, double confidence) implements Event {}
--- a/src/main/java/puffinbarrow/control/Order.java
+++ b/src/main/java/puffinbarrow/control/Order.java
@@ -5,7 +5,12 @@
     int ALL_TABLES = 65535;
 
     /** When a proxy tries another server: never, on proof that the first never ran, or after any failure. */
-    enum Retry { NEVER, ON_PROOF, ONCE, TWICE }
+    enum Retry {
+        NEVER,
+        ON_PROOF,
+        ONCE,
+        TWICE
+    }
 
     record SetLine(int table, String server, double weight) implements Order {}
 
--- a/src/main/java/puffinbarrow/coordinator/Coordinator.java
+++ b/src/main/java/puffinbarrow/coordinator/Coordinator.java
@@ -54,6 +54,7 @@
     private final Keeper keeper;
     /** Null where the store deals the charges. */
     private final Holder holder;
+
     private final Prober prober;
     private final long incarnation;
     private final Map<Integer, Stream> proxies = new ConcurrentHashMap<>();
@@ -70,7 +71,7 @@
     private Thread thread;
     private volatile boolean running = true;
     private volatile boolean orderly;
-    private volatile Consumer<Integer> onGivingUp = code -> { };
+    private volatile Consumer<Integer> onGivingUp = code -> {};
 
     public Coordinator(CoordinatorConfig config, Controller.Factory factory) throws IOException {
         this(config, factory, Core.Tempo.of(config), null);
@@ -81,17 +82,26 @@
      *
      * @param addresses null: ids are addresses
      */
-    public Coordinator(CoordinatorConfig config, Controller.Factory factory, Core.Tempo tempo,
-            Function<String, InetSocketAddress> addresses) throws IOException {
+    public Coordinator(
+            CoordinatorConfig config,
+            Controller.Factory factory,
+            Core.Tempo tempo,
+            Function<String, InetSocketAddress> addresses)
+            throws IOException {
         this.config = config;
         this.incarnation = System.nanoTime() ^ (long) config.number << 48;
         this.net = new Net("c" + config.number, 2);
         this.prober = addresses == null ? new Prober(net) : new Prober(net, addresses, REPLAY_PROBE_MS);
         this.keeper = config.memory == null ? null : Keeper.open(config.memory, config.memoryBytes, MEMORY_KEYS);
-        this.core = new Core(config, factory, this, keeper == null ? Core.Memory.NONE
-                : new Remembering(keeper, incarnation), meters, tempo);
-        this.holder = config.leaseNs > 0 && config.slices > 0 ? new Holder(config, incarnation, new SystemTiming(), core::offer,
-                meters)
+        this.core = new Core(
+                config,
+                factory,
+                this,
+                keeper == null ? Core.Memory.NONE : new Remembering(keeper, incarnation),
+                meters,
+                tempo);
+        this.holder = config.leaseNs > 0 && config.slices > 0
+                ? new Holder(config, incarnation, new SystemTiming(), core::offer, meters)
                 : null;
         if (holder != null) {
             core.fence(holder);
@@ -134,11 +144,22 @@
     private void open() throws IOException {
         listener = net.listen(config.listen, config.outboundBytes, channel -> new Stream());
         admin = net.listen(config.admin, 1 << 20, channel -> new Admin());
-        Frame.Hello hello = new Frame.Hello(Frame.MAJOR, Frame.MINOR, Frame.Role.COORDINATOR, config.number,
-                config.zoneIndex(), incarnation, true, 0);
+        Frame.Hello hello = new Frame.Hello(
+                Frame.MAJOR,
+                Frame.MINOR,
+                Frame.Role.COORDINATOR,
+                config.number,
+                config.zoneIndex(),
+                incarnation,
+                true,
+                0);
         if (config.store != null) {
             if (holder == null) {
-                storeDialer = dialer("store", config.store, hello, f -> core.offer(new Input.FromStore(f)),
+                storeDialer = dialer(
+                        "store",
+                        config.store,
+                        hello,
+                        f -> core.offer(new Input.FromStore(f)),
                         up -> core.offer(new Input.StoreUp(up)));
             } else {
                 storeDialer = dialer("store", config.store, hello, holder::frame, up -> {
@@ -149,32 +170,42 @@
             }
         }
         if (config.registry != null) {
-            registryDialer = dialer("registry", config.registry, hello, frame -> {
-                if (frame instanceof Frame.ServerList list) {
-                    core.offer(new Input.FromRegistry(list));
-                }
-            }, up -> core.offer(new Input.RegistryUp(up)));
+            registryDialer = dialer(
+                    "registry",
+                    config.registry,
+                    hello,
+                    frame -> {
+                        if (frame instanceof Frame.ServerList list) {
+                            core.offer(new Input.FromRegistry(list));
+                        }
+                    },
+                    up -> core.offer(new Input.RegistryUp(up)));
         }
         config.peers.forEach(this::connectPeer);
         net.schedule(1000, this::watchStreams);
         if (config.portFile != null) {
             new Ports(listener.address(), admin.address()).write(config.portFile);
         }
-        LOG.atInfo().addKeyValue("coordinator", config.number).addKeyValue("listen", listener.address())
-                .addKeyValue("admin", admin.address()).log("ready");
+        LOG.atInfo()
+                .addKeyValue("coordinator", config.number)
+                .addKeyValue("listen", listener.address())
+                .addKeyValue("admin", admin.address())
+                .log("ready");
     }
 
     /** Dials a peer; called by those that learn its address after the start. */
     public void connectPeer(int number, InetSocketAddress address) {
-        Frame.Hello asPeer = new Frame.Hello(Frame.MAJOR, Frame.MINOR, Frame.Role.PEER, config.number,
-                config.zoneIndex(), incarnation, true, 0);
-        peerDialers.put(number, dialer("peer " + number, address, asPeer,
-                frame -> { }, up -> core.offer(new Input.PeerUp(number, up))));
+        Frame.Hello asPeer = new Frame.Hello(
+                Frame.MAJOR, Frame.MINOR, Frame.Role.PEER, config.number, config.zoneIndex(), incarnation, true, 0);
+        peerDialers.put(
+                number,
+                dialer("peer " + number, address, asPeer, frame -> {}, up -> core.offer(new Input.PeerUp(number, up))));
     }
 
-    private Dialer dialer(String name, InetSocketAddress to, Frame.Hello hello, Consumer<Frame> frames,
-            Consumer<Outlet> upOrDown) {
-        Dialer dialer = new Dialer(net, name, to, () -> hello, config.outboundBytes, config.frameBytes, frames, upOrDown);
+    private Dialer dialer(
+            String name, InetSocketAddress to, Frame.Hello hello, Consumer<Frame> frames, Consumer<Outlet> upOrDown) {
+        Dialer dialer =
+                new Dialer(net, name, to, () -> hello, config.outboundBytes, config.frameBytes, frames, upOrDown);
         dialers.add(dialer);
         return dialer.start();
     }
@@ -230,7 +261,10 @@
                 saved = "not kept: " + unwritable.getMessage();
             }
         }
-        LOG.atError().addKeyValue("batch", saved).addKeyValue("events", batch.size()).setCause(failure)
+        LOG.atError()
+                .addKeyValue("batch", saved)
+                .addKeyValue("events", batch.size())
+                .setCause(failure)
                 .log("the decisions failed; what stands is left");
         if (failures.tooMany(now)) {
             LOG.atError().addKeyValue("failures", Failures.MOST).log("giving up");
@@ -290,8 +324,9 @@
                 reader.feed(bytes);
             } catch (FrameException wrong) {
                 meters.cause("frames.refused", wrong.why());
-                refuse(wrong.why() == FrameException.Cause.VERSION ? Frame.Refused.VERSION
-                        : Frame.Refused.MALFORMED, wrong.getMessage());
+                refuse(
+                        wrong.why() == FrameException.Cause.VERSION ? Frame.Refused.VERSION : Frame.Refused.MALFORMED,
+                        wrong.getMessage());
             }
             if (full) {
                 full = false;
@@ -316,18 +351,22 @@
                 return;
             } else if (frame instanceof Frame.Bye) {
                 link.closeWhenSent();
-            } else if (hello.role() == Frame.Role.PROXY && (frame instanceof Frame.Sums
-                    || frame instanceof Frame.Demand || frame instanceof Frame.Applied)) {
+            } else if (hello.role() == Frame.Role.PROXY
+                    && (frame instanceof Frame.Sums
+                            || frame instanceof Frame.Demand
+                            || frame instanceof Frame.Applied)) {
                 full |= !core.offer(new Input.FromProxy(hello.number(), this, frame));
             } else if (hello.role() == Frame.Role.PROXY && frame instanceof Frame.Stale stale && holder != null) {
                 holder.stale(stale.slice(), stale.term());
-            } else if (hello.role() == Frame.Role.PEER && frame instanceof Frame.Peer peer
+            } else if (hello.role() == Frame.Role.PEER
+                    && frame instanceof Frame.Peer peer
                     && peer.sender() == hello.number()) {
                 full |= !core.offer(new Input.FromPeer(peer.sender(), peer.text()));
             } else {
                 meters.count("frames.unexpected");
-                refuse(Frame.Refused.MALFORMED, "a " + frame.getClass().getSimpleName() + " is not for "
-                        + hello.role() + " to send");
+                refuse(
+                        Frame.Refused.MALFORMED,
+                        "a " + frame.getClass().getSimpleName() + " is not for " + hello.role() + " to send");
             }
         }
 
@@ -351,8 +390,8 @@
                 }
                 hello = first;
                 proxies.put(first.number(), this);
-                full |= !core.offer(new Input.Joined(first, this,
-                        new Frame.Welcome(Frame.MINOR, config.number, incarnation)));
+                full |= !core.offer(
+                        new Input.Joined(first, this, new Frame.Welcome(Frame.MINOR, config.number, incarnation)));
             } else {
                 refuse(Frame.Refused.UNKNOWN_ROLE, first.role() + " " + first.number());
             }
@@ -365,7 +404,10 @@
         private void refuse(Frame.Refused why, String text) {
             refused = true;
             meters.cause("streams.refused", why);
-            LOG.atWarn().addKeyValue("why", why).addKeyValue("proxy", hello == null ? -1 : hello.number()).log(text);
+            LOG.atWarn()
+                    .addKeyValue("why", why)
+                    .addKeyValue("proxy", hello == null ? -1 : hello.number())
+                    .log(text);
             link.send(FrameWriter.one(new Frame.Refusal(why, text)));
             link.closeWhenSent();
         }
@@ -394,7 +436,9 @@
             streams.remove(this);
             if (cause == Link.Cause.SLOW_READER || cause == Link.Cause.BAD_INPUT) {
                 meters.cause("streams.cut", cause);
-                LOG.atWarn().addKeyValue("proxy", hello == null ? -1 : hello.number()).addKeyValue("cause", cause)
+                LOG.atWarn()
+                        .addKeyValue("proxy", hello == null ? -1 : hello.number())
+                        .addKeyValue("cause", cause)
                         .log("stream cut off: {}", detail);
             }
             if (hello != null && hello.role() == Frame.Role.PROXY) {
@@ -479,10 +523,15 @@
         if (holder != null) {
             state.putAll(holder.state());
         }
-        state.forEach((name, value) -> text.append(name).append(": ").append(value).append('\n'));
-        meters.values().forEach((name, value) -> text.append(name).append(' ')
-                .append(value == Math.rint(value) ? Long.toString(value.longValue())
-                        : String.format(java.util.Locale.ROOT, "%.3f", value)).append('\n'));
+        state.forEach(
+                (name, value) -> text.append(name).append(": ").append(value).append('\n'));
+        meters.values().forEach((name, value) -> text.append(name)
+                .append(' ')
+                .append(
+                        value == Math.rint(value)
+                                ? Long.toString(value.longValue())
+                                : String.format(java.util.Locale.ROOT, "%.3f", value))
+                .append('\n'));
         return text.toString();
     }
 
--- a/src/main/java/puffinbarrow/coordinator/Core.java
+++ b/src/main/java/puffinbarrow/coordinator/Core.java
@@ -123,6 +123,7 @@
     private Fence fence;
     /** Between two owners of a slice; null where slices have several. */
     private Pause pause;
+
     private Outlet registry;
     private Outlet store;
     private Boolean following;
@@ -130,8 +131,13 @@
     private long turn;
     private long tickAt = Long.MIN_VALUE;
 
-    public Core(CoordinatorConfig config, Controller.Factory factory, Surroundings around, Memory memory,
-            Meters meters, Tempo tempo) {
+    public Core(
+            CoordinatorConfig config,
+            Controller.Factory factory,
+            Surroundings around,
+            Memory memory,
+            Meters meters,
+            Tempo tempo) {
         this.memory = memory;
         this.config = config;
         this.around = around;
@@ -156,9 +162,13 @@
     public void fence(Fence with) {
         fence = with;
         if (config.soleOwner) {
-            pause = new Pause(config.proxyLeaseNs, config.groups.stream()
-                    .filter(g -> g.repeats() != CoordinatorConfig.Repeats.RETRIABLE)
-                    .mapToLong(CoordinatorConfig.Group::expiryNs).max().orElse(0));
+            pause = new Pause(
+                    config.proxyLeaseNs,
+                    config.groups.stream()
+                            .filter(g -> g.repeats() != CoordinatorConfig.Repeats.RETRIABLE)
+                            .mapToLong(CoordinatorConfig.Group::expiryNs)
+                            .max()
+                            .orElse(0));
             meters.gauge("slices.pausing", pause, Pause::pausing);
             meters.gauge("slices.owner_changes", pause, Pause::changes);
         }
@@ -328,10 +338,14 @@
         // between that reading and the joining would have reached neither the reading nor the stream.
         in.outlet().send(writer.bytes(in.welcome()));
         joined.put(number, new Proxy(in.outlet()));
-        events.add(new Event.ProxyJoined(number, in.hello().fresh(), in.hello().flowsPerS(), in.hello().zone()));
+        events.add(new Event.ProxyJoined(
+                number, in.hello().fresh(), in.hello().flowsPerS(), in.hello().zone()));
         meters.count("streams.joins");
-        LOG.atInfo().addKeyValue("proxy", number).addKeyValue("zone", in.hello().zone())
-                .addKeyValue("fresh", in.hello().fresh()).log("proxy joined");
+        LOG.atInfo()
+                .addKeyValue("proxy", number)
+                .addKeyValue("zone", in.hello().zone())
+                .addKeyValue("fresh", in.hello().fresh())
+                .log("proxy joined");
     }
 
     private void left(long now, int number, List<Event> events) {
@@ -395,7 +409,10 @@
             events.add(new Event.SliceCharge(f.slice(), f.given()));
         } else if (frame instanceof Frame.Stored f && f.slice() >= 0 && f.slice() < config.slices) {
             if (pause != null) {
-                pause.charged(now, f.slice(), f.lines().isEmpty() ? null : f.lines().get(0).server());
+                pause.charged(
+                        now,
+                        f.slice(),
+                        f.lines().isEmpty() ? null : f.lines().get(0).server());
             }
             for (Frame.Line line : f.lines()) {
                 events.add(new Event.StoredLine(f.slice(), line.server(), line.weight()));
@@ -425,7 +442,8 @@
                 } else {
                     TreeMap<String, Double> lines = table(o.table()).lines;
                     lines.compute(o.server(), (s, was) -> o.weight() > 0 ? o.weight() : null);
-                    bound(o.table()).forEach(p -> own.computeIfAbsent(p, n -> new ArrayList<>()).add(o));
+                    bound(o.table()).forEach(p -> own.computeIfAbsent(p, n -> new ArrayList<>())
+                            .add(o));
                 }
             } else if (order instanceof Order.ClearTable o) {
                 if (sliced && fence != null && fence.term(o.table()) == 0) {
@@ -435,7 +453,8 @@
                     stored.add(o);
                 } else {
                     tables.remove(o.table());
-                    bound(o.table()).forEach(p -> own.computeIfAbsent(p, n -> new ArrayList<>()).add(o));
+                    bound(o.table()).forEach(p -> own.computeIfAbsent(p, n -> new ArrayList<>())
+                            .add(o));
                 }
             } else if (order instanceof Order.Bind o) {
                 bind(o, own);
@@ -455,7 +474,8 @@
                     common.add(o);
                 } else {
                     table(o.table()).levels.put(o.groups(), o);
-                    bound(o.table()).forEach(p -> own.computeIfAbsent(p, n -> new ArrayList<>()).add(o));
+                    bound(o.table()).forEach(p -> own.computeIfAbsent(p, n -> new ArrayList<>())
+                            .add(o));
                 }
             } else if (order instanceof Order.Mark o) {
                 if (o.number() < 0) {
@@ -479,8 +499,10 @@
     }
 
     private List<Integer> bound(int table) {
-        return joined.entrySet().stream().filter(e -> e.getValue().bound.containsValue(table))
-                .map(Map.Entry::getKey).toList();
+        return joined.entrySet().stream()
+                .filter(e -> e.getValue().bound.containsValue(table))
+                .map(Map.Entry::getKey)
+                .toList();
     }
 
     /** A binding brings the whole table along: its lines, its levels and the masks on its servers. */
@@ -508,8 +530,8 @@
         list.addAll(table.levels.values());
     }
 
-    private void messages(long now, List<Order> common, Map<Integer, List<Order>> own, Order.Mark mark,
-            boolean levels) {
+    private void messages(
+            long now, List<Order> common, Map<Integer, List<Order>> own, Order.Mark mark, boolean levels) {
         if (common.isEmpty() && own.isEmpty() && (mark == null || !mark.everyProxy())) {
             // Most turns order nothing: a thousand proxies need not be looked at for that.
             return;
@@ -556,7 +578,9 @@
                 slices.add(o.table());
             }
         }
-        return slices.stream().map(slice -> new Frame.Term(slice, fence.term(slice))).toList();
+        return slices.stream()
+                .map(slice -> new Frame.Term(slice, fence.term(slice)))
+                .toList();
     }
 
     private static List<Order> join(List<Order> first, List<Order> second, Order.Mark mark, List<Order> carried) {
@@ -570,8 +594,8 @@
     }
 
     private void post(long now, int number, Proxy proxy, ByteBuffer bytes, double lines, Order.Mark mark) {
-        PacedChannel.Taken taken = channel.offer(now,
-                new PacedChannel.Message(number, proxy.outlet, bytes, lines, now));
+        PacedChannel.Taken taken =
+                channel.offer(now, new PacedChannel.Message(number, proxy.outlet, bytes, lines, now));
         if (taken == PacedChannel.Taken.QUEUED) {
             if (mark != null) {
                 proxy.marks.addLast(mark.number());
@@ -580,8 +604,11 @@
         }
         // Guards the limits against any orders whatever; the proxy joins again and is told anew.
         meters.cause("channel.cut_off", taken);
-        LOG.atError().addKeyValue("proxy", number).addKeyValue("lines", lines)
-                .addKeyValue("waiting", channel.waitingLines()).addKeyValue("cause", taken)
+        LOG.atError()
+                .addKeyValue("proxy", number)
+                .addKeyValue("lines", lines)
+                .addKeyValue("waiting", channel.waitingLines())
+                .addKeyValue("cause", taken)
                 .log("a message would break the channel's limit, its proxy is cut off");
         channel.forget(number);
         proxy.outlet.close("the channel is full");
@@ -624,7 +651,8 @@
     }
 
     private void keep(long now, List<Order> lines) {
-        if (store != null && unstored.isEmpty()
+        if (store != null
+                && unstored.isEmpty()
                 && store.send(writer.bytes(new Frame.Orders(turn, now, 0, lines, terms(lines))))) {
             return;
         }
@@ -642,7 +670,9 @@
     private void flushStore(long now) {
         List<Order> all = new ArrayList<>();
         unstored.values().forEach(slice -> all.addAll(slice.values()));
-        if (!all.isEmpty() && store != null && store.send(writer.bytes(new Frame.Orders(turn, now, 0, all, terms(all))))) {
+        if (!all.isEmpty()
+                && store != null
+                && store.send(writer.bytes(new Frame.Orders(turn, now, 0, all, terms(all))))) {
             unstored.clear();
         }
     }
--- a/src/main/java/puffinbarrow/coordinator/Dialer.java
+++ b/src/main/java/puffinbarrow/coordinator/Dialer.java
@@ -22,6 +22,7 @@
     private static final Logger LOG = LoggerFactory.getLogger("puffinbarrow.net");
     /** From soon to a second: a registry that restarts is found again at once, one that is gone costs little. */
     private static final long LEAST_MS = 50;
+
     private static final long MOST_MS = 1000;
 
     private final Net net;
@@ -39,8 +40,15 @@
     private long pauseMs = LEAST_MS;
 
     /** @param hello asked for at each dialling; @param upOrDown gets the outlet once welcomed, and null once the stream is gone */
-    public Dialer(Net net, String name, InetSocketAddress to, Supplier<Frame.Hello> hello, long queueBytes, int frameBytes,
-            Consumer<Frame> frames, Consumer<Outlet> upOrDown) {
+    public Dialer(
+            Net net,
+            String name,
+            InetSocketAddress to,
+            Supplier<Frame.Hello> hello,
+            long queueBytes,
+            int frameBytes,
+            Consumer<Frame> frames,
+            Consumer<Outlet> upOrDown) {
         this.net = net;
         this.name = name;
         this.to = to;
@@ -70,14 +78,19 @@
             return;
         }
         Stream stream = new Stream();
-        net.dial(to, stream, queueBytes, up -> {
-            link = up;
-            stream.link = up;
-            up.send(FrameWriter.one(hello.get()));
-            if (closed) {
-                up.close();
-            }
-        }, failed -> later());
+        net.dial(
+                to,
+                stream,
+                queueBytes,
+                up -> {
+                    link = up;
+                    stream.link = up;
+                    up.send(FrameWriter.one(hello.get()));
+                    if (closed) {
+                        up.close();
+                    }
+                },
+                failed -> later());
     }
 
     private void later() {
@@ -115,7 +128,10 @@
             try {
                 reader.feed(bytes);
             } catch (FrameException wrong) {
-                LOG.atWarn().addKeyValue("to", name).addKeyValue("cause", wrong.why()).log(wrong.getMessage());
+                LOG.atWarn()
+                        .addKeyValue("to", name)
+                        .addKeyValue("cause", wrong.why())
+                        .log(wrong.getMessage());
                 from.close(Link.Cause.BAD_INPUT, wrong.getMessage());
             }
         }
@@ -129,8 +145,10 @@
             } else if (frame instanceof Frame.Ping ping) {
                 send(FrameWriter.one(new Frame.Pong(ping.number())));
             } else if (frame instanceof Frame.Refusal refusal) {
-                LOG.atWarn().addKeyValue("to", name).addKeyValue("why", refusal.why()).log("refused: {}",
-                        refusal.text());
+                LOG.atWarn()
+                        .addKeyValue("to", name)
+                        .addKeyValue("why", refusal.why())
+                        .log("refused: {}", refusal.text());
                 link.close();
             } else if (frame instanceof Frame.Bye) {
                 link.close();
--- a/src/main/java/puffinbarrow/coordinator/Failures.java
+++ b/src/main/java/puffinbarrow/coordinator/Failures.java
@@ -7,6 +7,7 @@
     /** Within {@link #SPAN_NS}, after which a host gives up: a state that throws five times in a minute will not mend
      * itself, and a restart begins with what stands. */
     static final int MOST = 5;
+
     private static final long SPAN_NS = 60_000_000_000L;
 
     private final ArrayDeque<Long> times = new ArrayDeque<>();
--- a/src/main/java/puffinbarrow/coordinator/Gather.java
+++ b/src/main/java/puffinbarrow/coordinator/Gather.java
@@ -64,8 +64,7 @@
     void demand(long now, int proxy, boolean slices, Frame.Demand demand) {
         for (Frame.Came came : demand.came()) {
             int what = slices ? came.slice() : proxy;
-            Sum sum = at(now, new Key(demand.round(), slices ? SLICE : PROXY, what, came.group(), ""),
-                    demand.spanNs());
+            Sum sum = at(now, new Key(demand.round(), slices ? SLICE : PROXY, what, came.group(), ""), demand.spanNs());
             sum.tries += came.flows();
             sum.dropped += came.dropped();
         }
@@ -140,8 +139,14 @@
         return switch (key.kind) {
             case MET -> {
                 long good = sum.tries - sum.dropped;
-                yield new Event.ServerSums(key.server, key.a, sum.spanNs, good > 0 ? sum.tookNs / good : 0,
-                        sum.dropped, sum.tries, sum.report);
+                yield new Event.ServerSums(
+                        key.server,
+                        key.a,
+                        sum.spanNs,
+                        good > 0 ? sum.tookNs / good : 0,
+                        sum.dropped,
+                        sum.tries,
+                        sum.report);
             }
             case SLICE -> new Event.SliceDemand(key.a, key.b, sum.tries, sum.dropped, sum.spanNs);
             default -> new Event.ProxyDemand(key.a, key.b, sum.tries, sum.dropped, sum.spanNs);
--- a/src/main/java/puffinbarrow/coordinator/Holder.java
+++ b/src/main/java/puffinbarrow/coordinator/Holder.java
@@ -42,6 +42,7 @@
     private final AtomicLongArray terms;
     /** Begun, but their tables have not come from the store yet. */
     private final Map<Integer, Long> beginning = new HashMap<>();
+
     private volatile long speakUntil = Long.MIN_VALUE;
     private Consumer<Frame> store;
 
@@ -52,8 +53,9 @@
         this.meters = meters;
         meters.gauge("lease.voices", this, Holder::held);
         this.terms = new AtomicLongArray(config.slices);
-        this.lease = new Lease(new Lease.Settings(config.number, config.slices, config.leaseNs,
-                Math.max(8, config.slices / TICKS)), incarnation);
+        this.lease = new Lease(
+                new Lease.Settings(config.number, config.slices, config.leaseNs, Math.max(8, config.slices / TICKS)),
+                incarnation);
     }
 
     public void start() {
@@ -88,8 +90,10 @@
     public synchronized void frame(Frame frame) {
         long now = timing.now();
         if (frame instanceof Frame.MemberRecord f) {
-            carry(lease.member(now, f.revision(), new Member(f.number(), f.incarnation(), f.beat(), f.settled(),
-                    f.leaving(), f.flaps(), f.dead())));
+            carry(lease.member(
+                    now,
+                    f.revision(),
+                    new Member(f.number(), f.incarnation(), f.beat(), f.settled(), f.leaving(), f.flaps(), f.dead())));
         } else if (frame instanceof Frame.VoiceRecord f && f.slice() >= 0 && f.slice() < config.slices) {
             carry(lease.voice(now, f.slice(), f.revision(), new Voice(f.owner(), f.incarnation(), f.term())));
         } else if (frame instanceof Frame.Written f) {
@@ -146,13 +150,26 @@
         for (Step step : steps) {
             if (step instanceof Step.WriteMember s) {
                 Member m = s.value();
-                send(new Frame.MemberRecord(s.id(), s.expected(), m.number(), m.incarnation(), m.beat(), m.settled(),
-                        m.leaving(), m.dead(), m.flaps()));
+                send(new Frame.MemberRecord(
+                        s.id(),
+                        s.expected(),
+                        m.number(),
+                        m.incarnation(),
+                        m.beat(),
+                        m.settled(),
+                        m.leaving(),
+                        m.dead(),
+                        m.flaps()));
                 if (m.dead()) {
                     LOG.atWarn().addKeyValue("member", m.number()).log("its lease ran out, its record is closed");
                 }
             } else if (step instanceof Step.WriteVoice s) {
-                send(new Frame.VoiceRecord(s.id(), s.expected(), s.slice(), s.value().owner(), s.value().incarnation(),
+                send(new Frame.VoiceRecord(
+                        s.id(),
+                        s.expected(),
+                        s.slice(),
+                        s.value().owner(),
+                        s.value().incarnation(),
                         s.value().term()));
             } else if (step instanceof Step.Begin s) {
                 begin(s.slice(), s.term());
--- a/src/main/java/puffinbarrow/coordinator/Meters.java
+++ b/src/main/java/puffinbarrow/coordinator/Meters.java
@@ -24,7 +24,9 @@
 
     public Meters(MeterRegistry registry) {
         this.registry = registry;
-        this.turnMicros = DistributionSummary.builder("turn.us").publishPercentiles(0.5, 0.99).register(registry);
+        this.turnMicros = DistributionSummary.builder("turn.us")
+                .publishPercentiles(0.5, 0.99)
+                .register(registry);
     }
 
     void count(String name) {
@@ -37,7 +39,10 @@
 
     /** Counts under a cause, as {@code refused{cause=checksum}}. */
     void cause(String name, Enum<?> cause) {
-        Counter.builder(name).tag("cause", cause.name().toLowerCase(Locale.ROOT)).register(registry).increment();
+        Counter.builder(name)
+                .tag("cause", cause.name().toLowerCase(Locale.ROOT))
+                .register(registry)
+                .increment();
     }
 
     <T> void gauge(String name, T of, ToDoubleFunction<T> value) {
@@ -58,14 +63,21 @@
         for (Meter meter : registry.getMeters()) {
             StringBuilder name = new StringBuilder(meter.getId().getName());
             for (Tag tag : meter.getId().getTags()) {
-                name.append('{').append(tag.getKey()).append('=').append(tag.getValue()).append('}');
+                name.append('{')
+                        .append(tag.getKey())
+                        .append('=')
+                        .append(tag.getValue())
+                        .append('}');
             }
             int count = 0;
             for (Measurement each : meter.measure()) {
                 count++;
                 boolean plain = meter.getId().getType() != Meter.Type.DISTRIBUTION_SUMMARY;
-                values.put(plain ? name.toString()
-                        : name + "." + each.getStatistic().getTagValueRepresentation(), each.getValue());
+                values.put(
+                        plain
+                                ? name.toString()
+                                : name + "." + each.getStatistic().getTagValueRepresentation(),
+                        each.getValue());
             }
         }
         return values;
--- a/src/main/java/puffinbarrow/coordinator/Orca.java
+++ b/src/main/java/puffinbarrow/coordinator/Orca.java
@@ -13,9 +13,18 @@
     public static final String HEADER = "endpoint-load-metrics";
 
     private static final Map<String, Event.Measure> NAMES = Map.of(
-            "cpu_utilization", Event.Measure.BUSY, "rps_fractional", Event.Measure.DELIVERED_PER_S,
-            "eps", Event.Measure.DROPPED_PER_S, "named_metrics.held", Event.Measure.HELD,
-            "named_metrics.waiting", Event.Measure.WAITING, "named_metrics.service_ms", Event.Measure.SERVICE_MS);
+            "cpu_utilization",
+            Event.Measure.BUSY,
+            "rps_fractional",
+            Event.Measure.DELIVERED_PER_S,
+            "eps",
+            Event.Measure.DROPPED_PER_S,
+            "named_metrics.held",
+            Event.Measure.HELD,
+            "named_metrics.waiting",
+            Event.Measure.WAITING,
+            "named_metrics.service_ms",
+            Event.Measure.SERVICE_MS);
 
     private Orca() {}
 
@@ -33,7 +42,8 @@
         Map<Event.Measure, Double> report = new EnumMap<>(Event.Measure.class);
         for (String pair : text.split(",")) {
             int equals = pair.indexOf(between);
-            Event.Measure measure = equals < 0 ? null : names.get(pair.substring(0, equals).trim());
+            Event.Measure measure =
+                    equals < 0 ? null : names.get(pair.substring(0, equals).trim());
             if (measure != null) {
                 try {
                     double value = Double.parseDouble(pair.substring(equals + 1).trim());
@@ -52,7 +62,9 @@
         StringBuilder text = new StringBuilder("TEXT ");
         NAMES.forEach((name, measure) -> {
             if (report.containsKey(measure)) {
-                text.append(text.length() > 5 ? ", " : "").append(name).append('=')
+                text.append(text.length() > 5 ? ", " : "")
+                        .append(name)
+                        .append('=')
                         .append(String.format(Locale.ROOT, "%.4f", report.get(measure)));
             }
         });
--- a/src/main/java/puffinbarrow/coordinator/PacedChannel.java
+++ b/src/main/java/puffinbarrow/coordinator/PacedChannel.java
@@ -15,7 +15,11 @@
 final class PacedChannel {
     record Message(int proxy, Outlet to, ByteBuffer bytes, double lines, long orderedAtNs) {}
 
-    enum Taken { QUEUED, QUEUE_FULL, TOO_MANY_MESSAGES }
+    enum Taken {
+        QUEUED,
+        QUEUE_FULL,
+        TOO_MANY_MESSAGES
+    }
 
     private final double limit;
     private final double linesPerS;
@@ -28,6 +32,7 @@
     private double part = 1;
     /** When the message at the head has left, were it to begin when the one before it was done. */
     private long freeAtNs = Long.MIN_VALUE;
+
     private long sent;
     private double sentLines;
 
--- a/src/main/java/puffinbarrow/coordinator/Prober.java
+++ b/src/main/java/puffinbarrow/coordinator/Prober.java
@@ -57,8 +57,8 @@
         Consumer<Map<Event.Measure, Double>> end = report -> {
             if (done.compareAndSet(false, true)) {
                 open.decrementAndGet();
-                answer.accept(new Event.Probed(server, report != null, System.nanoTime() - began,
-                        report == null ? Map.of() : report));
+                answer.accept(new Event.Probed(
+                        server, report != null, System.nanoTime() - began, report == null ? Map.of() : report));
             }
         };
         InetSocketAddress to = addresses.apply(server);
@@ -66,8 +66,8 @@
             end.accept(null);
             return;
         }
-        HttpParser parser = new HttpParser(false, 4096,
-                reply -> end.accept(reply.first().startsWith("2") ? question.report.apply(reply) : null));
+        HttpParser parser = new HttpParser(
+                false, 4096, reply -> end.accept(reply.first().startsWith("2") ? question.report.apply(reply) : null));
         Link.Receiver receiver = new Link.Receiver() {
             @Override
             public void received(Link link, ByteBuffer bytes) {
@@ -82,11 +82,18 @@
                 end.accept(null);
             }
         };
-        net.dial(to, receiver, 4096, timeoutMs, link -> {
-            link.send(ByteBuffer.wrap(("GET " + question.path + " HTTP/1.1\r\nhost: " + server + "\r\nconnection: close\r\n\r\n")
-                    .getBytes(StandardCharsets.US_ASCII)));
-            net.schedule(timeoutMs, link::close);
-        }, failed -> end.accept(null));
+        net.dial(
+                to,
+                receiver,
+                4096,
+                timeoutMs,
+                link -> {
+                    link.send(ByteBuffer.wrap(
+                            ("GET " + question.path + " HTTP/1.1\r\nhost: " + server + "\r\nconnection: close\r\n\r\n")
+                                    .getBytes(StandardCharsets.US_ASCII)));
+                    net.schedule(timeoutMs, link::close);
+                },
+                failed -> end.accept(null));
         net.schedule(timeoutMs, () -> end.accept(null));
     }
 }
--- a/src/main/java/puffinbarrow/day/Day.java
+++ b/src/main/java/puffinbarrow/day/Day.java
@@ -42,6 +42,7 @@
 
     /** A million records are a minute at a few hundred flows a second; a day that needs more says so. */
     private static final long RECORDS = 8_000_000;
+
     private static final long SECOND = 1_000_000_000L;
 
     private final Script script;
@@ -59,6 +60,7 @@
     private final List<PlainProxy> proxies = new ArrayList<>();
     /** In the order they were made, not of their ports: the same seed strikes the same ones in every run. */
     private final Map<String, Backend> backends = new LinkedHashMap<>();
+
     private final Path memories;
     private final Strikes strikes;
     private final List<String> log = Collections.synchronizedList(new ArrayList<>());
@@ -86,8 +88,8 @@
         this.net = new Net("fleet", 4);
         this.judged = plan.config(0, List.of());
         this.registry = new Registry(net, recorder, plan.source(2), script.noticeLowNs, script.noticeHighNs);
-        this.store = new Store(net, recorder, script.slices, script.coordinators, judged.soleOwner,
-                script.takeoverNs / 1_000_000);
+        this.store = new Store(
+                net, recorder, script.slices, script.coordinators, judged.soleOwner, script.takeoverNs / 1_000_000);
     }
 
     private CoordinatorConfig config(int number, List<String> more) {
@@ -112,9 +114,25 @@
     private Backend backend() throws IOException {
         int zone = made % script.zones;
         double speed = plan.speed();
-        Backend backend = new Backend(net, new Backend.Shape(zone, 0, made / 4, script.cores, speed,
-                script.cores * 8, script.cores * 60, script.coldFrom, script.coldNs, 0.3, 60 * script.cores,
-                Plan.dedupNs(judged)), recorder, plan.source(1000 + made), judged.fallMultiple, judged.fallNs);
+        Backend backend = new Backend(
+                net,
+                new Backend.Shape(
+                        zone,
+                        0,
+                        made / 4,
+                        script.cores,
+                        speed,
+                        script.cores * 8,
+                        script.cores * 60,
+                        script.coldFrom,
+                        script.coldNs,
+                        0.3,
+                        60 * script.cores,
+                        Plan.dedupNs(judged)),
+                recorder,
+                plan.source(1000 + made),
+                judged.fallMultiple,
+                judged.fallNs);
         made++;
         backends.put(backend.id(), backend);
         return backend;
@@ -123,8 +141,14 @@
     private void start(int number) throws IOException {
         Runner coordinator;
         try {
-            coordinator = processes == null ? Runner.within(config(number, bend.settings()), bend.decisions())
-                    : Runner.process(number, String.join("\n", lines(number, bend.settings())) + "\n", processes, folder, store::cut);
+            coordinator = processes == null
+                    ? Runner.within(config(number, bend.settings()), bend.decisions())
+                    : Runner.process(
+                            number,
+                            String.join("\n", lines(number, bend.settings())) + "\n",
+                            processes,
+                            folder,
+                            store::cut);
         } catch (InterruptedException stopped) {
             Thread.currentThread().interrupt();
             return;
@@ -159,16 +183,18 @@
                 coordinator.connectPeer(other, address);
             }
         }));
-        PlainProxy.Habits habits = new PlainProxy.Habits(script.transitNs, 30_000, script.sumsLateNs, 8,
-                4 * SECOND, 200_000_000L, 1.2);
+        PlainProxy.Habits habits =
+                new PlainProxy.Habits(script.transitNs, 30_000, script.sumsLateNs, 8, 4 * SECOND, 200_000_000L, 1.2);
         for (int i = 0; i < script.proxies; i++) {
-            PlainProxy proxy = new PlainProxy(net, i, i % script.zones, judged, habits, recorder, plan.source(5000 + i));
+            PlainProxy proxy =
+                    new PlainProxy(net, i, i % script.zones, judged, habits, recorder, plan.source(5000 + i));
             proxies.add(proxy);
             proxy.start(store.address(), addresses);
             parts.add(plan.part());
         }
         settle();
-        Scenario scenario = plan.traffic(judged, proxies.stream().map(PlainProxy::address).toList(), parts);
+        Scenario scenario =
+                plan.traffic(judged, proxies.stream().map(PlainProxy::address).toList(), parts);
         clients = new Engine(scenario, new Arrivals(scenario), ended::add);
         clients.prepare();
         beganAt = System.nanoTime();
@@ -190,11 +216,28 @@
         List<Seen> seen = recorder.all();
         List<Ended> flows = List.copyOf(ended);
         Audit.Verdict verdict = Audit.judge(plan.stretched(), seen, beganAt);
-        return new Page(script, judged, verdict, flows, scenario, result[0], beganAt,
-                recorder.lost(), figures, List.copyOf(log), Signs.of(script, seen, flows, beganAt),
-                script.leaseNs > 0 ? Silence.of(script, seen, beganAt) : "", store.handed(), store.moves(), store.refusedWrites(),
+        return new Page(
+                script,
+                judged,
+                verdict,
+                flows,
+                scenario,
+                result[0],
+                beganAt,
+                recorder.lost(),
+                figures,
+                List.copyOf(log),
+                Signs.of(script, seen, flows, beganAt),
+                script.leaseNs > 0 ? Silence.of(script, seen, beganAt) : "",
+                store.handed(),
+                store.moves(),
+                store.refusedWrites(),
                 proxies.stream().mapToLong(PlainProxy::retried).sum(),
-                backends.values().stream().filter(Backend::fell).map(Backend::id).toList(), sentToStruck(seen));
+                backends.values().stream()
+                        .filter(Backend::fell)
+                        .map(Backend::id)
+                        .toList(),
+                sentToStruck(seen));
     }
 
     /** Attempts at servers that flap or were drained, in the ten seconds after each coordinator's restart. */
@@ -202,8 +245,14 @@
         long count = 0;
         for (Script.Trouble t : script.troubles) {
             long from = beganAt + t.atNs() + t.forNs();
-            count += t.kind() != Script.Kind.KILL ? 0 : seen.stream().filter(s -> s instanceof Seen.Sent sent
-                    && sent.at() >= from && sent.at() < from + 10 * SECOND && strikes.struck().contains(sent.server())).count();
+            count += t.kind() != Script.Kind.KILL
+                    ? 0
+                    : seen.stream()
+                            .filter(s -> s instanceof Seen.Sent sent
+                                    && sent.at() >= from
+                                    && sent.at() < from + 10 * SECOND
+                                    && strikes.struck().contains(sent.server()))
+                            .count();
         }
         return count;
     }
@@ -212,10 +261,12 @@
     private void settle() throws InterruptedException {
         long until = System.nanoTime() + 30 * SECOND;
         while (System.nanoTime() < until) {
-            boolean ready = proxies.stream().allMatch(p -> !p.open(script.slices - 1).isEmpty()
-                    && !p.open(0).isEmpty()) && java.util.stream.IntStream.range(0, script.slices)
-                    .allMatch(slice -> store.owner(slice) >= 0) && coordinators.values().stream()
-                    .allMatch(c -> c.figures().getOrDefault("streams.joined", 0.0) == script.proxies);
+            boolean ready = proxies.stream()
+                            .allMatch(p -> !p.open(script.slices - 1).isEmpty()
+                                    && !p.open(0).isEmpty())
+                    && java.util.stream.IntStream.range(0, script.slices).allMatch(slice -> store.owner(slice) >= 0)
+                    && coordinators.values().stream()
+                            .allMatch(c -> c.figures().getOrDefault("streams.joined", 0.0) == script.proxies);
             if (ready) {
                 Thread.sleep(300);
                 return;
@@ -233,11 +284,16 @@
             if (System.nanoTime() >= next + 5 * SECOND) {
                 next += 5 * SECOND;
                 List<Ended> so = List.copyOf(ended);
-                long good = so.subList(seen, so.size()).stream().filter(f -> f.outcome() == Result.Outcome.IN_BUDGET)
+                long good = so.subList(seen, so.size()).stream()
+                        .filter(f -> f.outcome() == Result.Outcome.IN_BUDGET)
                         .count();
-                out.printf(Locale.ROOT, "%4.0f s  %5d flows ended, %5.1f%% delivered in budget, %d open%n",
-                        (next - beganAt) / 1e9, so.size() - seen, so.size() == seen ? 100
-                        : 100.0 * good / (so.size() - seen), clients.openFlows());
+                out.printf(
+                        Locale.ROOT,
+                        "%4.0f s  %5d flows ended, %5.1f%% delivered in budget, %d open%n",
+                        (next - beganAt) / 1e9,
+                        so.size() - seen,
+                        so.size() == seen ? 100 : 100.0 * good / (so.size() - seen),
+                        clients.openFlows());
                 seen = so.size();
             }
         }
@@ -382,7 +438,8 @@
             try {
                 coordinators.get(coordinator).freeze(on);
             } catch (IOException gone) {
-                throw new IllegalStateException("could not " + (on ? "stop" : "wake") + " it: " + gone.getMessage(), gone);
+                throw new IllegalStateException(
+                        "could not " + (on ? "stop" : "wake") + " it: " + gone.getMessage(), gone);
             }
         }
 
@@ -442,7 +499,8 @@
         store.close();
         backends.values().forEach(Backend::die);
         net.close();
-        for (Path made : Stream.of(memories, folder).filter(java.util.Objects::nonNull).toList()) {
+        for (Path made :
+                Stream.of(memories, folder).filter(java.util.Objects::nonNull).toList()) {
             try (Stream<Path> all = Files.walk(made)) {
                 all.sorted(Comparator.reverseOrder()).forEach(p -> p.toFile().delete());
             } catch (IOException left) {
--- a/src/main/java/puffinbarrow/day/Plan.java
+++ b/src/main/java/puffinbarrow/day/Plan.java
@@ -46,11 +46,25 @@
 
     /** A coordinator's settings but for addresses. */
     public List<String> settings(int number, List<String> more) {
-        List<String> lines = new ArrayList<>(List.of("coordinator " + number + " of " + script.coordinators,
-                "zones " + zoneNames(), "zone zone-" + number % script.zones, "seed " + (script.seed + number),
-                "slices " + script.slices, "grace 3s", "bare 6s", "warm " + script.coldNs / 1_000_000 + "ms",
-                "cold-share " + script.coldFrom, "fall-multiple 4 for 1.5s", "queue 4200", "pace 2800", "head 12",
-                "messages 20 per 10s", "round 1s", "intake 300", "levels share", "idle 6s",
+        List<String> lines = new ArrayList<>(List.of(
+                "coordinator " + number + " of " + script.coordinators,
+                "zones " + zoneNames(),
+                "zone zone-" + number % script.zones,
+                "seed " + (script.seed + number),
+                "slices " + script.slices,
+                "grace 3s",
+                "bare 6s",
+                "warm " + script.coldNs / 1_000_000 + "ms",
+                "cold-share " + script.coldFrom,
+                "fall-multiple 4 for 1.5s",
+                "queue 4200",
+                "pace 2800",
+                "head 12",
+                "messages 20 per 10s",
+                "round 1s",
+                "intake 300",
+                "levels share",
+                "idle 6s",
                 "group basket-price utility 1 budget 1.5s expiry 5s retriable",
                 "group stock-hold utility 3 budget 500ms expiry 1.2s retriable",
                 "group courier-booking utility 2 budget 800ms expiry 2s non-retriable"));
@@ -118,11 +132,17 @@
 
     /** How long the longest repeat of a deduped flow is known. */
     public static long dedupNs(CoordinatorConfig config) {
-        return config.groups.stream().mapToLong(CoordinatorConfig.Group::windowNs).max().orElse(0);
+        return config.groups.stream()
+                .mapToLong(CoordinatorConfig.Group::windowNs)
+                .max()
+                .orElse(0);
     }
 
     public static long longestExpiry(CoordinatorConfig config) {
-        return config.groups.stream().mapToLong(CoordinatorConfig.Group::expiryNs).max().orElse(SECOND);
+        return config.groups.stream()
+                .mapToLong(CoordinatorConfig.Group::expiryNs)
+                .max()
+                .orElse(SECOND);
     }
 
     /**
@@ -132,31 +152,47 @@
      * @param parts of the traffic, a proxy each, at the targets in the same order
      */
     public Scenario traffic(CoordinatorConfig judged, List<InetSocketAddress> targets, List<Double> parts) {
-        StringBuilder text = new StringBuilder(String.format(Locale.ROOT, "seed %d%nrate %s%nlength %dms%nslices %d uneven 0.4 "
-                + "to 1.6 keys 40%nretries %d wait 100ms%nconnections 5000%n", script.seed, script.rate,
-                script.lengthNs / 1_000_000, script.slices, script.retries));
+        StringBuilder text = new StringBuilder(String.format(
+                Locale.ROOT,
+                "seed %d%nrate %s%nlength %dms%nslices %d uneven 0.4 "
+                        + "to 1.6 keys 40%nretries %d wait 100ms%nconnections 5000%n",
+                script.seed,
+                script.rate,
+                script.lengthNs / 1_000_000,
+                script.slices,
+                script.retries));
         for (int i = 0; i < targets.size(); i++) {
-            text.append("target ").append(Net.text(targets.get(i))).append(String.format(Locale.ROOT, " weight %.4f%n",
-                    parts.get(i)));
+            text.append("target ")
+                    .append(Net.text(targets.get(i)))
+                    .append(String.format(Locale.ROOT, " weight %.4f%n", parts.get(i)));
         }
         for (CoordinatorConfig.Group group : judged.groups) {
-            text.append(String.format(Locale.ROOT, "group %s share 1 utility %s budget %dms expiry %dms path /flow method POST "
-                    + "work %dus%s%s%n", group.name(), group.utility(), group.budgetNs() / 1_000_000,
-                    group.expiryNs() / 1_000_000, group.budgetNs() / 5000, script.workSpread > 0
-                    ? " spread " + script.workSpread : "", group.repeats()
-                    == CoordinatorConfig.Repeats.RETRIABLE ? "" : " non-retriable"));
+            text.append(String.format(
+                    Locale.ROOT,
+                    "group %s share 1 utility %s budget %dms expiry %dms path /flow method POST " + "work %dus%s%s%n",
+                    group.name(),
+                    group.utility(),
+                    group.budgetNs() / 1_000_000,
+                    group.expiryNs() / 1_000_000,
+                    group.budgetNs() / 5000,
+                    script.workSpread > 0 ? " spread " + script.workSpread : "",
+                    group.repeats() == CoordinatorConfig.Repeats.RETRIABLE ? "" : " non-retriable"));
         }
         for (Script.Trouble t : script.troubles) {
             String lasts = t.atNs() / 1_000_000 + "ms for " + t.forNs() / 1_000_000 + "ms";
             switch (t.kind()) {
                 case TRAFFIC -> text.append(String.format(Locale.ROOT, "shape jump x %s at %s%n", t.factor(), lasts));
-                case PEAK -> text.append(String.format(Locale.ROOT, "shape peak x %s at %dms width %dms%n", t.factor(),
-                        (t.atNs() + t.forNs() / 2) / 1_000_000, t.forNs() / 1_000_000));
-                case HOT -> text.append(String.format(Locale.ROOT, "hot %d keys %.4f%% at %s%n", t.number(), 100 * t.share(),
-                        lasts));
-                case HEAVY -> text.append(String.format(Locale.ROOT, "heavy %.4f%% x %s at %s%n", 100 * t.share(),
-                        t.factor(), lasts));
-                default -> { }
+                case PEAK -> text.append(String.format(
+                        Locale.ROOT,
+                        "shape peak x %s at %dms width %dms%n",
+                        t.factor(),
+                        (t.atNs() + t.forNs() / 2) / 1_000_000,
+                        t.forNs() / 1_000_000));
+                case HOT -> text.append(
+                        String.format(Locale.ROOT, "hot %d keys %.4f%% at %s%n", t.number(), 100 * t.share(), lasts));
+                case HEAVY -> text.append(
+                        String.format(Locale.ROOT, "heavy %.4f%% x %s at %s%n", 100 * t.share(), t.factor(), lasts));
+                default -> {}
             }
         }
         List<Problem> problems = new ArrayList<>();
--- a/src/main/java/puffinbarrow/day/Runner.java
+++ b/src/main/java/puffinbarrow/day/Runner.java
@@ -93,16 +93,19 @@
     }
 
     /** @param command this program's; @param cuts cuts a coordinator's stream at the far ends, by part */
-    static Runner process(int number, String settings, List<String> command, Path folder, Cuts cuts) throws IOException,
-            InterruptedException {
+    static Runner process(int number, String settings, List<String> command, Path folder, Cuts cuts)
+            throws IOException, InterruptedException {
         Path file = folder.resolve("c" + number + ".conf");
         Path ports = folder.resolve("c" + number + ".ports");
         Files.deleteIfExists(ports);
         Files.writeString(file, settings + "port-file " + ports + "\n");
         List<String> words = new java.util.ArrayList<>(command);
         words.addAll(List.of("coordinator", "-c", file.toString()));
-        Process process = new ProcessBuilder(words).redirectErrorStream(true)
-                .redirectOutput(ProcessBuilder.Redirect.appendTo(folder.resolve("c" + number + ".log").toFile())).start();
+        Process process = new ProcessBuilder(words)
+                .redirectErrorStream(true)
+                .redirectOutput(ProcessBuilder.Redirect.appendTo(
+                        folder.resolve("c" + number + ".log").toFile()))
+                .start();
         for (int i = 0; i < 1000 && !Files.exists(ports) && process.isAlive(); i++) {
             TimeUnit.MILLISECONDS.sleep(10);
         }
