--- a/src/main/java/puffinbarrow/day/Script.java
+++ b/src/main/java/puffinbarrow/day/Script.java
@@ -14,12 +14,46 @@
 /** A scripted day: the fleet, its traffic, and what goes wrong when. docs/day.md lists the lines. */
 public final class Script {
     /** Something that goes wrong; which fields mean something depends on the kind. */
-    public record Trouble(Kind kind, long atNs, long forNs, Pick pick, double share, double factor, long everyNs,
-            int number, String from, String text) {}
+    public record Trouble(
+            Kind kind,
+            long atNs,
+            long forNs,
+            Pick pick,
+            double share,
+            double factor,
+            long everyNs,
+            int number,
+            String from,
+            String text) {}
 
     public enum Kind {
-        TRAFFIC, PEAK, HOT, HEAVY, DIE, VANISH, FAIL, SLOW, PAUSE, LOSE, FLAP, AGE, ADD, PREEMPT, RELEASE, LIST_LIES,
-        LIST_BREAKS, KILL, PACE, STOP, FREEZE, LEAVE, CUT, UNHEARD, STORE_AWAY, STORE_SLOW, STORE_LOSES;
+        TRAFFIC,
+        PEAK,
+        HOT,
+        HEAVY,
+        DIE,
+        VANISH,
+        FAIL,
+        SLOW,
+        PAUSE,
+        LOSE,
+        FLAP,
+        AGE,
+        ADD,
+        PREEMPT,
+        RELEASE,
+        LIST_LIES,
+        LIST_BREAKS,
+        KILL,
+        PACE,
+        STOP,
+        FREEZE,
+        LEAVE,
+        CUT,
+        UNHEARD,
+        STORE_AWAY,
+        STORE_SLOW,
+        STORE_LOSES;
 
         boolean ofCoordinator() {
             return this == KILL || this == PACE || this == STOP || this == FREEZE || this == LEAVE || this == CUT;
@@ -48,6 +82,7 @@
     public int retries = 1;
     /** Of the log-normal work of flows; 0: exponential. */
     public double workSpread = 0.47;
+
     public long coldNs = 9_000_000_000L;
     public double coldFrom = 0.3;
     public long transitNs = 120_000_000L;
@@ -56,15 +91,34 @@
     public long leaseNs = 1_500_000_000L;
     /** Above 0: no leases, the store hands on the charges of one that has gone after that time. */
     public long takeoverNs;
+
     public boolean ask;
     public boolean memory;
     public final List<String> settings = new ArrayList<>();
     public final Map<String, double[]> work = new TreeMap<>();
     public final List<Trouble> troubles = new ArrayList<>();
 
-    private static final List<String> KEYWORDS = List.of("coordinators", "proxies", "backends", "zones", "slices",
-            "rate", "length", "seed", "work", "retries", "cold", "transit", "sums-late", "notice", "takeover", "lease", "list", "memory",
-            "set", "at");
+    private static final List<String> KEYWORDS = List.of(
+            "coordinators",
+            "proxies",
+            "backends",
+            "zones",
+            "slices",
+            "rate",
+            "length",
+            "seed",
+            "work",
+            "retries",
+            "cold",
+            "transit",
+            "sums-late",
+            "notice",
+            "takeover",
+            "lease",
+            "list",
+            "memory",
+            "set",
+            "at");
 
     public static Script read(Path file, List<Problem> problems) {
         return of(Lines.read(file, problems), problems);
@@ -81,8 +135,11 @@
         int[] most = {5, 400, 400, 4000, 5000};
         for (int i = 0; i < names.length; i++) {
             if (asked[i] > most[i]) {
-                problems.add(new Problem("script", 0, names[i] + " " + (long) asked[i] + ", expected " + most[i]
-                        + " at most on sockets (the emulator takes more)"));
+                problems.add(new Problem(
+                        "script",
+                        0,
+                        names[i] + " " + (long) asked[i] + ", expected " + most[i]
+                                + " at most on sockets (the emulator takes more)"));
             }
         }
     }
@@ -96,12 +153,18 @@
         }
         for (Trouble trouble : script.troubles) {
             if (trouble.atNs() > script.lengthNs) {
-                problems.add(new Problem("script", 0, "'" + trouble.text() + "' begins after the day's end, expected "
-                        + script.lengthNs / 1e9 + "s at most"));
+                problems.add(new Problem(
+                        "script",
+                        0,
+                        "'" + trouble.text() + "' begins after the day's end, expected " + script.lengthNs / 1e9
+                                + "s at most"));
             }
             if (trouble.number() >= script.coordinators && trouble.kind().ofCoordinator()) {
-                problems.add(new Problem("script", 0, "'" + trouble.text() + "' names coordinator " + trouble.number()
-                        + ", expected one below " + script.coordinators));
+                problems.add(new Problem(
+                        "script",
+                        0,
+                        "'" + trouble.text() + "' names coordinator " + trouble.number() + ", expected one below "
+                                + script.coordinators));
             }
         }
         return script;
@@ -171,10 +234,15 @@
 
     private void trouble(Statement statement, Words w) {
         long at = w.time("when it begins");
-        String text = String.join(" ", statement.words().subList(Math.min(2, statement.words().size()),
-                statement.words().size()));
-        switch (w.oneOf("traffic", "hot", "heavy", "backends", "release", "list", "coordinator", "cut", "proxies",
-                "store")) {
+        String text = String.join(
+                " ",
+                statement
+                        .words()
+                        .subList(
+                                Math.min(2, statement.words().size()),
+                                statement.words().size()));
+        switch (w.oneOf(
+                "traffic", "hot", "heavy", "backends", "release", "list", "coordinator", "cut", "proxies", "store")) {
             case "traffic" -> {
                 Kind kind = w.take("peak") ? Kind.PEAK : Kind.TRAFFIC;
                 w.expect("x");
@@ -305,8 +373,17 @@
         }
     }
 
-    private void add(Kind kind, long at, long lasts, Pick pick, double share, double factor, long every, int number,
-            String from, String text) {
+    private void add(
+            Kind kind,
+            long at,
+            long lasts,
+            Pick pick,
+            double share,
+            double factor,
+            long every,
+            int number,
+            String from,
+            String text) {
         troubles.add(new Trouble(kind, at, lasts, pick, share, factor, every, number, from, text));
     }
 }
--- a/src/main/java/puffinbarrow/day/Signs.java
+++ b/src/main/java/puffinbarrow/day/Signs.java
@@ -38,9 +38,14 @@
                     }
                 }
             }
-            StringBuilder line = new StringBuilder(String.format(Locale.ROOT, "%5.1f s  %s: %.0f flows/s",
-                    trouble.atNs() / 1e9, trouble.text(), came * 1e9 / (to - from)));
-            counts.forEach((name, number) -> line.append(", ").append(name).append(' ').append(number));
+            StringBuilder line = new StringBuilder(String.format(
+                    Locale.ROOT,
+                    "%5.1f s  %s: %.0f flows/s",
+                    trouble.atNs() / 1e9,
+                    trouble.text(),
+                    came * 1e9 / (to - from)));
+            counts.forEach(
+                    (name, number) -> line.append(", ").append(name).append(' ').append(number));
             all.add(line.toString());
         }
         return all;
--- a/src/main/java/puffinbarrow/day/Silence.java
+++ b/src/main/java/puffinbarrow/day/Silence.java
@@ -15,8 +15,10 @@
         Histogram killed = new Histogram(3);
         Histogram left = new Histogram(3);
         for (Script.Trouble t : script.troubles) {
-            Histogram to = t.kind() == Script.Kind.KILL || t.kind() == Script.Kind.FREEZE && t.forNs() > 2 * script.leaseNs
-                    ? killed : t.kind() == Script.Kind.LEAVE ? left : null;
+            Histogram to =
+                    t.kind() == Script.Kind.KILL || t.kind() == Script.Kind.FREEZE && t.forNs() > 2 * script.leaseNs
+                            ? killed
+                            : t.kind() == Script.Kind.LEAVE ? left : null;
             if (to == null) {
                 continue;
             }
@@ -33,9 +35,16 @@
                 }
             }
         }
-        return String.format(Locale.ROOT, "until another spoke, %d slices of killed or stopped coordinators: p50 %.2f s, p99 %.2f s, "
-                + "most %.2f s (a lease is %.2f s); %d of leaving ones: p99 %.2f s%n", killed.getTotalCount(),
-                killed.getValueAtPercentile(50) / 1e3, killed.getValueAtPercentile(99) / 1e3, killed.getMaxValue() / 1e3,
-                script.leaseNs / 1e9, left.getTotalCount(), left.getValueAtPercentile(99) / 1e3);
+        return String.format(
+                Locale.ROOT,
+                "until another spoke, %d slices of killed or stopped coordinators: p50 %.2f s, p99 %.2f s, "
+                        + "most %.2f s (a lease is %.2f s); %d of leaving ones: p99 %.2f s%n",
+                killed.getTotalCount(),
+                killed.getValueAtPercentile(50) / 1e3,
+                killed.getValueAtPercentile(99) / 1e3,
+                killed.getMaxValue() / 1e3,
+                script.leaseNs / 1e9,
+                left.getTotalCount(),
+                left.getValueAtPercentile(99) / 1e3);
     }
 }
--- a/src/main/java/puffinbarrow/day/Strikes.java
+++ b/src/main/java/puffinbarrow/day/Strikes.java
@@ -30,20 +30,27 @@
     }
 
     private List<Machine> choose(Script.Pick pick) {
-        List<Machine> open = new ArrayList<>(stage.machines().stream().filter(b -> b.up() && !b.draining()
-                && !troubled.contains(b.id()) && (pick.zone() < 0 || b.zone() == pick.zone())).toList());
+        List<Machine> open = new ArrayList<>(stage.machines().stream()
+                .filter(b -> b.up()
+                        && !b.draining()
+                        && !troubled.contains(b.id())
+                        && (pick.zone() < 0 || b.zone() == pick.zone()))
+                .toList());
         if (pick.zone() >= 0) {
             return open;
         }
         if (pick.cells() > 0) {
-            List<Integer> cells = new ArrayList<>(new TreeSet<>(open.stream().map(Machine::cell).toList()));
+            List<Integer> cells = new ArrayList<>(
+                    new TreeSet<>(open.stream().map(Machine::cell).toList()));
             Set<Integer> some = new HashSet<>();
             while (some.size() < pick.cells() && !cells.isEmpty()) {
                 some.add(cells.remove(chance.nextInt(cells.size())));
             }
             return open.stream().filter(b -> some.contains(b.cell())).toList();
         }
-        int count = pick.count() > 0 ? pick.count() : (int) Math.round(pick.share() * stage.machines().size());
+        int count = pick.count() > 0
+                ? pick.count()
+                : (int) Math.round(pick.share() * stage.machines().size());
         for (int i = open.size() - 1; i > 0; i--) {
             Collections.swap(open, i, chance.nextInt(i + 1));
         }
@@ -51,11 +58,13 @@
     }
 
     private static String names(List<Machine> chosen) {
-        return chosen.stream().map(b -> b.id().replace("127.0.0.1", "")).toList().toString();
+        return chosen.stream()
+                .map(b -> b.id().replace("127.0.0.1", ""))
+                .toList()
+                .toString();
     }
 
-    private void during(Script.Trouble t, List<Machine> chosen, Consumer<Machine> on,
-            Consumer<Machine> off) {
+    private void during(Script.Trouble t, List<Machine> chosen, Consumer<Machine> on, Consumer<Machine> off) {
         chosen.forEach(b -> troubled.add(b.id()));
         chosen.forEach(on);
         stage.note(t.text() + "  " + names(chosen));
@@ -86,7 +95,7 @@
                 case SLOW -> during(t, choose(t.pick()), b -> b.slowBy(t.factor()), b -> b.slowBy(1));
                 case PAUSE -> {
                     List<Machine> chosen = choose(t.pick());
-                    during(t, chosen, b -> { }, b -> { });
+                    during(t, chosen, b -> {}, b -> {});
                     for (long at = 0; at < t.forNs(); at += t.everyNs()) {
                         stage.after(at, () -> chosen.forEach(b -> b.pause((long) t.factor())));
                     }
@@ -94,7 +103,7 @@
                 case FLAP -> {
                     List<Machine> chosen = choose(t.pick());
                     chosen.forEach(b -> struck.add(b.id()));
-                    during(t, chosen, b -> { }, this::returns);
+                    during(t, chosen, b -> {}, this::returns);
                     for (long at = 0; at + (long) t.factor() < t.forNs(); at += t.everyNs()) {
                         stage.after(at, () -> chosen.forEach(this::dies));
                         stage.after(at + (long) t.factor(), () -> chosen.forEach(this::returns));
@@ -102,7 +111,7 @@
                 }
                 case AGE -> {
                     List<Machine> chosen = choose(t.pick());
-                    during(t, chosen, b -> { }, b -> {
+                    during(t, chosen, b -> {}, b -> {
                         dies(b);
                         stage.after(2 * SECOND, () -> returns(b));
                     });
@@ -124,15 +133,17 @@
                     List<Machine> chosen = choose(t.pick());
                     stage.note(t.text() + "  " + names(chosen));
                     drains(chosen);
-                    stage.after(t.forNs(), () -> chosen.forEach(b -> {
-                        dies(b);
-                        replace();
-                    }));
+                    stage.after(
+                            t.forNs(),
+                            () -> chosen.forEach(b -> {
+                                dies(b);
+                                replace();
+                            }));
                 }
                 case RELEASE -> release(t);
                 case LIST_LIES -> {
                     List<Machine> chosen = choose(t.pick());
-                    during(t, chosen, b -> { }, b -> stage.list(List.of(b), Event.Listed.READY));
+                    during(t, chosen, b -> {}, b -> stage.list(List.of(b), Event.Listed.READY));
                     stage.list(chosen, Event.Listed.GONE);
                 }
                 case LIST_BREAKS -> {
@@ -140,8 +151,10 @@
                     stage.breakList();
                 }
                 case KILL -> during(t, () -> stage.kill(t.number()), () -> stage.restart(t.number()));
-                // Standing still is a pace at which nothing leaves in the time it lasts.
-                case PACE, STOP -> during(t, () -> stage.pace(t.number(), t.kind() == Script.Kind.PACE ? t.share() : 1e-6),
+                    // Standing still is a pace at which nothing leaves in the time it lasts.
+                case PACE, STOP -> during(
+                        t,
+                        () -> stage.pace(t.number(), t.kind() == Script.Kind.PACE ? t.share() : 1e-6),
                         () -> stage.pace(t.number(), 1));
                 case FREEZE -> during(t, () -> stage.freeze(t.number(), true), () -> stage.freeze(t.number(), false));
                 case LEAVE -> during(t, () -> stage.leave(t.number()), () -> {
@@ -152,9 +165,12 @@
                 case STORE_SLOW -> during(t, () -> stage.storeSlow((long) t.factor()), () -> stage.storeSlow(0));
                 case STORE_LOSES -> during(t, () -> stage.storeLoses(t.share()), () -> stage.storeLoses(0));
                 case CUT -> {
-                    List<String> parts = t.from().equals("all") ? List.of("store", "registry", "peers", "proxies")
+                    List<String> parts = t.from().equals("all")
+                            ? List.of("store", "registry", "peers", "proxies")
                             : List.of(t.from());
-                    during(t, () -> parts.forEach(part -> stage.cut(t.number(), part, true)),
+                    during(
+                            t,
+                            () -> parts.forEach(part -> stage.cut(t.number(), part, true)),
                             () -> parts.forEach(part -> stage.cut(t.number(), part, false)));
                 }
                 case UNHEARD -> {
--- a/src/main/java/puffinbarrow/emulator/Baseline.java
+++ b/src/main/java/puffinbarrow/emulator/Baseline.java
@@ -38,6 +38,7 @@
     private final LinkedHashMap<Integer, String> wanted = new LinkedHashMap<>();
     /** Where those stand at the proxies. */
     private final Map<Integer, String> leaving = new HashMap<>();
+
     private long cycleAt = Long.MIN_VALUE, messageAt = Long.MIN_VALUE;
 
     Baseline(Settings settings, long seed) {
@@ -140,7 +141,9 @@
         if (now < messageAt || wanted.isEmpty()) {
             return;
         }
-        double fits = joined.isEmpty() ? Double.MAX_VALUE : OF_QUEUE * settings.queueLimit() / joined.size() - settings.head();
+        double fits = joined.isEmpty()
+                ? Double.MAX_VALUE
+                : OF_QUEUE * settings.queueLimit() / joined.size() - settings.head();
         int lines = 0;
         while (!wanted.isEmpty() && lines + 2 <= Math.max(2, fits)) {
             int slice = wanted.keySet().iterator().next();
@@ -156,7 +159,8 @@
             }
         }
         double takes = joined.size() * (settings.head() + lines) / settings.linesPerS() * 1e9;
-        double spaced = settings.messagesAllowed() > 0 ? SPACED * settings.messagesSpanNs() / settings.messagesAllowed() : 0;
+        double spaced =
+                settings.messagesAllowed() > 0 ? SPACED * settings.messagesSpanNs() / settings.messagesAllowed() : 0;
         messageAt = now + (long) Math.max(takes, spaced);
     }
 
@@ -205,8 +209,9 @@
         private String extreme(boolean most) {
             String best = null;
             for (String server : ready.keySet()) {
-                if (best == null || (busy.getOrDefault(server, 0.0) > busy.getOrDefault(best, 0.0)) == most
-                        && !busy.getOrDefault(server, 0.0).equals(busy.getOrDefault(best, 0.0))) {
+                if (best == null
+                        || (busy.getOrDefault(server, 0.0) > busy.getOrDefault(best, 0.0)) == most
+                                && !busy.getOrDefault(server, 0.0).equals(busy.getOrDefault(best, 0.0))) {
                     best = server;
                 }
             }
@@ -214,8 +219,11 @@
         }
 
         private double part(int slice) {
-            double all = demand.values().stream().mapToDouble(Double::doubleValue).sum();
-            double load = ready.keySet().stream().mapToDouble(s -> busy.getOrDefault(s, 0.0)).sum();
+            double all =
+                    demand.values().stream().mapToDouble(Double::doubleValue).sum();
+            double load = ready.keySet().stream()
+                    .mapToDouble(s -> busy.getOrDefault(s, 0.0))
+                    .sum();
             return all == 0 ? 0.01 : load * demand.getOrDefault(slice, 0.0) / all;
         }
 
@@ -239,7 +247,8 @@
             }
             int best = -1;
             for (Map.Entry<Integer, String> slice : mine.entrySet()) {
-                if (slice.getValue().equals(from) && part(slice.getKey()) < gap / 2
+                if (slice.getValue().equals(from)
+                        && part(slice.getKey()) < gap / 2
                         && (best < 0 || part(slice.getKey()) > part(best))) {
                     best = slice.getKey();
                 }
@@ -265,7 +274,9 @@
         @Override
         String place(int slice) {
             // The round's whole laying does it; until then a slice goes where it ranks first.
-            return ready.keySet().stream().max((a, b) -> Long.compareUnsigned(rank(slice, a), rank(slice, b))).orElse(null);
+            return ready.keySet().stream()
+                    .max((a, b) -> Long.compareUnsigned(rank(slice, a), rank(slice, b)))
+                    .orElse(null);
         }
 
         private static long rank(int slice, String server) {
@@ -305,6 +316,7 @@
         private static final int MOVES = 40;
         /** A move must bring the busier of the two down by this part. */
         private static final double GAIN = 0.05;
+
         private final Truth truth;
         private final Map<String, Double> planned = new HashMap<>();
 
@@ -326,7 +338,9 @@
 
         private double load(String server, double more) {
             double can = truth.capacity(server);
-            return can <= 0 ? Double.MAX_VALUE : (truth.assigned(server) + planned.getOrDefault(server, 0.0) + more) / can;
+            return can <= 0
+                    ? Double.MAX_VALUE
+                    : (truth.assigned(server) + planned.getOrDefault(server, 0.0) + more) / can;
         }
 
         @Override
@@ -352,7 +366,8 @@
             for (int i = 0; i < MOVES; i++) {
                 String hot = null;
                 for (String server : ready.keySet()) {
-                    if (truth.capacity(server) > 0 && mine.containsValue(server)
+                    if (truth.capacity(server) > 0
+                            && mine.containsValue(server)
                             && (hot == null || load(server, 0) > load(hot, 0))) {
                         hot = server;
                     }
--- a/src/main/java/puffinbarrow/emulator/Calendar.java
+++ b/src/main/java/puffinbarrow/emulator/Calendar.java
@@ -32,6 +32,7 @@
     private long added;
     /** No event lies before this time. */
     private long from;
+
     private Entry head;
 
     @Override
@@ -80,7 +81,8 @@
             }
         }
         for (Entry entry : buckets) {
-            if (entry != null && (head == null || entry.at < head.at || entry.at == head.at && entry.number < head.number)) {
+            if (entry != null
+                    && (head == null || entry.at < head.at || entry.at == head.at && entry.number < head.number)) {
                 head = entry;
             }
         }
--- a/src/main/java/puffinbarrow/emulator/Clients.java
+++ b/src/main/java/puffinbarrow/emulator/Clients.java
@@ -33,8 +33,17 @@
                     answered(code);
                 }
             });
-            world.after(networkNs, () -> proxied = fleet.proxies.get(flow.target()).request(scenario.sliceOf(flow.key()),
-                    flow.group(), flow.key(), flow.workNs(), startNs + group().expiryNs(), answer));
+            world.after(
+                    networkNs,
+                    () -> proxied = fleet.proxies
+                            .get(flow.target())
+                            .request(
+                                    scenario.sliceOf(flow.key()),
+                                    flow.group(),
+                                    flow.key(),
+                                    flow.workNs(),
+                                    startNs + group().expiryNs(),
+                                    answer));
         }
 
         private Scenario.Group group() {
@@ -71,7 +80,8 @@
             counts[flow.group()][outcome.ordinal()]++;
             int second = (int) (flow.startNs() / SECOND);
             // A flow that comes late earns a fifth, as on the day's page.
-            got[second] += outcome == Result.Outcome.IN_BUDGET ? group().utility()
+            got[second] += outcome == Result.Outcome.IN_BUDGET
+                    ? group().utility()
                     : outcome == Result.Outcome.LATE ? group().utility() / 5 : 0;
         }
     }
@@ -91,6 +101,7 @@
     final double[] asked, got;
     /** Work asked of each slice lately, in nanoseconds of one core a second; for policies that see the true state. */
     final double[] sliceWork;
+
     private final List<ArrayDeque<Open>> expiring = new ArrayList<>();
     private long beganAt;
     long intended, retries, open, mostOpen;
--- a/src/main/java/puffinbarrow/emulator/Experiment.java
+++ b/src/main/java/puffinbarrow/emulator/Experiment.java
@@ -34,8 +34,8 @@
         }
     }
 
-    private static final List<String> KEYWORDS = List.of("name", "day", "line", "level", "draw", "maybe", "policy", "seeds",
-            "most-events");
+    private static final List<String> KEYWORDS =
+            List.of("name", "day", "line", "level", "draw", "maybe", "policy", "seeds", "most-events");
     private static final Pattern RANGE = Pattern.compile("\\{(-?[0-9.]+?)\\.\\.(-?[0-9.]+?)}");
 
     public String name = "experiment";
@@ -58,8 +58,8 @@
         return of(Lines.parse(name, text, problems), Path.of(name), builtIn, problems);
     }
 
-    private static Experiment of(List<Statement> statements, Path file, Function<String, String> builtIn,
-            List<Problem> problems) {
+    private static Experiment of(
+            List<Statement> statements, Path file, Function<String, String> builtIn, List<Problem> problems) {
         Experiment experiment = new Experiment();
         for (Statement statement : statements) {
             Words w = new Words(statement, problems);
@@ -82,7 +82,9 @@
                 String day = w.text("a day's file, or default or monday");
                 Path beside = file.toAbsolutePath().resolveSibling(day);
                 try {
-                    String own = Files.exists(beside) ? Files.readString(beside, StandardCharsets.UTF_8) : builtIn.apply(day);
+                    String own = Files.exists(beside)
+                            ? Files.readString(beside, StandardCharsets.UTF_8)
+                            : builtIn.apply(day);
                     if (own == null) {
                         w.wrong("'" + day + "'", "a day's file beside this one, or default or monday");
                     } else {
@@ -114,7 +116,14 @@
                 do {
                     String policy = w.text("a policy");
                     if (w.sound() && Policy.named(policy) == null) {
-                        w.wrong("'" + policy + "'", "one of " + String.join(", ", Policy.ALL.stream().map(Policy::name).toList()));
+                        w.wrong(
+                                "'" + policy + "'",
+                                "one of "
+                                        + String.join(
+                                                ", ",
+                                                Policy.ALL.stream()
+                                                        .map(Policy::name)
+                                                        .toList()));
                     }
                     policies.add(policy);
                 } while (w.more());
@@ -145,7 +154,10 @@
                 List<String> own = new ArrayList<>();
                 drawn.forEach(d -> own.add(fill(d.template, (low, high) -> at == 0 ? low : high)));
                 List<Problem> found = new ArrayList<>();
-                Setup.parse(file + " as a day" + (levels.isEmpty() ? "" : " at " + levels), text(own, levels, firstSeed), found);
+                Setup.parse(
+                        file + " as a day" + (levels.isEmpty() ? "" : " at " + levels),
+                        text(own, levels, firstSeed),
+                        found);
                 for (Problem problem : found) {
                     if (problems.stream().noneMatch(p -> p.text().equals(problem.text()))) {
                         problems.add(problem);
@@ -167,8 +179,8 @@
             double high = Double.parseDouble(range.group(2));
             boolean whole = !range.group(1).contains(".") && !range.group(2).contains(".");
             double value = choose.between(low, high);
-            range.appendReplacement(out, whole ? Long.toString((long) Math.floor(value))
-                    : String.format(Locale.ROOT, "%.3f", value));
+            range.appendReplacement(
+                    out, whole ? Long.toString((long) Math.floor(value)) : String.format(Locale.ROOT, "%.3f", value));
         }
         return range.appendTail(out).toString();
     }
@@ -182,7 +194,9 @@
         return fill(of.template, (low, high) -> {
             // Whole numbers up to the high end, itself included.
             boolean whole = low == Math.rint(low) && high == Math.rint(high);
-            return whole ? low + chance.nextLong(Math.max(1, (long) (high - low) + 1)) : low + (high - low) * chance.nextDouble();
+            return whole
+                    ? low + chance.nextLong(Math.max(1, (long) (high - low) + 1))
+                    : low + (high - low) * chance.nextDouble();
         });
     }
 
@@ -208,7 +222,11 @@
 
     /** Which of the named lines stand at a seed. */
     public List<String> troubles(long seed) {
-        return standing(seed).stream().map(s -> s.of.name).filter(n -> !n.isEmpty()).distinct().toList();
+        return standing(seed).stream()
+                .map(s -> s.of.name)
+                .filter(n -> !n.isEmpty())
+                .distinct()
+                .toList();
     }
 
     /** A day's text. */
@@ -261,7 +279,15 @@
 
     /** What tells this experiment from another: everything that its results follow from. */
     public String identity() {
-        return String.join("\n", List.of(base, lines.toString(), drawn.toString(), factors.toString(), policies.toString(),
-                firstSeed + " to " + lastSeed, Long.toString(mostEvents)));
+        return String.join(
+                "\n",
+                List.of(
+                        base,
+                        lines.toString(),
+                        drawn.toString(),
+                        factors.toString(),
+                        policies.toString(),
+                        firstSeed + " to " + lastSeed,
+                        Long.toString(mostEvents)));
     }
 }
--- a/src/main/java/puffinbarrow/emulator/Fleet.java
+++ b/src/main/java/puffinbarrow/emulator/Fleet.java
@@ -27,6 +27,7 @@
     private static final long SECOND = 1_000_000_000L;
     /** In simulated time; a fleet that is not up by then never will be. */
     private static final long UP_WITHIN_NS = 120 * SECOND;
+
     private static final long LOOK_NS = 20_000_000L;
     /** Times that each proxy may be cut off by a full channel. */
     private static final int MOST_CUT_OFF = 20;
@@ -80,8 +81,19 @@
 
     private Server make() {
         int number = servers.size();
-        Server server = new Server(this, number, new Server.Shape(number % script.zones, number / model.cell, script.cores,
-                plan.speed(), script.coldFrom, script.coldNs, Plan.dedupNs(judged), judged.fallMultiple, judged.fallNs));
+        Server server = new Server(
+                this,
+                number,
+                new Server.Shape(
+                        number % script.zones,
+                        number / model.cell,
+                        script.cores,
+                        plan.speed(),
+                        script.coldFrom,
+                        script.coldNs,
+                        Plan.dedupNs(judged),
+                        judged.fallMultiple,
+                        judged.fallNs));
         servers.put(server.id(), server);
         return server;
     }
@@ -140,7 +152,9 @@
     }
 
     private void begin() {
-        List<Event.Entry> list = servers.values().stream().map(s -> Plan.entry(s, Event.Listed.READY)).toList();
+        List<Event.Entry> list = servers.values().stream()
+                .map(s -> Plan.entry(s, Event.Listed.READY))
+                .toList();
         registry.set(list);
         List<Server> all = new ArrayList<>(servers.values());
         for (int i = 0; i < script.slices; i++) {
@@ -229,7 +243,8 @@
             outcome.retried += p.retried;
             outcome.staleSeen += p.staleSeen;
         });
-        outcome.fell = servers.values().stream().filter(Server::fell).map(Server::id).toList();
+        outcome.fell =
+                servers.values().stream().filter(Server::fell).map(Server::id).toList();
         if (clients != null) {
             outcome.take(clients, scenario);
         }
@@ -308,7 +323,8 @@
 
     @Override
     public void unheard(int some, boolean on) {
-        proxies.subList(0, some).forEach(p -> hosts.forEach(h -> p.voice(h.number).cut(on)));
+        proxies.subList(0, some)
+                .forEach(p -> hosts.forEach(h -> p.voice(h.number).cut(on)));
     }
 
     @Override
--- a/src/main/java/puffinbarrow/emulator/Host.java
+++ b/src/main/java/puffinbarrow/emulator/Host.java
@@ -29,6 +29,7 @@
     static final long LEAST_PAUSE_NS = 50_000_000L, MOST_PAUSE_NS = 1_000_000_000L;
     /** Turns are never nearer: a rounding in a time that was answered must not stop the clock. */
     private static final long STEP_NS = 1_000;
+
     private static final long SECOND = 1_000_000_000L;
 
     /** What memory keeps between lives, in place of its folder; written twice a second as there. */
@@ -76,6 +77,7 @@
     private long storePauseNs, registryPauseNs;
     /** What came while it stood still, in order. */
     private final List<Runnable> kept = new ArrayList<>();
+
     private String failure;
     long decisionNs, decisionEvents, turns, cutOff, recalled;
 
@@ -105,16 +107,25 @@
         kept.clear();
         config = fleet.plan.config(number, List.of());
         meters = new Meters();
-        core = new Core(config, (settings, seed) -> timed(decisions.start(settings, seed)), this,
-                fleet.script.memory ? new Remembers() : Core.Memory.NONE, meters,
+        core = new Core(
+                config,
+                (settings, seed) -> timed(decisions.start(settings, seed)),
+                this,
+                fleet.script.memory ? new Remembers() : Core.Memory.NONE,
+                meters,
                 new Core.Tempo(config.linesPerS, config.intakePerS, config.roundNs));
         holder = null;
         if (config.leaseNs > 0) {
             int mine = life;
-            holder = new Holder(config, (long) number << 32 | life, this, input -> {
-                offer(input);
-                return true;
-            }, meters);
+            holder = new Holder(
+                    config,
+                    (long) number << 32 | life,
+                    this,
+                    input -> {
+                        offer(input);
+                        return true;
+                    },
+                    meters);
             core.fence(holder);
             // The timer of a former life finds another one and ends.
             holder.start();
@@ -192,8 +203,10 @@
     }
 
     double figure(String prefix) {
-        return meters.values().entrySet().stream().filter(e -> e.getKey().startsWith(prefix))
-                .mapToDouble(java.util.Map.Entry::getValue).sum();
+        return meters.values().entrySet().stream()
+                .filter(e -> e.getKey().startsWith(prefix))
+                .mapToDouble(java.util.Map.Entry::getValue)
+                .sum();
     }
 
     void pace(double part) {
@@ -257,12 +270,17 @@
         long began = world.now();
         int mine = life;
         Server of = fleet.server(server);
-        world.after(fleet.model.networkNs, () -> of.probe(report -> {
-            if (mine == life) {
-                awake(() -> answer.accept(new Event.Probed(server, report != null, world.now() - began,
-                        report == null ? java.util.Map.of() : report)));
-            }
-        }));
+        world.after(
+                fleet.model.networkNs,
+                () -> of.probe(report -> {
+                    if (mine == life) {
+                        awake(() -> answer.accept(new Event.Probed(
+                                server,
+                                report != null,
+                                world.now() - began,
+                                report == null ? java.util.Map.of() : report)));
+                    }
+                }));
     }
 
     @Override
--- a/src/main/java/puffinbarrow/emulator/Model.java
+++ b/src/main/java/puffinbarrow/emulator/Model.java
@@ -5,15 +5,27 @@
 
 /** How servers, proxies and ways behave, as far as the day's script does not say; docs/emulator.md lists the lines. */
 public final class Model {
-    enum Pick { WEIGHTED, ROTATE, TWO_CHOICES }
+    enum Pick {
+        WEIGHTED,
+        ROTATE,
+        TWO_CHOICES
+    }
 
-    enum Sharing { SLOTS, PROCESSOR }
+    enum Sharing {
+        SLOTS,
+        PROCESSOR
+    }
 
     /** What a server does with a flow whose proxy no longer waits: works it all the same, drops it unless begun, or stops. */
-    enum Overdue { GOES_ON, DROPPED, STOPS }
+    enum Overdue {
+        GOES_ON,
+        DROPPED,
+        STOPS
+    }
 
     /** One way between any two machines: what loopback sockets take, thread to thread. */
     long networkNs = 100_000;
+
     Pick pick = Pick.WEIGHTED;
     Sharing sharing = Sharing.SLOTS;
     Overdue overdue = Overdue.DROPPED;
@@ -23,6 +35,7 @@
     long handshakeNs;
     /** Connections a server accepts, for each of its cores. */
     int connectionsPerCore = 60;
+
     long keepNs = 30_000_000_000L;
     int roomPerCore = 8;
     int keysPerCore = 60;
@@ -39,8 +52,23 @@
     /** Proxies whose tables are audited line by line; what all proxies send is audited in any case. */
     int audited = 50;
 
-    static final List<String> KEYS = List.of("network", "pick", "work", "overdue", "loss-when-full", "handshake",
-            "connections", "waiting-room", "warm-keys", "reports", "apply", "avoid", "hold", "try", "cell", "audited");
+    static final List<String> KEYS = List.of(
+            "network",
+            "pick",
+            "work",
+            "overdue",
+            "loss-when-full",
+            "handshake",
+            "connections",
+            "waiting-room",
+            "warm-keys",
+            "reports",
+            "apply",
+            "avoid",
+            "hold",
+            "try",
+            "cell",
+            "audited");
 
     /** The words after {@code model}. */
     void take(Words w) {
--- a/src/main/java/puffinbarrow/emulator/Outcome.java
+++ b/src/main/java/puffinbarrow/emulator/Outcome.java
@@ -13,6 +13,7 @@
 
     /** Why it ended before its time, or null. */
     public String failed;
+
     public double service, worst;
     public long intended, inBudget, late, blocked, dropped, retries, retried;
     public double p50Ms, p90Ms, p99Ms, p999Ms;
@@ -20,12 +21,14 @@
     public double linesSent;
     /** Rules that broke, joined by plus signs. */
     public String broken = "";
+
     public Audit.Verdict verdict;
     public List<String> log = List.of(), fell = List.of();
     /** Until the fleet was up. */
     public long beganAtNs;
     /** By group: its name, outcomes in their order, latencies. */
     public List<String> groups = List.of();
+
     public long[][] counts = new long[0][];
     public Histogram[] latency = new Histogram[0];
     public double[] asked = new double[0], got = new double[0];
@@ -75,30 +78,60 @@
     }
 
     public String text() {
-        StringBuilder page = new StringBuilder(String.format(Locale.ROOT, "%nThe day in the emulator (simulated servers)%n%n"
-                + "service %.3f   worst 10 s %.3f   flows %d intended, %d in budget, %d late, %d blocked, %d dropped%n"
-                + "latency p50 %.1f ms, p99 %.1f ms, p99.9 %.1f ms%n", service, worst, intended, inBudget, late, blocked, dropped,
-                p50Ms, p99Ms, p999Ms));
+        StringBuilder page = new StringBuilder(String.format(
+                Locale.ROOT,
+                "%nThe day in the emulator (simulated servers)%n%n"
+                        + "service %.3f   worst 10 s %.3f   flows %d intended, %d in budget, %d late, %d blocked, %d dropped%n"
+                        + "latency p50 %.1f ms, p99 %.1f ms, p99.9 %.1f ms%n",
+                service,
+                worst,
+                intended,
+                inBudget,
+                late,
+                blocked,
+                dropped,
+                p50Ms,
+                p99Ms,
+                p999Ms));
         for (int i = 0; i < groups.size(); i++) {
-            page.append(String.format(Locale.ROOT, "  %-18s in budget %7d  late %6d  blocked %6d  dropped %6d  p50 %7.1f ms  "
-                    + "p99 %7.1f ms%n", groups.get(i), counts[i][Result.Outcome.IN_BUDGET.ordinal()],
-                    counts[i][Result.Outcome.LATE.ordinal()], counts[i][Result.Outcome.BLOCKED.ordinal()],
+            page.append(String.format(
+                    Locale.ROOT,
+                    "  %-18s in budget %7d  late %6d  blocked %6d  dropped %6d  p50 %7.1f ms  " + "p99 %7.1f ms%n",
+                    groups.get(i),
+                    counts[i][Result.Outcome.IN_BUDGET.ordinal()],
+                    counts[i][Result.Outcome.LATE.ordinal()],
+                    counts[i][Result.Outcome.BLOCKED.ordinal()],
                     counts[i][Result.Outcome.FAILED.ordinal()] + counts[i][Result.Outcome.TIMED_OUT.ordinal()],
-                    latency[i].getValueAtPercentile(50) / 1e3, latency[i].getValueAtPercentile(99) / 1e3));
+                    latency[i].getValueAtPercentile(50) / 1e3,
+                    latency[i].getValueAtPercentile(99) / 1e3));
         }
         page.append("\nwhat was done\n");
         log.forEach(line -> page.append("  ").append(line).append('\n'));
-        page.append(String.format(Locale.ROOT, "%nmoves of slices %d   charges handed on %d   lines sent %.0f   tries again by "
-                + "proxies %d, by clients %d%nwrites refused by the store %d, old orders refused by proxies %d, proxies cut off by "
-                + "a full channel %d, facts recalled after restarts %d%n", moves, handed, linesSent, retried, retries, refusedWrites, staleSeen, cutOff, recalled));
+        page.append(String.format(
+                Locale.ROOT,
+                "%nmoves of slices %d   charges handed on %d   lines sent %.0f   tries again by "
+                        + "proxies %d, by clients %d%nwrites refused by the store %d, old orders refused by proxies %d, proxies cut off by "
+                        + "a full channel %d, facts recalled after restarts %d%n",
+                moves,
+                handed,
+                linesSent,
+                retried,
+                retries,
+                refusedWrites,
+                staleSeen,
+                cutOff,
+                recalled));
         if (!fell.isEmpty()) {
             page.append("fell over cold: ").append(fell).append('\n');
         }
         page.append("\nthe rules\n");
         for (Audit.Rule rule : Audit.rules()) {
-            page.append(verdict.broke(rule) ? "  BROKEN " : "  kept   ").append(rule.name().toLowerCase(Locale.ROOT)).append('\n');
-            verdict.findings().stream().filter(f -> f.rule() == rule).limit(5)
-                    .forEach(f -> page.append("           ").append(f.evidence()).append('\n'));
+            page.append(verdict.broke(rule) ? "  BROKEN " : "  kept   ")
+                    .append(rule.name().toLowerCase(Locale.ROOT))
+                    .append('\n');
+            verdict.findings().stream().filter(f -> f.rule() == rule).limit(5).forEach(f -> page.append("           ")
+                    .append(f.evidence())
+                    .append('\n'));
         }
         if (failed != null) {
             page.append("\nFAILED: ").append(failed).append('\n');
--- a/src/main/java/puffinbarrow/emulator/Proxy.java
+++ b/src/main/java/puffinbarrow/emulator/Proxy.java
@@ -34,6 +34,7 @@
         final IntConsumer answer;
         /** Few tries, so a list is as good as a set. */
         final List<Server> tried = new ArrayList<>(2);
+
         int attempt;
         private Attempt current;
 
@@ -164,6 +165,7 @@
         boolean open, up;
         /** Counts dials: what belongs to an earlier stream is passed over. */
         int dial;
+
         private long pauseNs = Host.LEAST_PAUSE_NS;
 
         Voice(Host host) {
@@ -179,8 +181,10 @@
             world.after(2 * model.networkNs, () -> {
                 if (mine == dial && !cut && host.accepts()) {
                     open = true;
-                    host.join(this, new Frame.Hello(Frame.MAJOR, Frame.MINOR, Frame.Role.PROXY, number, zone, number + 1L,
-                            !met, 10));
+                    host.join(
+                            this,
+                            new Frame.Hello(
+                                    Frame.MAJOR, Frame.MINOR, Frame.Role.PROXY, number, zone, number + 1L, !met, 10));
                 } else if (mine == dial) {
                     later();
                 }
@@ -257,7 +261,12 @@
                 pauseNs = Host.LEAST_PAUSE_NS;
                 welcomed(w.incarnation());
             } else if (frame instanceof Frame.Orders orders && up) {
-                fleet.seen(new Seen.Arrived(world.now(), number, host.number, orders.turn(), orders.orderedAtNs(),
+                fleet.seen(new Seen.Arrived(
+                        world.now(),
+                        number,
+                        host.number,
+                        orders.turn(),
+                        orders.orderedAtNs(),
                         orders.orders().size()));
                 long way = (long) (transitNs * (0.5 + chance.nextDouble()));
                 long at = Math.max(lastDue, world.now() + way) + orders.orders().size() * model.applyNsPerLine;
@@ -337,10 +346,17 @@
                 }
             }
             if (audited) {
-                fleet.seen(new Seen.Applied(world.now(), number, host.number, orders.orderedAtNs(), stale.isEmpty()
-                        ? orders.orders() : orders.orders().stream().filter(o -> !(o instanceof Order.SetLine l
-                        && stale.contains(l.table()) || o instanceof Order.ClearTable c && stale.contains(c.table())))
-                        .toList()));
+                fleet.seen(new Seen.Applied(
+                        world.now(),
+                        number,
+                        host.number,
+                        orders.orderedAtNs(),
+                        stale.isEmpty()
+                                ? orders.orders()
+                                : orders.orders().stream()
+                                        .filter(o -> !(o instanceof Order.SetLine l && stale.contains(l.table())
+                                                || o instanceof Order.ClearTable c && stale.contains(c.table())))
+                                        .toList()));
             }
         }
 
@@ -360,6 +376,7 @@
 
     /** As the stand-in proxies do: within the second that WIRE gives a proxy to read the store. */
     private static final long READ_AGAIN_NS = 500_000_000L;
+
     private static final long LOOK_AGAIN_NS = 20_000_000L;
     /** With less left to its expiry a flow is not tried again. */
     private static final long TOO_LATE_NS = 50_000_000L;
@@ -380,6 +397,7 @@
     private final Map<Server, Pool> pools = new LinkedHashMap<>();
     /** Tries in flight of its own, by server; for picks of two. */
     private final Map<Server, int[]> inFlight = new HashMap<>();
+
     private final Map<Integer, Integer> turns = new HashMap<>();
     private long nextFlow;
     boolean asking;
@@ -548,7 +566,15 @@
         }
         flow.tried.add(server);
         Attempt attempt = new Attempt(flow, server, flow.attempt, now);
-        fleet.seen(new Seen.Sent(now, number, server.id(), flow.slice, flow.group, flow.id, flow.attempt, flow.workNs,
+        fleet.seen(new Seen.Sent(
+                now,
+                number,
+                server.id(),
+                flow.slice,
+                flow.group,
+                flow.id,
+                flow.attempt,
+                flow.workNs,
                 voice == null ? -1 : voice.host.number));
         flow.attempt++;
         flow.current = attempt;
@@ -597,9 +623,10 @@
 
     /** To a single owner only while its voice is heard and the store could tell of another, and a proxy lease longer. */
     private boolean mayWrite(Flow flow, Voice voice, long now) {
-        return config.groups.get(flow.group).repeats() == CoordinatorConfig.Repeats.RETRIABLE || voice != null
-                && (voice.up || now - voice.lostAt < config.proxyLeaseNs)
-                && (!fleet.store.away() || now - storeLostAt < config.proxyLeaseNs);
+        return config.groups.get(flow.group).repeats() == CoordinatorConfig.Repeats.RETRIABLE
+                || voice != null
+                        && (voice.up || now - voice.lostAt < config.proxyLeaseNs)
+                        && (!fleet.store.away() || now - storeLostAt < config.proxyLeaseNs);
     }
 
     private Server pick(Flow flow, Voice voice, long now) {
@@ -620,8 +647,10 @@
             for (int i = 0; i < size; i++) {
                 Server server = table.servers[i];
                 Avoid avoid = avoided.get(server);
-                if (table.weights[i] > 0 && (pass == 1 || avoid == null || avoid.until <= now)
-                        && !flow.tried.contains(server) && (voice == null || !voice.masks.contains(server.id()))) {
+                if (table.weights[i] > 0
+                        && (pass == 1 || avoid == null || avoid.until <= now)
+                        && !flow.tried.contains(server)
+                        && (voice == null || !voice.masks.contains(server.id()))) {
                     from[count] = server;
                     weights[count++] = table.weights[i];
                 }
@@ -672,11 +701,14 @@
         }
         note(attempt, now, good, report);
         Order.Retry retry = retry(flow);
-        boolean again = !good && now < flow.expiresAt - TOO_LATE_NS && switch (retry) {
-            case NEVER -> false;
-            case ON_PROOF -> proof && flow.attempt < 2;
-            case ONCE, TWICE -> mayFollow(flow, retry);
-        } && tables[flow.slice].size() > 1;
+        boolean again = !good
+                && now < flow.expiresAt - TOO_LATE_NS
+                && switch (retry) {
+                    case NEVER -> false;
+                    case ON_PROOF -> proof && flow.attempt < 2;
+                    case ONCE, TWICE -> mayFollow(flow, retry);
+                }
+                && tables[flow.slice].size() > 1;
         if (good) {
             flow.answer.accept(Server.OK);
         } else if (again) {
@@ -696,7 +728,8 @@
                 sum.tookNs += now - attempt.sentAt;
             } else {
                 sum.dropped++;
-                voice.demand.computeIfAbsent((long) attempt.flow.slice << 8 | attempt.flow.group, k -> new long[2])[1]++;
+                voice.demand
+                        .computeIfAbsent((long) attempt.flow.slice << 8 | attempt.flow.group, k -> new long[2])[1]++;
             }
             if (report != null) {
                 sum.report = report;
@@ -727,14 +760,14 @@
         long round = world.now() / config.roundNs;
         for (Voice voice : voices) {
             List<Frame.Met> met = new ArrayList<>(voice.sums.size());
-            voice.sums.forEach((server, sum) -> met.add(
-                    new Frame.Met(server.id(), sum.tries, sum.dropped, sum.tookNs, sum.report)));
+            voice.sums.forEach((server, sum) ->
+                    met.add(new Frame.Met(server.id(), sum.tries, sum.dropped, sum.tookNs, sum.report)));
             met.sort((a, b) -> a.server().compareTo(b.server()));
             List<Frame.Came> came = new ArrayList<>(voice.demand.size());
             voice.demand.forEach((key, counts) -> {
                 if (counts[0] > 0) {
-                    came.add(new Frame.Came((int) (key >> 8), (int) (key & 0xff), counts[0],
-                            Math.min(counts[0], counts[1])));
+                    came.add(new Frame.Came(
+                            (int) (key >> 8), (int) (key & 0xff), counts[0], Math.min(counts[0], counts[1])));
                 }
             });
             voice.sums = new LinkedHashMap<>();
--- a/src/main/java/puffinbarrow/emulator/Queueing.java
+++ b/src/main/java/puffinbarrow/emulator/Queueing.java
@@ -24,17 +24,28 @@
         for (double load : new double[] {0.5, 0.8}) {
             for (int cores : new int[] {1, 4}) {
                 double perMs = load * cores / WORK_MS;
-                checks.add(new Check(String.format(Locale.ROOT, "M/M/%d at %.1f", cores, load), "1/mu + C(c, a) / (c mu - lambda),"
-                        + " Erlang's C", WORK_MS + erlangC(cores, load * cores) / (cores / WORK_MS - perMs),
+                checks.add(new Check(
+                        String.format(Locale.ROOT, "M/M/%d at %.1f", cores, load),
+                        "1/mu + C(c, a) / (c mu - lambda)," + " Erlang's C",
+                        WORK_MS + erlangC(cores, load * cores) / (cores / WORK_MS - perMs),
                         mean(seed, seconds, cores, load, "work exponential", "slots")));
             }
             // Pollaczek and Khinchine with a variance of 0.
-            checks.add(new Check(String.format(Locale.ROOT, "M/D/1 at %.1f", load), "1/mu + rho / (2 mu (1 - rho)), Pollaczek-Khinchine",
-                    WORK_MS + load * WORK_MS / (2 * (1 - load)), mean(seed, seconds, 1, load, "work spread 0.001", "slots")));
-            checks.add(new Check(String.format(Locale.ROOT, "M/M/1-PS at %.1f", load), "1 / (mu (1 - rho)), whatever the distribution",
-                    WORK_MS / (1 - load), mean(seed, seconds, 1, load, "work exponential", "processor")));
-            checks.add(new Check(String.format(Locale.ROOT, "M/G/1-PS at %.1f", load), "the same: log-normal work of spread 1",
-                    WORK_MS / (1 - load), mean(seed, seconds, 1, load, "work spread 1", "processor")));
+            checks.add(new Check(
+                    String.format(Locale.ROOT, "M/D/1 at %.1f", load),
+                    "1/mu + rho / (2 mu (1 - rho)), Pollaczek-Khinchine",
+                    WORK_MS + load * WORK_MS / (2 * (1 - load)),
+                    mean(seed, seconds, 1, load, "work spread 0.001", "slots")));
+            checks.add(new Check(
+                    String.format(Locale.ROOT, "M/M/1-PS at %.1f", load),
+                    "1 / (mu (1 - rho)), whatever the distribution",
+                    WORK_MS / (1 - load),
+                    mean(seed, seconds, 1, load, "work exponential", "processor")));
+            checks.add(new Check(
+                    String.format(Locale.ROOT, "M/G/1-PS at %.1f", load),
+                    "the same: log-normal work of spread 1",
+                    WORK_MS / (1 - load),
+                    mean(seed, seconds, 1, load, "work spread 1", "processor")));
         }
         return checks;
     }
@@ -50,10 +61,18 @@
     }
 
     private static double mean(long seed, int seconds, int cores, double load, String work, String sharing) {
-        String day = String.format(Locale.ROOT, "coordinators 1%nproxies 1%nbackends 1 cores %d speed 1 to 1%nzones 1%nslices 1%n"
-                + "rate %f%nlength %ds%nseed %d%nretries 0%n%s%nset group all utility 1 budget %.0fms expiry 100s retriable%n"
-                + "model work %s%nmodel network 1us%nmodel waiting-room 100000%nmodel connections 100000%nmodel warm-keys 0 gain 0%n",
-                cores, load * cores / WORK_MS * 1000, seconds, seed, work, 5 * WORK_MS, sharing);
+        String day = String.format(
+                Locale.ROOT,
+                "coordinators 1%nproxies 1%nbackends 1 cores %d speed 1 to 1%nzones 1%nslices 1%n"
+                        + "rate %f%nlength %ds%nseed %d%nretries 0%n%s%nset group all utility 1 budget %.0fms expiry 100s retriable%n"
+                        + "model work %s%nmodel network 1us%nmodel waiting-room 100000%nmodel connections 100000%nmodel warm-keys 0 gain 0%n",
+                cores,
+                load * cores / WORK_MS * 1000,
+                seconds,
+                seed,
+                work,
+                5 * WORK_MS,
+                sharing);
         List<Problem> problems = new ArrayList<>();
         Setup setup = Setup.parse("queueing", day, problems);
         if (!problems.isEmpty()) {
--- a/src/main/java/puffinbarrow/emulator/RegistryModel.java
+++ b/src/main/java/puffinbarrow/emulator/RegistryModel.java
@@ -51,7 +51,9 @@
             if (frame instanceof Frame.Follow follow) {
                 follows = follow.on();
                 if (follows) {
-                    tell(sentWhole ? Event.ListKind.WHOLE : Event.ListKind.STALE_COPY, new ArrayList<>(entries.values()));
+                    tell(
+                            sentWhole ? Event.ListKind.WHOLE : Event.ListKind.STALE_COPY,
+                            new ArrayList<>(entries.values()));
                     sentWhole = true;
                 }
             } else if (frame instanceof Frame.Fetch) {
--- a/src/main/java/puffinbarrow/emulator/Report.java
+++ b/src/main/java/puffinbarrow/emulator/Report.java
@@ -22,8 +22,14 @@
 /** An experiment as text and as one HTML file with charts. */
 public final class Report {
     /** Told apart on white, and by those who do not see red from green. */
-    private static final Color[] COLOURS = {new Color(0x00, 0x72, 0xb2), new Color(0xd5, 0x5e, 0x00), new Color(0x00, 0x9e, 0x73),
-        new Color(0xcc, 0x79, 0xa7), new Color(0xe6, 0x9f, 0x00), new Color(0x56, 0xb4, 0xe9)};
+    private static final Color[] COLOURS = {
+        new Color(0x00, 0x72, 0xb2),
+        new Color(0xd5, 0x5e, 0x00),
+        new Color(0x00, 0x9e, 0x73),
+        new Color(0xcc, 0x79, 0xa7),
+        new Color(0xe6, 0x9f, 0x00),
+        new Color(0x56, 0xb4, 0xe9)
+    };
 
     private final Sheet sheet;
     private final Set<String> policies;
@@ -46,25 +52,46 @@
         List<List<String>> rows = new ArrayList<>();
         for (String cell : cells()) {
             for (String policy : policies) {
-                List<Sheet.Row> own = sheet.where(r -> cell(r).equals(cell) && r.get("policy").equals(policy));
-                long all = sheet.rows.stream().filter(r -> cell(r).equals(cell) && r.get("policy").equals(policy)).count();
-                long broken = own.stream().filter(r -> !r.get("broken").isEmpty()).count();
+                List<Sheet.Row> own =
+                        sheet.where(r -> cell(r).equals(cell) && r.get("policy").equals(policy));
+                long all = sheet.rows.stream()
+                        .filter(r -> cell(r).equals(cell) && r.get("policy").equals(policy))
+                        .count();
+                long broken =
+                        own.stream().filter(r -> !r.get("broken").isEmpty()).count();
                 String first = policies.iterator().next();
-                rows.add(List.of(cell, policy, told(Sheet.mean(own, "service")), told(Sheet.mean(own, "worst")),
-                        mean(own, "p99_ms"), mean(own, "moves"), broken + " of " + own.size(), Long.toString(all - own.size()),
-                        policy.equals(first) ? "" : told(sheet.paired(first, policy, "service", r -> cell(r).equals(cell)))));
+                rows.add(List.of(
+                        cell,
+                        policy,
+                        told(Sheet.mean(own, "service")),
+                        told(Sheet.mean(own, "worst")),
+                        mean(own, "p99_ms"),
+                        mean(own, "moves"),
+                        broken + " of " + own.size(),
+                        Long.toString(all - own.size()),
+                        policy.equals(first)
+                                ? ""
+                                : told(sheet.paired(first, policy, "service", r -> cell(r).equals(cell)))));
             }
         }
         return rows;
     }
 
     private static String mean(List<Sheet.Row> of, String column) {
-        return of.isEmpty() ? "-" : String.format(Locale.ROOT, "%.0f", of.stream().mapToDouble(r -> r.number(column)).average()
-                .orElse(0));
+        return of.isEmpty()
+                ? "-"
+                : String.format(
+                        Locale.ROOT,
+                        "%.0f",
+                        of.stream().mapToDouble(r -> r.number(column)).average().orElse(0));
     }
 
     private String cell(Sheet.Row row) {
-        return sheet.factors.isEmpty() ? "all" : String.join(" ", sheet.factors.stream().map(f -> f + "=" + row.get(f)).toList());
+        return sheet.factors.isEmpty()
+                ? "all"
+                : String.join(
+                        " ",
+                        sheet.factors.stream().map(f -> f + "=" + row.get(f)).toList());
     }
 
     private Set<String> cells() {
@@ -74,7 +101,15 @@
     }
 
     public List<String> columns() {
-        return List.of("levels", "policy", "service (95%)", "worst 10 s (95%)", "p99 ms", "moves", "a rule broke", "failed",
+        return List.of(
+                "levels",
+                "policy",
+                "service (95%)",
+                "worst 10 s (95%)",
+                "p99 ms",
+                "moves",
+                "a rule broke",
+                "failed",
                 policies.iterator().next() + " less this one, paired");
     }
 
@@ -83,15 +118,19 @@
         Map<String, List<String>> seeds = new TreeMap<>();
         for (Sheet.Row row : sheet.rows) {
             for (String rule : row.named("broken")) {
-                seeds.computeIfAbsent(rule + ": " + cell(row) + ", " + row.get("policy"), k -> new ArrayList<>()).add(row.get("seed"));
+                seeds.computeIfAbsent(rule + ": " + cell(row) + ", " + row.get("policy"), k -> new ArrayList<>())
+                        .add(row.get("seed"));
             }
             if (row.failed()) {
-                seeds.computeIfAbsent("FAILED " + row.get("failed") + ": " + cell(row) + ", " + row.get("policy"),
-                        k -> new ArrayList<>()).add(row.get("seed"));
+                seeds.computeIfAbsent(
+                                "FAILED " + row.get("failed") + ": " + cell(row) + ", " + row.get("policy"),
+                                k -> new ArrayList<>())
+                        .add(row.get("seed"));
             }
         }
         List<String> lines = new ArrayList<>();
-        seeds.forEach((what, own) -> lines.add(what + ": " + own.size() + (own.size() == 1 ? " run, seed " : " runs, seeds ")
+        seeds.forEach((what, own) -> lines.add(what + ": " + own.size()
+                + (own.size() == 1 ? " run, seed " : " runs, seeds ")
                 + String.join(" ", own.subList(0, Math.min(20, own.size()))) + (own.size() > 20 ? " ..." : "")));
         return lines;
     }
@@ -128,7 +167,8 @@
         Map<String, String> charts = new LinkedHashMap<>();
         for (String factor : sheet.factors) {
             if (sheet.values(factor).size() > 1) {
-                charts.put("Service by " + factor + ", with intervals of 95%", Charts.picture(against(factor, "service")));
+                charts.put(
+                        "Service by " + factor + ", with intervals of 95%", Charts.picture(against(factor, "service")));
                 charts.put("p99 of latency by " + factor, Charts.picture(against(factor, "p99_ms")));
             }
         }
@@ -154,7 +194,8 @@
             List<Double> y = new ArrayList<>();
             List<Double> error = new ArrayList<>();
             for (int i = 0; i < levels.size(); i++) {
-                Sheet.Mean mean = Sheet.mean(sheet.where(at(factor, levels.get(i)).and(at("policy", policy))), measure);
+                Sheet.Mean mean =
+                        Sheet.mean(sheet.where(at(factor, levels.get(i)).and(at("policy", policy))), measure);
                 if (mean.runs() > 0) {
                     x.add(numbers ? Double.parseDouble(levels.get(i)) : i);
                     y.add(mean.mean());
@@ -168,8 +209,13 @@
             }
             colour++;
         }
-        if (numbers && levels.stream().mapToDouble(Double::parseDouble).max().orElse(1)
-                > 20 * levels.stream().mapToDouble(Double::parseDouble).min().orElse(1)) {
+        if (numbers
+                && levels.stream().mapToDouble(Double::parseDouble).max().orElse(1)
+                        > 20
+                                * levels.stream()
+                                        .mapToDouble(Double::parseDouble)
+                                        .min()
+                                        .orElse(1)) {
             chart.getStyler().setXAxisLogarithmic(true);
         } else if (!numbers) {
             Map<Object, Object> names = new LinkedHashMap<>();
@@ -182,7 +228,11 @@
     }
 
     private CategoryChart byTrouble(Set<String> troubles) {
-        CategoryChart chart = new CategoryChartBuilder().width(Charts.WIDTH).height(Charts.HEIGHT).yAxisTitle("service").build();
+        CategoryChart chart = new CategoryChartBuilder()
+                .width(Charts.WIDTH)
+                .height(Charts.HEIGHT)
+                .yAxisTitle("service")
+                .build();
         Charts.style(chart.getStyler());
         List<String> names = new ArrayList<>(troubles);
         // A dozen names side by side would run into each other.
@@ -192,7 +242,10 @@
         for (String policy : policies) {
             List<Double> y = new ArrayList<>();
             for (String trouble : names) {
-                double mean = Sheet.mean(sheet.where(at("policy", policy).and(r -> r.named("troubles").contains(trouble))), "service")
+                double mean = Sheet.mean(
+                                sheet.where(at("policy", policy)
+                                        .and(r -> r.named("troubles").contains(trouble))),
+                                "service")
                         .mean();
                 y.add(Double.isNaN(mean) ? 0 : mean);
                 least = Double.isNaN(mean) ? least : Math.min(least, mean);
@@ -209,7 +262,10 @@
         XYChart chart = Charts.chart("share of days", "service");
         int colour = 0;
         for (String policy : policies) {
-            double[] all = sheet.where(at("policy", policy)).stream().mapToDouble(r -> r.number("service")).sorted().toArray();
+            double[] all = sheet.where(at("policy", policy)).stream()
+                    .mapToDouble(r -> r.number("service"))
+                    .sorted()
+                    .toArray();
             if (all.length > 0) {
                 double[] x = new double[all.length];
                 for (int i = 0; i < x.length; i++) {
--- a/src/main/java/puffinbarrow/emulator/Runs.java
+++ b/src/main/java/puffinbarrow/emulator/Runs.java
@@ -29,8 +29,25 @@
  * alone. What this machine took stands apart, in {@code timings.csv}.
  */
 public final class Runs {
-    public static final List<String> MEASURES = List.of("service", "worst", "intended", "in_budget", "late", "blocked", "dropped",
-            "p50_ms", "p99_ms", "p999_ms", "moves", "handed", "lines", "retried", "cut_off", "events", "broken", "troubles",
+    public static final List<String> MEASURES = List.of(
+            "service",
+            "worst",
+            "intended",
+            "in_budget",
+            "late",
+            "blocked",
+            "dropped",
+            "p50_ms",
+            "p99_ms",
+            "p999_ms",
+            "moves",
+            "handed",
+            "lines",
+            "retried",
+            "cut_off",
+            "events",
+            "broken",
+            "troubles",
             "failed");
     /** In the part file only. */
     private static final List<String> COSTS = List.of("wall_s", "decision_us_per_event", "decisions_share");
@@ -79,10 +96,26 @@
         List<String> row = new ArrayList<>(run.levels());
         row.add(run.policy());
         row.add(Long.toString(run.seed()));
-        row.addAll(List.of(number(o.service), number(o.worst), "" + o.intended, "" + o.inBudget, "" + o.late, "" + o.blocked,
-                "" + o.dropped, number(o.p50Ms), number(o.p99Ms), number(o.p999Ms), "" + o.moves, "" + o.handed,
-                "" + (long) o.linesSent, "" + o.retried, "" + o.cutOff, "" + o.events, o.broken,
-                String.join("+", experiment.troubles(run.seed())), o.failed == null ? "" : o.failed.replace('\n', ' ')));
+        row.addAll(List.of(
+                number(o.service),
+                number(o.worst),
+                "" + o.intended,
+                "" + o.inBudget,
+                "" + o.late,
+                "" + o.blocked,
+                "" + o.dropped,
+                number(o.p50Ms),
+                number(o.p99Ms),
+                number(o.p999Ms),
+                "" + o.moves,
+                "" + o.handed,
+                "" + (long) o.linesSent,
+                "" + o.retried,
+                "" + o.cutOff,
+                "" + o.events,
+                o.broken,
+                String.join("+", experiment.troubles(run.seed())),
+                o.failed == null ? "" : o.failed.replace('\n', ' ')));
         return row;
     }
 
@@ -93,7 +126,10 @@
     /** All rows in their order, played or read from an earlier, cut-off try; false if the folder is another experiment's. */
     public boolean play() throws IOException, InterruptedException {
         Files.createDirectories(folder);
-        String identity = Long.toHexString(Hashing.komihash5_0().hashStream().putString(experiment.identity()).getAsLong());
+        String identity = Long.toHexString(Hashing.komihash5_0()
+                .hashStream()
+                .putString(experiment.identity())
+                .getAsLong());
         Path mark = folder.resolve("experiment.id");
         if (Files.exists(mark) && !Files.readString(mark).trim().equals(identity)) {
             return false;
@@ -101,22 +137,26 @@
         Files.writeString(mark, identity + "\n");
         Path part = folder.resolve("runs.part.csv");
         Map<String, List<String>> rows = kept(part);
-        List<Experiment.Run> todo = experiment.runs().stream().filter(r -> !rows.containsKey(r.key())).toList();
+        List<Experiment.Run> todo = experiment.runs().stream()
+                .filter(r -> !rows.containsKey(r.key()))
+                .toList();
         int all = experiment.runs().size();
         if (!rows.isEmpty()) {
             progress.accept(rows.size() + " of " + all + " runs are there from an earlier try");
         }
         long began = System.nanoTime();
         ExecutorService pool = Executors.newFixedThreadPool(threads);
-        try (Writer out = Files.newBufferedWriter(part, StandardCharsets.UTF_8, StandardOpenOption.CREATE,
-                StandardOpenOption.APPEND)) {
+        try (Writer out = Files.newBufferedWriter(
+                part, StandardCharsets.UTF_8, StandardOpenOption.CREATE, StandardOpenOption.APPEND)) {
             for (Experiment.Run run : todo) {
                 pool.execute(() -> {
                     long from = System.nanoTime();
                     Outcome outcome = play(experiment.text(run), Policy.named(run.policy()), experiment.mostEvents);
                     double wall = (System.nanoTime() - from) / 1e9;
                     List<String> row = row(run, outcome);
-                    row.addAll(List.of(number(wall), number(outcome.decisionNs / 1e3 / Math.max(1, outcome.decisionEvents)),
+                    row.addAll(List.of(
+                            number(wall),
+                            number(outcome.decisionNs / 1e3 / Math.max(1, outcome.decisionEvents)),
                             number(outcome.decisionNs / 1e9 / wall)));
                     synchronized (rows) {
                         rows.put(run.key(), row);
@@ -126,9 +166,12 @@
                         } catch (IOException full) {
                             throw new java.io.UncheckedIOException(full);
                         }
-                        double left = (System.nanoTime() - began) / 1e9 / Math.max(1, rows.size() - (all - todo.size()))
+                        double left = (System.nanoTime() - began)
+                                / 1e9
+                                / Math.max(1, rows.size() - (all - todo.size()))
                                 * (all - rows.size());
-                        progress.accept(String.format(Locale.ROOT, "%d of %d runs, about %.0f s left", rows.size(), all, left));
+                        progress.accept(
+                                String.format(Locale.ROOT, "%d of %d runs, about %.0f s left", rows.size(), all, left));
                     }
                 });
             }
@@ -147,13 +190,16 @@
 
     private void finish(Map<String, List<String>> rows) throws IOException {
         int costs = COSTS.size();
-        StringBuilder results = new StringBuilder(CSVFormat.DEFAULT.format(columns().toArray())).append('\n');
+        StringBuilder results =
+                new StringBuilder(CSVFormat.DEFAULT.format(columns().toArray())).append('\n');
         List<String> timed = new ArrayList<>(columns().subList(0, experiment.factors.size() + 2));
         timed.addAll(COSTS);
         StringBuilder timings = new StringBuilder(CSVFormat.DEFAULT.format(timed.toArray())).append('\n');
         for (Experiment.Run run : experiment.runs()) {
             List<String> row = rows.get(run.key());
-            results.append(CSVFormat.DEFAULT.format(row.subList(0, row.size() - costs).toArray())).append('\n');
+            results.append(CSVFormat.DEFAULT.format(
+                            row.subList(0, row.size() - costs).toArray()))
+                    .append('\n');
             List<String> cost = new ArrayList<>(row.subList(0, experiment.factors.size() + 2));
             cost.addAll(row.subList(row.size() - costs, row.size()));
             timings.append(CSVFormat.DEFAULT.format(cost.toArray())).append('\n');
@@ -203,7 +249,8 @@
 
     private Experiment.Run run(List<String> row) {
         int factors = experiment.factors.size();
-        return new Experiment.Run(List.copyOf(row.subList(0, factors)), row.get(factors), Long.parseLong(row.get(factors + 1)));
+        return new Experiment.Run(
+                List.copyOf(row.subList(0, factors)), row.get(factors), Long.parseLong(row.get(factors + 1)));
     }
 
     private static List<List<String>> rows(Path file) throws IOException {
--- a/src/main/java/puffinbarrow/emulator/Search.java
+++ b/src/main/java/puffinbarrow/emulator/Search.java
@@ -27,7 +27,8 @@
         }
 
         public String told() {
-            return broken.isEmpty() ? String.format(Locale.ROOT, "loses %.3f of service", loss)
+            return broken.isEmpty()
+                    ? String.format(Locale.ROOT, "loses %.3f of service", loss)
                     : String.format(Locale.ROOT, "breaks %s, loses %.3f of service", broken, loss);
         }
     }
@@ -53,7 +54,8 @@
     private final Consumer<String> progress;
     private int played;
 
-    public Search(Experiment experiment, Policy policy, Policy against, long seed, int threads, Consumer<String> progress) {
+    public Search(
+            Experiment experiment, Policy policy, Policy against, long seed, int threads, Consumer<String> progress) {
         this.experiment = experiment;
         this.policy = policy;
         this.against = against;
@@ -74,16 +76,20 @@
                 // A batch is of a fixed size, so that the number of threads changes nothing.
                 for (int i = 0; i < 16 && played + i < days; i++) {
                     boolean fresh = played < days * AT_RANDOM || worst.isEmpty();
-                    batch.add(fresh ? new Candidate(next, experiment.draws(next++), null)
-                            : changed(worst.get(chance.nextInt(worst.size()))));
+                    batch.add(
+                            fresh
+                                    ? new Candidate(next, experiment.draws(next++), null)
+                                    : changed(worst.get(chance.nextInt(worst.size()))));
                 }
                 worst.addAll(judged(batch));
-                worst.sort(Comparator.comparingDouble((Candidate c) -> -c.find.badness()).thenComparing(c -> c.find.text));
+                worst.sort(Comparator.comparingDouble((Candidate c) -> -c.find.badness())
+                        .thenComparing(c -> c.find.text));
                 while (worst.size() > KEPT) {
                     worst.remove(worst.size() - 1);
                 }
                 played += batch.size();
-                progress.accept(played + " of " + days + " days; the worst " + worst.get(0).find.told());
+                progress.accept(played + " of " + days + " days; the worst "
+                        + worst.get(0).find.told());
             }
             Candidate found = worst.get(0);
             return found.find.badness() <= 0 ? null : shrunk(found).find;
@@ -161,7 +167,7 @@
     /** Line by line taken away, then durations halved, for as long as it stays as bad. */
     private Candidate shrunk(Candidate found) throws InterruptedException {
         Candidate best = found;
-        for (boolean again = true; again;) {
+        for (boolean again = true; again; ) {
             again = false;
             List<Candidate> cuts = new ArrayList<>();
             for (int i = 0; i < best.lines.size(); i++) {
@@ -175,8 +181,13 @@
                 Matcher lasts = LASTS.matcher(best.lines.get(i));
                 if (best.lines.get(i).startsWith("at ") && lasts.find() && Double.parseDouble(lasts.group(1)) > 1) {
                     List<String> shorter = new ArrayList<>(best.lines);
-                    shorter.set(i, lasts.replaceFirst(String.format(Locale.ROOT, "for %.2f%s", Double.parseDouble(lasts.group(1)) / 2,
-                            lasts.group(2))));
+                    shorter.set(
+                            i,
+                            lasts.replaceFirst(String.format(
+                                    Locale.ROOT,
+                                    "for %.2f%s",
+                                    Double.parseDouble(lasts.group(1)) / 2,
+                                    lasts.group(2))));
                     cuts.add(new Candidate(best.seed, shorter, null));
                 }
             }
--- a/src/main/java/puffinbarrow/emulator/Server.java
+++ b/src/main/java/puffinbarrow/emulator/Server.java
@@ -18,8 +18,16 @@
  */
 final class Server implements Machine {
     /** What a machine is. */
-    record Shape(int zone, int cell, int cores, double speed, double coldFrom, long coldNs, long dedupNs,
-            double fallMultiple, long fallNs) {}
+    record Shape(
+            int zone,
+            int cell,
+            int cores,
+            double speed,
+            double coldFrom,
+            long coldNs,
+            long dedupNs,
+            double fallMultiple,
+            long fallNs) {}
 
     /** A code as a proxy sees it; 0 is a broken stream. */
     static final int OK = 200, ERROR = 500, TURNED_AWAY = 503, RESET = 0, NOT_CONNECTED = -1;
@@ -55,6 +63,7 @@
     private final ArrayDeque<Job> waiting = new ArrayDeque<>();
     /** With shared cores: all in work, by the meter's reading at their end. */
     private final PriorityQueue<Job> sharing = new PriorityQueue<>();
+
     private final Map<Integer, Boolean> keys = new LinkedHashMap<>(64, 0.75f, true);
     private final LinkedHashMap<Long, Long> dedup = new LinkedHashMap<>();
     private final ArrayDeque<long[]> asked = new ArrayDeque<>();
@@ -329,8 +338,15 @@
             keys.remove(keys.keySet().iterator().next());
         }
         attempt.begun = true;
-        fleet.seen(new Seen.Ran(world.now(), id, shape.zone, shape.cell, attempt.flow.slice, attempt.flow.group,
-                attempt.flow.id, true));
+        fleet.seen(new Seen.Ran(
+                world.now(),
+                id,
+                shape.zone,
+                shape.cell,
+                attempt.flow.slice,
+                attempt.flow.group,
+                attempt.flow.id,
+                true));
         return job.work * (warm ? 1 - model.warmKeyGain : 1) + (attempt.opened ? model.handshakeNs : 0);
     }
 
@@ -371,8 +387,15 @@
     private void finished(Job job) {
         Proxy.Attempt attempt = job.attempt;
         done++;
-        fleet.seen(new Seen.Ran(world.now(), id, shape.zone, shape.cell, attempt.flow.slice, attempt.flow.group,
-                attempt.flow.id, false));
+        fleet.seen(new Seen.Ran(
+                world.now(),
+                id,
+                shape.zone,
+                shape.cell,
+                attempt.flow.slice,
+                attempt.flow.group,
+                attempt.flow.id,
+                false));
         if (shape.dedupNs > 0) {
             dedup.put(attempt.flow.id, world.now());
             while (world.now() - dedup.values().iterator().next() > shape.dedupNs) {
--- a/src/main/java/puffinbarrow/emulator/Sheet.java
+++ b/src/main/java/puffinbarrow/emulator/Sheet.java
@@ -50,8 +50,14 @@
 
     public static Sheet read(Path results) throws IOException {
         Sheet sheet = new Sheet();
-        try (CSVParser in = CSVParser.parse(results, StandardCharsets.UTF_8, CSVFormat.DEFAULT.builder().setHeader()
-                .setSkipHeaderRecord(true).build())) {
+        try (CSVParser in = CSVParser.parse(
+                results,
+                StandardCharsets.UTF_8,
+                CSVFormat.DEFAULT
+                        .builder()
+                        .setHeader()
+                        .setSkipHeaderRecord(true)
+                        .build())) {
             in.getHeaderNames().stream().takeWhile(n -> !n.equals("policy")).forEach(sheet.factors::add);
             in.forEach(record -> sheet.rows.add(new Row(new LinkedHashMap<>(record.toMap()))));
         }
@@ -80,8 +86,10 @@
                 ours.put(day(row), row.number(column));
             }
         }
-        return interval(where(which).stream().filter(r -> r.get("policy").equals(other) && ours.containsKey(day(r)))
-                .mapToDouble(r -> ours.get(day(r)) - r.number(column)).toArray());
+        return interval(where(which).stream()
+                .filter(r -> r.get("policy").equals(other) && ours.containsKey(day(r)))
+                .mapToDouble(r -> ours.get(day(r)) - r.number(column))
+                .toArray());
     }
 
     private String day(Row row) {
--- a/src/main/java/puffinbarrow/emulator/StoreModel.java
+++ b/src/main/java/puffinbarrow/emulator/StoreModel.java
@@ -272,8 +272,16 @@
         } else if (frame instanceof Frame.MemberRecord m) {
             Frame.MemberRecord before = members.get(m.number());
             if (m.revision() == (before == null ? 0 : before.revision())) {
-                Frame.MemberRecord next = new Frame.MemberRecord(0, ++revisions, m.number(), m.incarnation(), m.beat(),
-                        m.settled(), m.leaving(), m.dead(), m.flaps());
+                Frame.MemberRecord next = new Frame.MemberRecord(
+                        0,
+                        ++revisions,
+                        m.number(),
+                        m.incarnation(),
+                        m.beat(),
+                        m.settled(),
+                        m.leaving(),
+                        m.dead(),
+                        m.flaps());
                 members.put(m.number(), next);
                 watchers(next);
                 written(from, m.id(), true);
@@ -283,7 +291,8 @@
         } else if (frame instanceof Frame.VoiceRecord v && v.slice() >= 0 && v.slice() < slices) {
             Frame.VoiceRecord before = voices.get(v.slice());
             if (v.revision() == (before == null ? 0 : before.revision())) {
-                Frame.VoiceRecord next = new Frame.VoiceRecord(0, ++revisions, v.slice(), v.owner(), v.incarnation(), v.term());
+                Frame.VoiceRecord next =
+                        new Frame.VoiceRecord(0, ++revisions, v.slice(), v.owner(), v.incarnation(), v.term());
                 voices.put(v.slice(), next);
                 voiceChanged(next);
                 watchers(next);
@@ -331,7 +340,8 @@
         Map<Integer, Long> terms = new TreeMap<>();
         orders.terms().forEach(t -> terms.put(t.slice(), t.term()));
         for (Order order : orders.orders()) {
-            int slice = order instanceof Order.SetLine o ? o.table() : order instanceof Order.ClearTable c ? c.table() : -1;
+            int slice =
+                    order instanceof Order.SetLine o ? o.table() : order instanceof Order.ClearTable c ? c.table() : -1;
             if (slice < 0 || slice >= slices) {
                 continue;
             }
--- a/src/main/java/puffinbarrow/emulator/Table.java
+++ b/src/main/java/puffinbarrow/emulator/Table.java
@@ -41,7 +41,8 @@
         if (order == lastOrder) {
             return lastResult;
         }
-        Table result = sole && order.weight() > 0 ? new Table(new Server[] {server}, new double[] {order.weight()})
+        Table result = sole && order.weight() > 0
+                ? new Table(new Server[] {server}, new double[] {order.weight()})
                 : changed(server, order.weight());
         if (this != EMPTY) {
             lastOrder = order;
--- a/src/main/java/puffinbarrow/emulator/World.java
+++ b/src/main/java/puffinbarrow/emulator/World.java
@@ -39,8 +39,12 @@
 
     /** Of one part's own, whatever other parts there are. */
     public UniformRandomProvider chance(String part, int number) {
-        return RandomSource.XO_RO_SHI_RO_128_PP.create(Hashing.komihash5_0().hashStream().putLong(seed).putString(part)
-                .putInt(number).getAsLong());
+        return RandomSource.XO_RO_SHI_RO_128_PP.create(Hashing.komihash5_0()
+                .hashStream()
+                .putLong(seed)
+                .putString(part)
+                .putInt(number)
+                .getAsLong());
     }
 
     /** What lies in the past is done now. */
--- a/src/main/java/puffinbarrow/lease/Lease.java
+++ b/src/main/java/puffinbarrow/lease/Lease.java
@@ -27,7 +27,13 @@
     public record Settings(int number, int slices, long ns, int takesPerTick) {}
 
     /** Parts of the protocol that a check may leave out, to show that it is they that hold it. */
-    enum Guard { MARGIN, NEW_LIFE_AFTER_LAPSE, EXPECTED_REVISION, STOPS_WHEN_LAPSED, CLOSED_FIRST }
+    enum Guard {
+        MARGIN,
+        NEW_LIFE_AFTER_LAPSE,
+        EXPECTED_REVISION,
+        STOPS_WHEN_LAPSED,
+        CLOSED_FIRST
+    }
 
     /** Twice the 5% by which clocks may drift: one clock may run fast while the other runs slow. */
     static final double MARGIN = 0.1;
@@ -40,11 +46,32 @@
     /** Balance is worth a hand-over only once members have not changed for so many leases. */
     private static final int CALM = 2;
 
-    enum State { IDLE, TAKING, SPEAKING, GIVING }
+    enum State {
+        IDLE,
+        TAKING,
+        SPEAKING,
+        GIVING
+    }
 
-    private enum Input { TAKE, GIVE, WON, LOST, SEEN_MINE, SEEN_OTHER, LAPSE }
+    private enum Input {
+        TAKE,
+        GIVE,
+        WON,
+        LOST,
+        SEEN_MINE,
+        SEEN_OTHER,
+        LAPSE
+    }
 
-    private enum Effect { NOTHING, WRITE_MINE, WRITE_OTHERS, BEGIN, END_LAPSED, END_HANDED, END_TAKEN }
+    private enum Effect {
+        NOTHING,
+        WRITE_MINE,
+        WRITE_OTHERS,
+        BEGIN,
+        END_LAPSED,
+        END_HANDED,
+        END_TAKEN
+    }
 
     private record Row(State in, Input on, State to, Effect effect) {}
 
@@ -76,6 +103,7 @@
         long revision;
         /** The write on its way, or 0. */
         long call;
+
         long expected, sentAt;
         Voice asked;
     }
@@ -86,6 +114,7 @@
         long revision;
         /** When its latest beat was seen, by this member's clock. */
         long beatAt;
+
         long markCall, markedAt;
         /** Lives that another replaced, and when that was seen: they may speak until their lease has run out. */
         final TreeMap<Long, Long> former = new TreeMap<>();
@@ -108,6 +137,7 @@
     private long speakUntil = Long.MIN_VALUE;
     /** The beat on its way: its call, when it was first sent and last sent. */
     private long beatCall;
+
     private Member beatAsked;
     private long beatSentAt, beatRetryAt, beatRevision;
     private long nextBeatAt;
@@ -115,6 +145,7 @@
     private int[] shares;
     /** Slices that may be out of place: a look leaves out all others, which are nearly all in a calm fleet. */
     private final BitSet touched = new BitSet();
+
     private Set<Integer> sharers = Set.of();
     private long sharesSince;
     private boolean saidLeft;
@@ -300,7 +331,10 @@
 
     /** Members in this one's eyes, living ones only. */
     public Collection<Member> living(long now) {
-        return members.values().stream().filter(s -> alive(s, now)).map(s -> s.member).toList();
+        return members.values().stream()
+                .filter(s -> alive(s, now))
+                .map(s -> s.member)
+                .toList();
     }
 
     // ---- This member's own lease.
@@ -334,7 +368,9 @@
         if (now < nextBeatAt) {
             return;
         }
-        if (own != null && own.member.incarnation() != incarnation && !standing
+        if (own != null
+                && own.member.incarnation() != incarnation
+                && !standing
                 && own.former.containsKey(incarnation)) {
             // Its own number is held by a process that came later.
             renewLife(now);
@@ -457,8 +493,12 @@
                 s.sentAt = now;
                 out.add(new Step.WriteVoice(s.call, i, s.expected, s.asked));
                 left--;
-            } else if (s.state == State.IDLE && s.call == 0 && shares[i] == settings.number && !leaving
-                    && (together || s.voice.owner() >= 0) && !spoken(s.voice, now)) {
+            } else if (s.state == State.IDLE
+                    && s.call == 0
+                    && shares[i] == settings.number
+                    && !leaving
+                    && (together || s.voice.owner() >= 0)
+                    && !spoken(s.voice, now)) {
                 act(i, Input.TAKE, now);
                 left--;
             } else if (s.state == State.SPEAKING && shares[i] >= 0 && shares[i] != settings.number && calm) {
@@ -517,7 +557,7 @@
             case BEGIN -> out.add(new Step.Begin(slice, s.voice.term()));
             case END_LAPSED -> out.add(new Step.End(slice, Step.Why.LAPSED));
             case END_TAKEN -> out.add(new Step.End(slice, Step.Why.TAKEN_BY_ANOTHER));
-            default -> { }
+            default -> {}
         }
     }
 
--- a/src/main/java/puffinbarrow/lease/Pause.java
+++ b/src/main/java/puffinbarrow/lease/Pause.java
@@ -25,9 +25,11 @@
         Order.SetLine next;
         /** The emptying under way, or 0. */
         long mark;
+
         final TreeSet<Integer> waiting = new TreeSet<>();
         /** Not before then, whoever has answered. */
         long untilNs;
+
         boolean emptying;
     }
 
@@ -36,6 +38,7 @@
     private final TreeMap<Integer, Slice> slices = new TreeMap<>();
     /** When a stream broke last: that proxy goes on for its lease. */
     private long leftAt = Long.MIN_VALUE / 2;
+
     private int marks;
     private long changes;
 
@@ -67,7 +70,9 @@
         for (Order order : orders) {
             if (order instanceof Order.SetLine o && slices.containsKey(o.table())) {
                 Slice s = slices.get(o.table());
-                if (o.weight() <= 0 ? o.server().equals(s.owner) : s.owner != null && !o.server().equals(s.owner)) {
+                if (o.weight() <= 0
+                        ? o.server().equals(s.owner)
+                        : s.owner != null && !o.server().equals(s.owner)) {
                     begin(now, s, o.table(), out, begun, joined);
                 }
                 if (o.weight() > 0) {
@@ -157,7 +162,9 @@
 
     /** Slices that wait for an owner. */
     public int pausing() {
-        return (int) slices.values().stream().filter(s -> s.emptying && s.next != null).count();
+        return (int) slices.values().stream()
+                .filter(s -> s.emptying && s.next != null)
+                .count();
     }
 
     public long changes() {
--- a/src/main/java/puffinbarrow/lease/Shares.java
+++ b/src/main/java/puffinbarrow/lease/Shares.java
@@ -14,6 +14,7 @@
 public final class Shares {
     /** Room above the even part: smaller is more even but moves more slices that none of the changed members held. */
     static final double ROOM = 1.05;
+
     private static final Hasher64 HASH = Hashing.komihash5_0();
 
     private Shares() {}
@@ -25,7 +26,8 @@
         if (members.isEmpty()) {
             return shares;
         }
-        int[] numbers = new TreeSet<>(members).stream().mapToInt(Integer::intValue).toArray();
+        int[] numbers =
+                new TreeSet<>(members).stream().mapToInt(Integer::intValue).toArray();
         int most = (int) Math.ceil(ROOM * slices / numbers.length);
         int[] held = new int[numbers.length];
         HashStream64 hash = HASH.hashStream();
--- a/src/main/java/puffinbarrow/lease/Simulation.java
+++ b/src/main/java/puffinbarrow/lease/Simulation.java
@@ -19,7 +19,17 @@
  * terms that go back, orders that take effect twice, and at the end, all healed, for slices without their voice.
  */
 public final class Simulation {
-    public enum Kind { KILL, PAUSE, CUT, STORE_DOWN, STORE_SLOW, ANSWERS_LOST, FLAP, LEAVE, JUMP }
+    public enum Kind {
+        KILL,
+        PAUSE,
+        CUT,
+        STORE_DOWN,
+        STORE_SLOW,
+        ANSWERS_LOST,
+        FLAP,
+        LEAVE,
+        JUMP
+    }
 
     /** Something that goes wrong; number is the member concerned. */
     public record Fault(Kind kind, long atNs, long forNs, int number) {}
@@ -28,12 +38,27 @@
      * @param drift the most by which clocks differ in rate, as a part
      * @param jumps clocks may jump too: then two may speak at once for a while, and only the fence is looked at
      */
-    public record Plan(long seed, int members, int slices, int proxies, long leaseNs, long lengthNs, double drift,
-            boolean jumps, List<Fault> faults) {}
+    public record Plan(
+            long seed,
+            int members,
+            int slices,
+            int proxies,
+            long leaseNs,
+            long lengthNs,
+            double drift,
+            boolean jumps,
+            List<Fault> faults) {}
 
     /** What came of it; broken is null if all held. */
-    public record Outcome(String broken, long steps, Histogram silentMs, long writes, long moves, long refused,
-            long doubled, int unevenness) {}
+    public record Outcome(
+            String broken,
+            long steps,
+            Histogram silentMs,
+            long writes,
+            long moves,
+            long refused,
+            long doubled,
+            int unevenness) {}
 
     private record Event(long atNs, long number, Runnable work) implements Comparable<Event> {
         @Override
@@ -48,6 +73,7 @@
 
     /** Quiet time at the end in which all must settle: the longest wait of a flapping member and some leases more. */
     private static final int QUIET_LEASES = 46;
+
     private static final long MS = 1_000_000;
 
     private final Plan plan;
@@ -92,8 +118,8 @@
     }
 
     /** A plan with faults drawn from the seed. */
-    public static Plan plan(long seed, int members, int slices, long leaseNs, long lengthNs, double drift,
-            boolean jumps) {
+    public static Plan plan(
+            long seed, int members, int slices, long leaseNs, long lengthNs, double drift, boolean jumps) {
         UniformRandomProvider chance = RandomSource.XO_RO_SHI_RO_128_PP.create(seed * 31 + 7);
         List<Fault> faults = new ArrayList<>();
         // About one every three leases, so that troubles overlap.
@@ -114,8 +140,16 @@
             for (int i = 0; i < least.faults.size(); i++) {
                 List<Fault> fewer = new ArrayList<>(least.faults);
                 fewer.remove(i);
-                Plan next = new Plan(plan.seed, plan.members, plan.slices, plan.proxies, plan.leaseNs, plan.lengthNs,
-                        plan.drift, plan.jumps, fewer);
+                Plan next = new Plan(
+                        plan.seed,
+                        plan.members,
+                        plan.slices,
+                        plan.proxies,
+                        plan.leaseNs,
+                        plan.lengthNs,
+                        plan.drift,
+                        plan.jumps,
+                        fewer);
                 if (run(next, without, fenced).broken() != null) {
                     least = next;
                     smaller = true;
@@ -250,7 +284,7 @@
                 after(6.0 * plan.leaseNs, host::die);
                 after(8.0 * plan.leaseNs, host::start);
             }
-            // Forward or back by as much as it would last.
+                // Forward or back by as much as it would last.
             case JUMP -> host.offset += fault.atNs % 2 == 0 ? fault.forNs : -fault.forNs;
             default -> throw new IllegalStateException(fault.kind.name());
         }
@@ -268,6 +302,7 @@
         int paused, cut, deafTo;
         /** Counts processes and streams: what belongs to a former one is lost. */
         int life, stream;
+
         boolean up;
         long lastDelivery, offset;
 
@@ -286,8 +321,10 @@
             }
             life++;
             leaving = false;
-            lease = new Lease(new Lease.Settings(number, plan.slices, plan.leaseNs, Math.max(4, plan.slices / 20)),
-                    incarnations++ << 20, without);
+            lease = new Lease(
+                    new Lease.Settings(number, plan.slices, plan.leaseNs, Math.max(4, plan.slices / 20)),
+                    incarnations++ << 20,
+                    without);
             outbound.clear();
             dial();
             tick(life);
@@ -350,8 +387,9 @@
         }
 
         boolean speaks(int slice) {
-            return lease != null && lease.speaks(slice) && (local() < lease.speakUntilNs()
-                    || without.contains(Lease.Guard.STOPS_WHEN_LAPSED));
+            return lease != null
+                    && lease.speaks(slice)
+                    && (local() < lease.speakUntilNs() || without.contains(Lease.Guard.STOPS_WHEN_LAPSED));
         }
 
         /** Sends orders now and then for what it speaks for. */
@@ -398,8 +436,8 @@
             if (mine != stream || !up) {
                 return;
             }
-            lastDelivery = Math.max(lastDelivery, now + (long) ((1 + 10 * chance.nextDouble() * chance.nextDouble()) * MS
-                    * storeSlow));
+            lastDelivery = Math.max(
+                    lastDelivery, now + (long) ((1 + 10 * chance.nextDouble() * chance.nextDouble()) * MS * storeSlow));
             int stands = life;
             at(lastDelivery, () -> {
                 if (mine == stream && stands == life) {
@@ -409,7 +447,8 @@
         }
 
         List<Step> seen(String key, Record record) {
-            return key.startsWith("m") ? lease.member(local(), record.revision, (Member) record.value)
+            return key.startsWith("m")
+                    ? lease.member(local(), record.revision, (Member) record.value)
                     : lease.voice(local(), Integer.parseInt(key.substring(1)), record.revision, (Voice) record.value);
         }
 
@@ -418,7 +457,8 @@
                 if (step instanceof Step.Write write) {
                     if (up) {
                         int mine = stream;
-                        after((1 + 10 * chance.nextDouble() * chance.nextDouble()) * MS * storeSlow,
+                        after(
+                                (1 + 10 * chance.nextDouble() * chance.nextDouble()) * MS * storeSlow,
                                 () -> arrives(this, mine, write));
                     }
                 } else if (step instanceof Step.Begin begin) {
@@ -434,7 +474,8 @@
         String claim = host.number + "/" + host.lease.incarnation();
         String before = claims.putIfAbsent((long) begin.slice() << 32 | begin.term(), claim);
         if (before != null && !before.equals(claim)) {
-            fail("term " + begin.term() + " of slice " + begin.slice() + " has two voices, " + before + " and " + claim);
+            fail("term " + begin.term() + " of slice " + begin.slice() + " has two voices, " + before + " and "
+                    + claim);
         }
         for (Host other : hosts) {
             if (other != host && other.speaks(begin.slice()) && !plan.jumps) {
@@ -463,12 +504,16 @@
             return;
         }
         writes++;
-        String key = write instanceof Step.WriteMember m ? "m" + m.value().number() : "v" + ((Step.WriteVoice) write).slice();
+        String key = write instanceof Step.WriteMember m
+                ? "m" + m.value().number()
+                : "v" + ((Step.WriteVoice) write).slice();
         Object value = write instanceof Step.WriteMember w ? w.value() : ((Step.WriteVoice) write).value();
         Record record = store.getOrDefault(key, new Record(0, null));
         boolean applied = write.expected() == record.revision || write.expected() < 0;
         if (applied) {
-            if (value instanceof Voice voice && record.value instanceof Voice before && voice.term() <= before.term()
+            if (value instanceof Voice voice
+                    && record.value instanceof Voice before
+                    && voice.term() <= before.term()
                     && fenced) {
                 fail("slice " + key + ": the store is told term " + voice.term() + " after " + before.term());
             }
@@ -479,8 +524,9 @@
             }
             if (value instanceof Voice voice) {
                 for (Proxy proxy : proxies) {
-                    after((5 + 200 * chance.nextDouble()) * MS, () -> proxy.told(Integer.parseInt(key.substring(1)),
-                            voice.term()));
+                    after(
+                            (5 + 200 * chance.nextDouble()) * MS,
+                            () -> proxy.told(Integer.parseInt(key.substring(1)), voice.term()));
                 }
             }
         }
--- a/src/main/java/puffinbarrow/lease/Step.java
+++ b/src/main/java/puffinbarrow/lease/Step.java
@@ -25,5 +25,9 @@
     /** A leaving member holds nothing any more. */
     record Left() implements Step {}
 
-    enum Why { LAPSED, HANDED_ON, TAKEN_BY_ANOTHER }
+    enum Why {
+        LAPSED,
+        HANDED_ON,
+        TAKEN_BY_ANOTHER
+    }
 }
--- a/src/main/java/puffinbarrow/load/Arrivals.java
+++ b/src/main/java/puffinbarrow/load/Arrivals.java
@@ -30,8 +30,10 @@
         this.works = source(4);
         this.bursts = source(5);
         this.ways = source(6);
-        groupEnds = ends(scenario.groups.stream().mapToDouble(Scenario.Group::share).toArray());
-        targetEnds = ends(scenario.targetParts.stream().mapToDouble(Double::doubleValue).toArray());
+        groupEnds =
+                ends(scenario.groups.stream().mapToDouble(Scenario.Group::share).toArray());
+        targetEnds = ends(
+                scenario.targetParts.stream().mapToDouble(Double::doubleValue).toArray());
         evenTargets = scenario.targetParts.stream().distinct().count() <= 1;
         UniformRandomProvider sizes = source(7);
         double[] slices = new double[scenario.slices];
@@ -125,7 +127,8 @@
     private Flow flow() {
         int group = draw(groupEnds, kinds.nextDouble());
         // Targets of the same weight are taken in turn, as a client's list of addresses is.
-        int target = !evenTargets ? draw(targetEnds, ways.nextDouble())
+        int target = !evenTargets
+                ? draw(targetEnds, ways.nextDouble())
                 : scenario.targets.isEmpty() ? 0 : (int) (number % scenario.targets.size());
         return new Flow(number++, at, group, target, key(), work(scenario.groups.get(group)), null);
     }
@@ -138,8 +141,8 @@
         if (group.workSpread() > 0) {
             double gauss = StrictMath.sqrt(-2 * StrictMath.log(1 - works.nextDouble()))
                     * StrictMath.cos(2 * Math.PI * works.nextDouble());
-            work = group.workNs() * StrictMath.exp(group.workSpread() * gauss
-                    - group.workSpread() * group.workSpread() / 2);
+            work = group.workNs()
+                    * StrictMath.exp(group.workSpread() * gauss - group.workSpread() * group.workSpread() / 2);
         } else {
             work = exponential(works, group.workNs());
         }
@@ -160,7 +163,8 @@
                 if (draw < h.share()) {
                     // Each crowd is on keys of its own, so that hot keys move.
                     long hotKey = i * 7919L + (long) (draw / h.share() * h.keys());
-                    return scenario.slices == 0 ? (int) (hotKey % scenario.keys)
+                    return scenario.slices == 0
+                            ? (int) (hotKey % scenario.keys)
                             : inSlice((int) (hotKey % scenario.slices));
                 }
                 draw = (draw - h.share()) / (1 - h.share());
@@ -182,7 +186,9 @@
     }
 
     private double inverse(double y) {
-        return scenario.zipf == 1 ? StrictMath.exp(y) : StrictMath.pow(y * (1 - scenario.zipf), 1 / (1 - scenario.zipf));
+        return scenario.zipf == 1
+                ? StrictMath.exp(y)
+                : StrictMath.pow(y * (1 - scenario.zipf), 1 / (1 - scenario.zipf));
     }
 
     private static double exponential(UniformRandomProvider from, double mean) {
--- a/src/main/java/puffinbarrow/load/Charts.java
+++ b/src/main/java/puffinbarrow/load/Charts.java
@@ -26,9 +26,17 @@
     /** Up to five nines: more would be a few flows of a run. */
     private static final double MOST_NINES = 1e5;
     /** Good is green, late amber, turned away blue, lost reds, never sent grey. */
-    private static final Color[] OUTCOMES = {new Color(0x4c, 0x9f, 0x70), new Color(0xe0, 0xb1, 0x3c),
-        new Color(0x4f, 0x81, 0xbd), new Color(0xc0, 0x39, 0x2b), new Color(0x8e, 0x2f, 0x5c), new Color(0xd9, 0x7c, 0x5e),
-        new Color(0xa9, 0x50, 0x3f), new Color(0x6b, 0x2a, 0x1e), new Color(0x99, 0x99, 0x99)};
+    private static final Color[] OUTCOMES = {
+        new Color(0x4c, 0x9f, 0x70),
+        new Color(0xe0, 0xb1, 0x3c),
+        new Color(0x4f, 0x81, 0xbd),
+        new Color(0xc0, 0x39, 0x2b),
+        new Color(0x8e, 0x2f, 0x5c),
+        new Color(0xd9, 0x7c, 0x5e),
+        new Color(0xa9, 0x50, 0x3f),
+        new Color(0x6b, 0x2a, 0x1e),
+        new Color(0x99, 0x99, 0x99)
+    };
 
     static {
         System.setProperty("java.awt.headless", "true");
@@ -49,12 +57,18 @@
 
     /** As a data address. */
     public static String picture(Chart<?, ?> chart) throws IOException {
-        return "data:image/png;base64," + Base64.getEncoder().encodeToString(BitmapEncoder.getBitmapBytes(chart,
-                BitmapEncoder.BitmapFormat.PNG));
+        return "data:image/png;base64,"
+                + Base64.getEncoder()
+                        .encodeToString(BitmapEncoder.getBitmapBytes(chart, BitmapEncoder.BitmapFormat.PNG));
     }
 
     public static XYChart chart(String x, String y) {
-        XYChart chart = new XYChartBuilder().width(WIDTH).height(HEIGHT).xAxisTitle(x).yAxisTitle(y).build();
+        XYChart chart = new XYChartBuilder()
+                .width(WIDTH)
+                .height(HEIGHT)
+                .xAxisTitle(x)
+                .yAxisTitle(y)
+                .build();
         style(chart.getStyler());
         return chart;
     }
@@ -113,16 +127,24 @@
     private static XYChart overTime(Result result) {
         XYChart chart = chart("s", "ms");
         for (double q : SHOWN) {
-            line(chart, q == 100 ? "max" : "p" + (int) q, result,
-                    s -> s.latency.getTotalCount() == 0 ? Double.NaN
-                    : Math.max(0.01, s.latency.getValueAtPercentile(q) / 1e3));
+            line(
+                    chart,
+                    q == 100 ? "max" : "p" + (int) q,
+                    result,
+                    s -> s.latency.getTotalCount() == 0
+                            ? Double.NaN
+                            : Math.max(0.01, s.latency.getValueAtPercentile(q) / 1e3));
         }
         chart.getStyler().setYAxisLogarithmic(true);
         return chart;
     }
 
     private static CategoryChart outcomes(Result result) {
-        CategoryChart chart = new CategoryChartBuilder().width(WIDTH).height(HEIGHT).xAxisTitle("s").yAxisTitle("flows")
+        CategoryChart chart = new CategoryChartBuilder()
+                .width(WIDTH)
+                .height(HEIGHT)
+                .xAxisTitle("s")
+                .yAxisTitle("flows")
                 .build();
         style(chart.getStyler());
         chart.getStyler().setStacked(true);
@@ -138,7 +160,10 @@
         }
         for (Result.Outcome outcome : Result.Outcome.values()) {
             if (result.all.count(outcome) > 0) {
-                chart.addSeries(Report.word(outcome), x, steps.stream().map(s -> s.count(outcome)).toList())
+                chart.addSeries(
+                                Report.word(outcome),
+                                x,
+                                steps.stream().map(s -> s.count(outcome)).toList())
                         .setFillColor(OUTCOMES[outcome.ordinal()]);
             }
         }
@@ -163,7 +188,9 @@
         List<Double> x = new ArrayList<>();
         List<Double> y = new ArrayList<>();
         // Eight points a decade, no further than there are flows to tell.
-        for (double nines = 1; nines <= Math.min(MOST_NINES, Math.max(1, of.getTotalCount())); nines *= Math.pow(10, 0.125)) {
+        for (double nines = 1;
+                nines <= Math.min(MOST_NINES, Math.max(1, of.getTotalCount()));
+                nines *= Math.pow(10, 0.125)) {
             x.add(nines);
             y.add(Math.max(0.001, of.getValueAtPercentile(100 * (1 - 1 / nines)) / 1e3));
         }
--- a/src/main/java/puffinbarrow/load/Compare.java
+++ b/src/main/java/puffinbarrow/load/Compare.java
@@ -28,8 +28,8 @@
         Map<String, double[]> left = columns(a);
         Map<String, double[]> right = columns(b);
         UniformRandomProvider chance = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
-        StringBuilder text = new StringBuilder(String.format("%-14s %12s %12s %26s%n", "by second", "A", "B",
-                "B - A, 95% interval"));
+        StringBuilder text = new StringBuilder(
+                String.format("%-14s %12s %12s %26s%n", "by second", "A", "B", "B - A, 95% interval"));
         for (String column : left.keySet()) {
             double[] x = left.get(column);
             double[] y = right.get(column);
@@ -46,8 +46,15 @@
             Arrays.sort(differences);
             double low = differences[(int) (RESAMPLES * 0.025)];
             double high = differences[(int) (RESAMPLES * 0.975)];
-            text.append(String.format(Locale.ROOT, "%-14s %12.1f %12.1f %12.1f to %-10.1f %s%n", column, mean(x), mean(y),
-                    low, high, low <= 0 && high >= 0 ? "noise" : "differs"));
+            text.append(String.format(
+                    Locale.ROOT,
+                    "%-14s %12.1f %12.1f %12.1f to %-10.1f %s%n",
+                    column,
+                    mean(x),
+                    mean(y),
+                    low,
+                    high,
+                    low <= 0 && high >= 0 ? "noise" : "differs"));
         }
         return text.toString();
     }
@@ -77,7 +84,11 @@
         Map<String, double[]> columns = new TreeMap<>();
         for (int c = 0; c < names.length; c++) {
             int column = c;
-            columns.put(names[c], rows.stream().mapToDouble(r -> Double.parseDouble(r[column])).toArray());
+            columns.put(
+                    names[c],
+                    rows.stream()
+                            .mapToDouble(r -> Double.parseDouble(r[column]))
+                            .toArray());
         }
         return columns;
     }
--- a/src/main/java/puffinbarrow/load/Engine.java
+++ b/src/main/java/puffinbarrow/load/Engine.java
@@ -49,8 +49,12 @@
     /** What the system lets this process still open, less what it needs for itself. */
     private static int handles() {
         return ManagementFactory.getOperatingSystemMXBean() instanceof com.sun.management.UnixOperatingSystemMXBean os
-                ? (int) Math.max(1, Math.min(Integer.MAX_VALUE, os.getMaxFileDescriptorCount()
-                - os.getOpenFileDescriptorCount() - SPARE_HANDLES)) : Integer.MAX_VALUE;
+                ? (int) Math.max(
+                        1,
+                        Math.min(
+                                Integer.MAX_VALUE,
+                                os.getMaxFileDescriptorCount() - os.getOpenFileDescriptorCount() - SPARE_HANDLES))
+                : Integer.MAX_VALUE;
     }
 
     public static Source source(Scenario scenario) throws IOException {
@@ -126,9 +130,17 @@
                 all.add(some[i]);
             }
             if (progress != null && beganAt + second * SECOND <= System.nanoTime()) {
-                progress.printf(Locale.ROOT, "%4d s  intended %6d/s  ended %6d/s  open %6d  p50 %8.2f ms  p99 %8.2f ms  "
-                        + "this host late %.1f ms%n", second, nowIntended - intended, nowSent - sent, openFlows(),
-                        all.getValueAtPercentile(50) / 1e3, all.getValueAtPercentile(99) / 1e3, hostLateUs / 1e3);
+                progress.printf(
+                        Locale.ROOT,
+                        "%4d s  intended %6d/s  ended %6d/s  open %6d  p50 %8.2f ms  p99 %8.2f ms  "
+                                + "this host late %.1f ms%n",
+                        second,
+                        nowIntended - intended,
+                        nowSent - sent,
+                        openFlows(),
+                        all.getValueAtPercentile(50) / 1e3,
+                        all.getValueAtPercentile(99) / 1e3,
+                        hostLateUs / 1e3);
                 hostLateUs = 0;
             }
             intended = nowIntended;
@@ -158,7 +170,8 @@
 
     private static long gcMs() {
         return ManagementFactory.getGarbageCollectorMXBeans().stream()
-                .mapToLong(GarbageCollectorMXBean::getCollectionTime).sum();
+                .mapToLong(GarbageCollectorMXBean::getCollectionTime)
+                .sum();
     }
 
     @Override
--- a/src/main/java/puffinbarrow/load/Feeder.java
+++ b/src/main/java/puffinbarrow/load/Feeder.java
@@ -10,6 +10,7 @@
 final class Feeder implements AutoCloseable {
     /** A tenth of a second at 40,000 flows a second and sender: longer than a source pauses to read or to collect. */
     private static final int AHEAD = 4096;
+
     private static final Flow END = new Flow(-1, Long.MAX_VALUE, 0, 0, 0, 0, null);
 
     /** What one sender takes. */
--- a/src/main/java/puffinbarrow/load/Html.java
+++ b/src/main/java/puffinbarrow/load/Html.java
@@ -28,13 +28,20 @@
     private Html() {}
 
     static void write(Path file, Scenario scenario, Result result) throws IOException {
-        write(file, "Load run, seed " + scenario.seed, "Figures of one machine: sender and target share it.", scenario,
-                result, List.of(), Report.text(scenario, result));
+        write(
+                file,
+                "Load run, seed " + scenario.seed,
+                "Figures of one machine: sender and target share it.",
+                scenario,
+                result,
+                List.of(),
+                Report.text(scenario, result));
     }
 
     /** @param rules lines told with the figures, the first word of each being "kept" or "BROKEN"; none for a plain run */
-    public static void write(Path file, String title, String note, Scenario scenario, Result result, List<String> rules,
-            String text) throws IOException {
+    public static void write(
+            Path file, String title, String note, Scenario scenario, Result result, List<String> rules, String text)
+            throws IOException {
         Map<String, Object> model = new LinkedHashMap<>();
         model.put("title", title);
         model.put("note", note);
@@ -44,8 +51,20 @@
         model.put("busy", result.hostBusy());
         model.put("whole", result.whole());
         model.put("rows", rows(scenario, result));
-        model.put("columns", List.of("group", "intended", "in budget", "late", "blocked", "lost", "never sent", "p50 ms",
-                "p99 ms", "p99.9 ms", "max ms"));
+        model.put(
+                "columns",
+                List.of(
+                        "group",
+                        "intended",
+                        "in budget",
+                        "late",
+                        "blocked",
+                        "lost",
+                        "never sent",
+                        "p50 ms",
+                        "p99 ms",
+                        "p99.9 ms",
+                        "max ms"));
         write(file, "page.ftlh", model);
     }
 
@@ -68,11 +87,18 @@
     }
 
     private static List<String> row(String name, Result.Part part) {
-        long told = part.count(Result.Outcome.IN_BUDGET) + part.count(Result.Outcome.LATE)
-                + part.count(Result.Outcome.BLOCKED) + part.count(Result.Outcome.NEVER_SENT);
+        long told = part.count(Result.Outcome.IN_BUDGET)
+                + part.count(Result.Outcome.LATE)
+                + part.count(Result.Outcome.BLOCKED)
+                + part.count(Result.Outcome.NEVER_SENT);
         List<String> cells = new ArrayList<>(List.of(name, Long.toString(part.ended())));
-        for (long count : new long[] {part.count(Result.Outcome.IN_BUDGET), part.count(Result.Outcome.LATE),
-            part.count(Result.Outcome.BLOCKED), part.ended() - told, part.count(Result.Outcome.NEVER_SENT)}) {
+        for (long count : new long[] {
+            part.count(Result.Outcome.IN_BUDGET),
+            part.count(Result.Outcome.LATE),
+            part.count(Result.Outcome.BLOCKED),
+            part.ended() - told,
+            part.count(Result.Outcome.NEVER_SENT)
+        }) {
             cells.add(Long.toString(count));
         }
         for (double q : new double[] {50, 99, 99.9, 100}) {
--- a/src/main/java/puffinbarrow/load/Report.java
+++ b/src/main/java/puffinbarrow/load/Report.java
@@ -19,9 +19,14 @@
     private Report() {}
 
     public static String text(Scenario scenario, Result result) {
-        StringBuilder text = new StringBuilder(String.format(Locale.ROOT, "%nintended %d, outcomes %d%s; utility in budget "
-                + "%.4f; retries %d; connections made %d%n", result.intended, result.all.ended(), result.whole() ? ""
-                : "  NOT EQUAL", result.utilityAsked == 0 ? 1 : result.utilityGot / result.utilityAsked, result.retries,
+        StringBuilder text = new StringBuilder(String.format(
+                Locale.ROOT,
+                "%nintended %d, outcomes %d%s; utility in budget " + "%.4f; retries %d; connections made %d%n",
+                result.intended,
+                result.all.ended(),
+                result.whole() ? "" : "  NOT EQUAL",
+                result.utilityAsked == 0 ? 1 : result.utilityGot / result.utilityAsked,
+                result.retries,
                 result.connections));
         row(text, "all", result.all);
         for (int i = 0; i < result.groups.length; i++) {
@@ -30,21 +35,33 @@
         if (result.targets.size() > 1) {
             result.targets.forEach((name, part) -> row(text, name, part));
         }
-        result.unsent.forEach((why, count) -> text.append("never sent, ").append(word(why)).append(": ").append(count)
+        result.unsent.forEach((why, count) -> text.append("never sent, ")
+                .append(word(why))
+                .append(": ")
+                .append(count)
                 .append('\n'));
         say(text, result.toldWhen, "blocked answers that said when to come back");
         say(text, result.stray, "answers with more behind them than promised, doubled or another flow's");
         say(text, result.handleLimit, "connections at most by the system's handles, fewer than asked for");
         say(text, result.noHandle, "connections that the system had no handle or port for");
-        text.append(String.format(Locale.ROOT, "%nlatency from the intended start, ms: %s%n", quantiles(result.all.latency)));
-        text.append(String.format(Locale.ROOT, "from the sending (what a closed loop would report): %s%n",
+        text.append(String.format(
+                Locale.ROOT, "%nlatency from the intended start, ms: %s%n", quantiles(result.all.latency)));
+        text.append(String.format(
+                Locale.ROOT,
+                "from the sending (what a closed loop would report): %s%n",
                 quantiles(result.all.service)));
         text.append(String.format(Locale.ROOT, "to the first byte: %s%n", quantiles(result.all.firstByte)));
-        text.append(String.format(Locale.ROOT, "this host's own: senders late %s; wake-ups late %s; GC %d ms%n",
-                quantiles(result.lag), quantiles(result.hiccups), result.gcPauseMs));
+        text.append(String.format(
+                Locale.ROOT,
+                "this host's own: senders late %s; wake-ups late %s; GC %d ms%n",
+                quantiles(result.lag),
+                quantiles(result.hiccups),
+                result.gcPauseMs));
         List<Integer> busy = result.hostBusy();
         if (!busy.isEmpty()) {
-            text.append("THIS HOST WAS BUSY in seconds ").append(busy).append(": their tails are not the target's alone\n");
+            text.append("THIS HOST WAS BUSY in seconds ")
+                    .append(busy)
+                    .append(": their tails are not the target's alone\n");
         }
         if (result.cutShort != null) {
             text.append("CUT SHORT: ").append(result.cutShort).append('\n');
@@ -66,7 +83,11 @@
         text.append(String.format("%-16s", name));
         for (Result.Outcome outcome : Result.Outcome.values()) {
             if (part.count(outcome) > 0) {
-                text.append(' ').append(word(outcome)).append(' ').append(part.count(outcome)).append(';');
+                text.append(' ')
+                        .append(word(outcome))
+                        .append(' ')
+                        .append(part.count(outcome))
+                        .append(';');
             }
         }
         text.append('\n');
@@ -90,13 +111,14 @@
         Files.writeString(folder.resolve("scenario.conf"), settings);
         Files.writeString(folder.resolve("summary.txt"), text(scenario, result));
         Files.writeString(folder.resolve("seconds.csv"), csv(result));
-        try (JsonGenerator out = new JsonFactory().createGenerator(folder.resolve("summary.json").toFile(),
-                com.fasterxml.jackson.core.JsonEncoding.UTF8)) {
+        try (JsonGenerator out = new JsonFactory()
+                .createGenerator(
+                        folder.resolve("summary.json").toFile(), com.fasterxml.jackson.core.JsonEncoding.UTF8)) {
             out.useDefaultPrettyPrinter();
             json(out, scenario, result);
         }
-        try (PrintStream out = new PrintStream(Files.newOutputStream(folder.resolve("latency.hgrm")), false,
-                StandardCharsets.US_ASCII)) {
+        try (PrintStream out = new PrintStream(
+                Files.newOutputStream(folder.resolve("latency.hgrm")), false, StandardCharsets.US_ASCII)) {
             result.all.latency.outputPercentileDistribution(out, 1000.0);
         }
         histograms(folder.resolve("latency.hlog"), result);
@@ -111,7 +133,11 @@
         csv.append(",p50_us,p90_us,p99_us,max_us,sender_late_us,wakeup_late_us\n");
         for (int i = 0; i < result.steps.size(); i++) {
             Result.Step s = result.steps.get(i);
-            csv.append(i * result.stepNs / 1_000_000_000L).append(',').append(s.intended).append(',').append(s.sent());
+            csv.append(i * result.stepNs / 1_000_000_000L)
+                    .append(',')
+                    .append(s.intended)
+                    .append(',')
+                    .append(s.sent());
             for (long outcome : s.outcomes) {
                 csv.append(',').append(outcome);
             }
--- a/src/main/java/puffinbarrow/load/Result.java
+++ b/src/main/java/puffinbarrow/load/Result.java
@@ -12,15 +12,30 @@
  * and what a closed loop would have reported. Every intended flow has exactly one outcome.
  */
 public final class Result {
-    public enum Outcome { IN_BUDGET, LATE, BLOCKED, FAILED, TIMED_OUT, REFUSED, RESET, MALFORMED, NEVER_SENT }
+    public enum Outcome {
+        IN_BUDGET,
+        LATE,
+        BLOCKED,
+        FAILED,
+        TIMED_OUT,
+        REFUSED,
+        RESET,
+        MALFORMED,
+        NEVER_SENT
+    }
 
     /** Why a flow was never sent. */
-    public enum Unsent { IN_FLIGHT_BOUND, NO_CONNECTION_FREE, NO_HANDLE }
+    public enum Unsent {
+        IN_FLIGHT_BOUND,
+        NO_CONNECTION_FREE,
+        NO_HANDLE
+    }
 
     /** The most that is told apart: a minute, in microseconds to three digits. */
     private static final long MOST_US = 60_000_000;
     /** Longer runs are kept in as many longer steps. */
     private static final int MOST_STEPS = 3600;
+
     private static final long SECOND = 1_000_000_000L;
 
     /** Of one group or target. */
@@ -86,6 +101,7 @@
     public final long stepNs;
     /** How late flows left, against their intended start. */
     public final Histogram lag = new Histogram(MOST_US, 3);
+
     public final Histogram hiccups = new Histogram(MOST_US, 3);
     public final EnumMap<Unsent, Long> unsent = new EnumMap<>(Unsent.class);
     public long intended, retries;
@@ -95,9 +111,11 @@
     public long stray;
     /** Connections that the system had no handle or port for. */
     public long noHandle;
+
     public long connections;
     /** All connections that the system's handles allowed, if fewer than asked for; else 0. */
     public int handleLimit;
+
     public long gcPauseMs;
     public double utilityAsked, utilityGot;
     /** Why the flows ended before their time, or null. */
@@ -125,7 +143,8 @@
         for (int i = 0; i < groups.length; i++) {
             groups[i].add(other.groups[i]);
         }
-        other.targets.forEach((name, part) -> targets.computeIfAbsent(name, n -> new Part()).add(part));
+        other.targets.forEach(
+                (name, part) -> targets.computeIfAbsent(name, n -> new Part()).add(part));
         for (int i = 0; i < other.steps.size(); i++) {
             step(i * stepNs).add(other.steps.get(i));
         }
@@ -147,7 +166,8 @@
 
     /** Whether no flow was lost from sight. */
     public boolean whole() {
-        return intended == all.ended() && intended == steps.stream().mapToLong(Step::ended).sum();
+        return intended == all.ended()
+                && intended == steps.stream().mapToLong(Step::ended).sum();
     }
 
     /** A sender or the whole process that stood still for this long shows in the tail: the target is not to blame. */
--- a/src/main/java/puffinbarrow/load/Scenario.java
+++ b/src/main/java/puffinbarrow/load/Scenario.java
@@ -11,7 +11,11 @@
 
 /** What a load run sends: targets, groups, arrivals and shapes; docs/load.md lists the lines. */
 public final class Scenario {
-    public enum Process { CONSTANT, POISSON, BURSTS }
+    public enum Process {
+        CONSTANT,
+        POISSON,
+        BURSTS
+    }
 
     /** A factor on the rate over time; all shapes multiply. */
     public sealed interface Shape {
@@ -80,8 +84,19 @@
     record Heavy(double share, double factor, long atNs, long forNs) {}
 
     /** @param match paths of a trace that begin so are of this group */
-    public record Group(String name, double share, double utility, long budgetNs, long expiryNs, String method,
-            String path, int bodyBytes, long workNs, double workSpread, boolean repeats, String match) {}
+    public record Group(
+            String name,
+            double share,
+            double utility,
+            long budgetNs,
+            long expiryNs,
+            String method,
+            String path,
+            int bodyBytes,
+            long workNs,
+            double workSpread,
+            boolean repeats,
+            String match) {}
 
     /** A recorded trace in place of drawn arrivals. */
     public static final class FromTrace {
@@ -105,6 +120,7 @@
     public int senders = 1;
     /** Slices of uneven size in place of single keys; 0 for none. */
     public int slices;
+
     double sliceLow = 1, sliceHigh = 1;
     int keysEach = 1;
     boolean lengthTold;
@@ -122,15 +138,36 @@
     public int connections = 256;
     public int inFlight = 20_000;
 
-    private static final List<String> KEYWORDS = List.of("target", "seed", "length", "rate", "arrivals", "shape",
-            "hot", "heavy", "group", "keys", "slices", "retries", "connections", "in-flight", "senders", "trace",
-            "trace-speed", "trace-rate", "trace-cut", "trace-loop", "trace-malformed", "column");
+    private static final List<String> KEYWORDS = List.of(
+            "target",
+            "seed",
+            "length",
+            "rate",
+            "arrivals",
+            "shape",
+            "hot",
+            "heavy",
+            "group",
+            "keys",
+            "slices",
+            "retries",
+            "connections",
+            "in-flight",
+            "senders",
+            "trace",
+            "trace-speed",
+            "trace-rate",
+            "trace-cut",
+            "trace-loop",
+            "trace-malformed",
+            "column");
     /** A rate over this is a slip of the pen: no single host offers it to a loopback target. */
     private static final double MOST_RATE = 200_000;
     /** Six hours: figures are kept in at most 3,600 steps. */
     private static final long MOST_LENGTH_NS = 21_600_000_000_000L;
     /** A trace without a length is sent whole, within this. */
     private static final long TRACE_LENGTH_NS = 3_600_000_000_000L;
+
     private static final String[] FIELDS = {"time", "method", "path", "group", "key", "body", "work"};
 
     private Scenario() {}
@@ -150,8 +187,10 @@
             scenario.take(statement, w);
             w.end();
         }
-        if (scenario.trace == null && statements.stream().anyMatch(st -> st.keyword().startsWith("trace-")
-                || st.keyword().equals("column"))) {
+        if (scenario.trace == null
+                && statements.stream()
+                        .anyMatch(st -> st.keyword().startsWith("trace-")
+                                || st.keyword().equals("column"))) {
             problems.add(new Problem(name, 0, "lines about a trace without one, expected a line 'trace FILE'"));
         }
         if (scenario.trace != null && !scenario.lengthTold) {
@@ -168,8 +207,11 @@
         }
         double most = scenario.mostRate();
         if (most > MOST_RATE) {
-            problems.add(new Problem(name, 0, "the shapes together reach " + (long) most + " flows a second, expected "
-                    + (long) MOST_RATE + " at most"));
+            problems.add(new Problem(
+                    name,
+                    0,
+                    "the shapes together reach " + (long) most + " flows a second, expected " + (long) MOST_RATE
+                            + " at most"));
         }
         return scenario;
     }
@@ -222,8 +264,8 @@
                 }
             }
             case "senders" -> senders = (int) w.whole("sending threads", 1, 64);
-            case "trace", "trace-speed", "trace-rate", "trace-cut", "trace-loop", "trace-malformed", "column" ->
-                    trace(statement.keyword(), w);
+            case "trace", "trace-speed", "trace-rate", "trace-cut", "trace-loop", "trace-malformed", "column" -> trace(
+                    statement.keyword(), w);
             case "group" -> group(w);
             case "keys" -> {
                 keys = (int) w.whole("how many keys", 1, 100_000_000);
@@ -250,8 +292,8 @@
             case "trace" -> {
                 trace.file = Path.of(w.text("the trace's file"));
                 if (w.more()) {
-                    trace.format = Trace.Format.valueOf(w.oneOf("clf", "csv", "json", "har")
-                            .toUpperCase(java.util.Locale.ROOT));
+                    trace.format = Trace.Format.valueOf(
+                            w.oneOf("clf", "csv", "json", "har").toUpperCase(java.util.Locale.ROOT));
                 }
             }
             case "trace-speed" -> {
@@ -293,8 +335,19 @@
         flat.targets.add(target);
         flat.targetParts.add(1.0);
         for (Group g : groups) {
-            flat.groups.add(new Group(g.name, g.share, g.utility, g.budgetNs, g.expiryNs, g.method, g.path, g.bodyBytes,
-                    0, 0, g.repeats, g.match));
+            flat.groups.add(new Group(
+                    g.name,
+                    g.share,
+                    g.utility,
+                    g.budgetNs,
+                    g.expiryNs,
+                    g.method,
+                    g.path,
+                    g.bodyBytes,
+                    0,
+                    0,
+                    g.repeats,
+                    g.match));
         }
         flat.process = Process.CONSTANT;
         flat.rate = perS;
--- a/src/main/java/puffinbarrow/load/Sender.java
+++ b/src/main/java/puffinbarrow/load/Sender.java
@@ -34,11 +34,17 @@
     /** Answers to flows are kilobytes; a target that sends more than this is not read further. */
     private static final int ANSWER_BYTES = 16 << 20;
 
-    private enum End { ANSWER, REFUSED, RESET, MALFORMED, NO_HANDLE }
+    private enum End {
+        ANSWER,
+        REFUSED,
+        RESET,
+        MALFORMED,
+        NO_HANDLE
+    }
 
     /** What a channel thread saw. */
-    private record Happened(Wire wire, Call call, End end, int code, long retryAfterNs, long atNs, long firstByteNs,
-            boolean stray) {}
+    private record Happened(
+            Wire wire, Call call, End end, int code, long retryAfterNs, long atNs, long firstByteNs, boolean stray) {}
 
     private final class Call implements Wheel.Timed {
         final Flow flow;
@@ -84,6 +90,7 @@
         final int most;
         /** Lower than that while the system gives no more handles. */
         int limit;
+
         long limitedAt;
 
         Target(InetSocketAddress address, int limit) {
@@ -103,6 +110,7 @@
         boolean dropped;
         /** The answer of the read that is being parsed; handed over once all its bytes were looked at. */
         private HttpParser.Message whole;
+
         private boolean stray;
 
         Wire(Target target) {
@@ -151,11 +159,22 @@
             boolean early = requestBytes > SENT_AT_ONCE && from.queuedBytes() > 0;
             call = null;
             // Closed before it is handed over: the sender must not find it idle.
-            if (!ours || more || early || code < 100 || answer.header("connection").equalsIgnoreCase("close")) {
+            if (!ours
+                    || more
+                    || early
+                    || code < 100
+                    || answer.header("connection").equalsIgnoreCase("close")) {
                 from.close();
             }
-            report(new Happened(this, now, ours && code >= 100 ? End.ANSWER : End.MALFORMED, code, retryAfter(answer),
-                    System.nanoTime(), now == null ? 0 : now.firstByteNs, more || !ours));
+            report(new Happened(
+                    this,
+                    now,
+                    ours && code >= 100 ? End.ANSWER : End.MALFORMED,
+                    code,
+                    retryAfter(answer),
+                    System.nanoTime(),
+                    now == null ? 0 : now.firstByteNs,
+                    more || !ours));
         }
 
         private long retryAfter(HttpParser.Message answer) {
@@ -180,8 +199,15 @@
             }
             Call now = call;
             call = null;
-            report(new Happened(this, now, cause == Link.Cause.BAD_INPUT ? End.MALFORMED : End.RESET, 0, -1,
-                    System.nanoTime(), 0, false));
+            report(new Happened(
+                    this,
+                    now,
+                    cause == Link.Cause.BAD_INPUT ? End.MALFORMED : End.RESET,
+                    0,
+                    -1,
+                    System.nanoTime(),
+                    0,
+                    false));
         }
     }
 
@@ -197,6 +223,7 @@
     final Result result;
     /** For the progress line, read by another thread. */
     final SingleWriterRecorder recent = new SingleWriterRecorder(3);
+
     volatile long intendedCount, sentCount;
     volatile int open;
     private Wheel<Call> wheel;
@@ -214,8 +241,11 @@
         // Bounds hold for all senders together.
         int senders = scenario.senders;
         this.mostOpen = Math.max(1, (scenario.inFlight + senders - 1 - index) / senders);
-        int connections = Math.max(1, Math.min((scenario.connections + senders - 1 - index) / senders,
-                handles / Math.max(1, scenario.targets.size())));
+        int connections = Math.max(
+                1,
+                Math.min(
+                        (scenario.connections + senders - 1 - index) / senders,
+                        handles / Math.max(1, scenario.targets.size())));
         scenario.targets.forEach(t -> targets.add(new Target(t, connections)));
         heads = new byte[scenario.groups.size()][];
         for (int i = 0; i < heads.length; i++) {
@@ -225,8 +255,9 @@
     }
 
     private static byte[] head(String method, String path, int group, int bodyBytes) {
-        return (method + " " + path + " HTTP/1.1\r\nhost: load\r\nx-group: " + group + "\r\ncontent-length: " + bodyBytes
-                + "\r\n").getBytes(StandardCharsets.ISO_8859_1);
+        return (method + " " + path + " HTTP/1.1\r\nhost: load\r\nx-group: " + group + "\r\ncontent-length: "
+                        + bodyBytes + "\r\n")
+                .getBytes(StandardCharsets.ISO_8859_1);
     }
 
     private void report(Happened what) {
@@ -321,16 +352,22 @@
         Wire wire = new Wire(target);
         call.wire = wire;
         wire.call = call;
-        net.dial(target.address, wire, 64 << 20, link -> {
-            wire.link = link;
-            put(wire, call);
-        }, failed -> {
-            String why = String.valueOf(failed.getMessage());
-            // The system's own words for no descriptor and no port left.
-            boolean none = why.contains("Too many open files") || why.contains("assign requested address");
-            wire.call = null;
-            report(new Happened(wire, call, none ? End.NO_HANDLE : End.REFUSED, 0, -1, System.nanoTime(), 0, false));
-        });
+        net.dial(
+                target.address,
+                wire,
+                64 << 20,
+                link -> {
+                    wire.link = link;
+                    put(wire, call);
+                },
+                failed -> {
+                    String why = String.valueOf(failed.getMessage());
+                    // The system's own words for no descriptor and no port left.
+                    boolean none = why.contains("Too many open files") || why.contains("assign requested address");
+                    wire.call = null;
+                    report(new Happened(
+                            wire, call, none ? End.NO_HANDLE : End.REFUSED, 0, -1, System.nanoTime(), 0, false));
+                });
     }
 
     private void write(Wire wire, Call call) {
@@ -348,10 +385,17 @@
         int body = ask == null ? scenario.groups.get(flow.group()).bodyBytes() : ask.bodyBytes();
         StringBuilder own = new StringBuilder(160);
         int slice = scenario.sliceOf(flow.key());
-        own.append("x-key: ").append(ask != null && ask.key() != null ? ask.key() : Integer.toString(flow.key()))
-                .append("\r\nx-slice: ").append(slice).append("\r\nx-flow: ").append(flow.number())
-                .append("\r\nx-expiry-ns: ").append(Math.max(0, call.timeoutAtNs() - now))
-                .append("\r\nx-work-ns: ").append(flow.workNs()).append("\r\n\r\n");
+        own.append("x-key: ")
+                .append(ask != null && ask.key() != null ? ask.key() : Integer.toString(flow.key()))
+                .append("\r\nx-slice: ")
+                .append(slice)
+                .append("\r\nx-flow: ")
+                .append(flow.number())
+                .append("\r\nx-expiry-ns: ")
+                .append(Math.max(0, call.timeoutAtNs() - now))
+                .append("\r\nx-work-ns: ")
+                .append(flow.workNs())
+                .append("\r\n\r\n");
         byte[] tail = own.toString().getBytes(StandardCharsets.ISO_8859_1);
         ByteBuffer bytes = ByteBuffer.allocate(head.length + tail.length + body);
         bytes.put(head).put(tail).position(0);
@@ -433,7 +477,8 @@
             record(part(call.target), latency, service, first);
             recent.recordValue(latency);
             result.step(call.flow.startNs()).latency.recordValue(latency);
-            boolean inBudget = h.atNs - call.intendedNs <= scenario.groups.get(call.flow.group()).budgetNs();
+            boolean inBudget = h.atNs - call.intendedNs
+                    <= scenario.groups.get(call.flow.group()).budgetNs();
             finish(call, inBudget ? Result.Outcome.IN_BUDGET : Result.Outcome.LATE, h.atNs);
         } else {
             boolean blocked = h.code == 503 || h.code == 429;
@@ -457,7 +502,8 @@
      * repeated comes again only if it was turned away or never reached the target.
      */
     private void failed(Call call, Result.Outcome outcome, Happened h) {
-        boolean may = scenario.groups.get(call.flow.group()).repeats() || outcome == Result.Outcome.BLOCKED
+        boolean may = scenario.groups.get(call.flow.group()).repeats()
+                || outcome == Result.Outcome.BLOCKED
                 || outcome == Result.Outcome.REFUSED;
         long wait = scenario.retryWaitNs << call.attempt;
         // Up to twice the wait, by the flow itself, so that flows blocked together do not come again together.
@@ -509,7 +555,8 @@
             result.utilityGot += scenario.groups.get(call.flow.group()).utility();
         }
         if (ended != null) {
-            ended.accept(new Ended(call.intendedNs, call.flow.group(), outcome, now - call.intendedNs, call.attempt + 1));
+            ended.accept(
+                    new Ended(call.intendedNs, call.flow.group(), outcome, now - call.intendedNs, call.attempt + 1));
         }
     }
 
--- a/src/main/java/puffinbarrow/load/Trace.java
+++ b/src/main/java/puffinbarrow/load/Trace.java
@@ -34,11 +34,24 @@
  * shown, and reading stops once they pass the share that was set.
  */
 public final class Trace implements Closeable {
-    public enum Format { CLF, CSV, JSON, HAR }
+    public enum Format {
+        CLF,
+        CSV,
+        JSON,
+        HAR
+    }
 
     /** One request of the trace, by its own clock. Coarse: the time is that of a whole second. Missing numbers are -1. */
-    public record Entry(long atNs, boolean coarse, String method, String path, String group, String key, int bodyBytes,
-            long workNs, int target) {}
+    public record Entry(
+            long atNs,
+            boolean coarse,
+            String method,
+            String path,
+            String group,
+            String key,
+            int bodyBytes,
+            long workNs,
+            int target) {}
 
     /** More was malformed than the share that was set. */
     public static final class TooManyMalformed extends IOException {
@@ -61,10 +74,12 @@
     private static final int LINE_BYTES = 64 * 1024;
     /** Below so many lines a share says little. */
     private static final int SHARE_FROM = 100;
+
     private static final int SHOWN = 5;
-    private static final Pattern CLF = Pattern.compile(
-            "\\S+ \\S+ .*?\\[([^\\]]+)\\] \"([A-Z]+) (\\S+)(?: [^\"]*)?\" \\d{3} (?:\\d+|-).*");
-    private static final DateTimeFormatter CLF_TIME = DateTimeFormatter.ofPattern("dd/MMM/yyyy:HH:mm:ss Z", Locale.ROOT);
+    private static final Pattern CLF =
+            Pattern.compile("\\S+ \\S+ .*?\\[([^\\]]+)\\] \"([A-Z]+) (\\S+)(?: [^\"]*)?\" \\d{3} (?:\\d+|-).*");
+    private static final DateTimeFormatter CLF_TIME =
+            DateTimeFormatter.ofPattern("dd/MMM/yyyy:HH:mm:ss Z", Locale.ROOT);
 
     private final Path file;
     private final Format format;
@@ -160,8 +175,10 @@
             } catch (Odd odd) {
                 malformed++;
                 if (shown.size() < SHOWN) {
-                    shown.add(new Problem(file.toString(), (int) Math.min(Integer.MAX_VALUE, lines
-                            + (format == Format.CSV ? 1 : 0)), odd.getMessage()));
+                    shown.add(new Problem(
+                            file.toString(),
+                            (int) Math.min(Integer.MAX_VALUE, lines + (format == Format.CSV ? 1 : 0)),
+                            odd.getMessage()));
                 }
                 check(false);
             }
@@ -170,8 +187,13 @@
 
     private void check(boolean atEnd) throws IOException {
         if (malformed > plan.malformedShare * lines && (atEnd || lines >= SHARE_FROM)) {
-            throw new TooManyMalformed(String.format(Locale.ROOT, "%s: %d of %d lines malformed, expected %.2f%% at most",
-                    file, malformed, lines, 100 * plan.malformedShare));
+            throw new TooManyMalformed(String.format(
+                    Locale.ROOT,
+                    "%s: %d of %d lines malformed, expected %.2f%% at most",
+                    file,
+                    malformed,
+                    lines,
+                    100 * plan.malformedShare));
         }
     }
 
@@ -214,8 +236,9 @@
     private Entry clf(String text) throws Odd {
         Matcher m = CLF.matcher(text);
         if (!m.matches()) {
-            throw new Odd("not a line of the Common Log Format, expected HOST - USER [TIME] \"METHOD PATH HTTP/1.1\" CODE "
-                    + "BYTES");
+            throw new Odd(
+                    "not a line of the Common Log Format, expected HOST - USER [TIME] \"METHOD PATH HTTP/1.1\" CODE "
+                            + "BYTES");
         }
         if (!m.group(1).equals(lastStamp)) {
             try {
@@ -296,9 +319,15 @@
         relative |= ours;
         String work = values.get(column("work"));
         String body = values.get(column("body"));
-        return new Entry(time(time.trim(), ours ? "ns" : plan.unit), false, values.get(column("method")),
-                values.get(column("path")), values.get(column("group")), values.get(column("key")),
-                (int) number(body, "body", 1 << 24), number(work, "work", Long.MAX_VALUE),
+        return new Entry(
+                time(time.trim(), ours ? "ns" : plan.unit),
+                false,
+                values.get(column("method")),
+                values.get(column("path")),
+                values.get(column("group")),
+                values.get(column("key")),
+                (int) number(body, "body", 1 << 24),
+                number(work, "work", Long.MAX_VALUE),
                 ours ? (int) number(values.get("target"), "target", 1 << 20) : -1);
     }
 
@@ -324,12 +353,13 @@
                 return iso(text);
             }
             java.math.BigDecimal number = new java.math.BigDecimal(text);
-            int shift = switch (unit) {
-                case "ns" -> 0;
-                case "us" -> 3;
-                case "ms" -> 6;
-                default -> 9;
-            };
+            int shift =
+                    switch (unit) {
+                        case "ns" -> 0;
+                        case "us" -> 3;
+                        case "ms" -> 6;
+                        default -> 9;
+                    };
             java.math.BigDecimal ns = number.scaleByPowerOfTen(shift);
             // Some 290 years: more is not a time.
             if (ns.abs().compareTo(java.math.BigDecimal.valueOf(Long.MAX_VALUE / 2)) < 0) {
@@ -338,8 +368,10 @@
         } catch (ArithmeticException | NumberFormatException | DateTimeParseException wrong) {
             // Said below.
         }
-        throw new Odd("time '" + text + "', expected " + (unit.isEmpty() ? "seconds or such as 2026-04-06T08:00:00Z"
-                : unit.equals("iso") ? "such as 2026-04-06T08:00:00Z" : "a number of " + unit));
+        throw new Odd("time '" + text + "', expected "
+                + (unit.isEmpty()
+                        ? "seconds or such as 2026-04-06T08:00:00Z"
+                        : unit.equals("iso") ? "such as 2026-04-06T08:00:00Z" : "a number of " + unit));
     }
 
     private static long iso(String text) {
@@ -357,8 +389,9 @@
         try {
             if (!headRead) {
                 headRead = true;
-                while (har.nextToken() != null && !(har.currentToken() == JsonToken.FIELD_NAME
-                        && har.currentName().equals("entries"))) {
+                while (har.nextToken() != null
+                        && !(har.currentToken() == JsonToken.FIELD_NAME
+                                && har.currentName().equals("entries"))) {
                     // Pages, the creator and the browser come first.
                 }
                 har.nextToken();
--- a/src/main/java/puffinbarrow/load/TraceFlows.java
+++ b/src/main/java/puffinbarrow/load/TraceFlows.java
@@ -122,11 +122,20 @@
             int key = key(e);
             // A key in digits is sent as such; any other text goes with the request.
             String text = e.key() != null && !Integer.toString(key).equals(e.key()) ? e.key() : null;
-            Flow.Ask ask = new Flow.Ask(e.method() == null ? of.method() : e.method(), e.path() == null ? of.path()
-                    : e.path(), e.bodyBytes() < 0 ? of.bodyBytes() : e.bodyBytes(), text);
+            Flow.Ask ask = new Flow.Ask(
+                    e.method() == null ? of.method() : e.method(),
+                    e.path() == null ? of.path() : e.path(),
+                    e.bodyBytes() < 0 ? of.bodyBytes() : e.bodyBytes(),
+                    text);
             int targets = Math.max(1, scenario.targets.size());
-            copies.addLast(new Flow(number, startNs, group, (int) ((e.target() < 0 ? number : e.target()) % targets), key,
-                    e.workNs() < 0 ? of.workNs() : e.workNs(), ask));
+            copies.addLast(new Flow(
+                    number,
+                    startNs,
+                    group,
+                    (int) ((e.target() < 0 ? number : e.target()) % targets),
+                    key,
+                    e.workNs() < 0 ? of.workNs() : e.workNs(),
+                    ask));
             number++;
         }
     }
@@ -143,8 +152,8 @@
         }
         CRC32 crc = new CRC32();
         crc.update(text.getBytes(java.nio.charset.StandardCharsets.UTF_8));
-        return (int) (crc.getValue() % (scenario.slices > 0 ? scenario.slices * (long) scenario.keysEach
-                : scenario.keys));
+        return (int)
+                (crc.getValue() % (scenario.slices > 0 ? scenario.slices * (long) scenario.keysEach : scenario.keys));
     }
 
     /** By its name, or by the longest beginning of its path that a group matches. */
@@ -156,7 +165,8 @@
         int length = -1;
         for (int i = 0; i < scenario.groups.size(); i++) {
             String match = scenario.groups.get(i).match();
-            if (match.length() > length && (entry.path() == null ? match.isEmpty() : entry.path().startsWith(match))) {
+            if (match.length() > length
+                    && (entry.path() == null ? match.isEmpty() : entry.path().startsWith(match))) {
                 best = i;
                 length = match.length();
             }
@@ -201,8 +211,9 @@
 
     private Timed sorted() throws IOException {
         while (ordered.isEmpty()) {
-            while (!ended && window.size() < WINDOW && (window.isEmpty()
-                    || newestNs - window.peek().entry.atNs() < WINDOW_NS)) {
+            while (!ended
+                    && window.size() < WINDOW
+                    && (window.isEmpty() || newestNs - window.peek().entry.atNs() < WINDOW_NS)) {
                 Trace.Entry entry = trace.next();
                 if (entry == null) {
                     ended = true;
--- a/src/main/java/puffinbarrow/load/Wheel.java
+++ b/src/main/java/puffinbarrow/load/Wheel.java
@@ -30,7 +30,8 @@
     }
 
     void set(T timed) {
-        slots.get((int) (Math.max(turned + 1, timed.timeoutAtNs() / SLOT_NS + 1) % SLOTS)).add(timed);
+        slots.get((int) (Math.max(turned + 1, timed.timeoutAtNs() / SLOT_NS + 1) % SLOTS))
+                .add(timed);
     }
 
     /** Adds what is due by now to the list; what is done is dropped on the way. */
--- a/src/main/java/puffinbarrow/memory/Codec.java
+++ b/src/main/java/puffinbarrow/memory/Codec.java
@@ -18,6 +18,7 @@
     static final int VERSION = 2;
     /** The oldest version that is read: it had no size and load of a server, and no calm load of a whole fleet. */
     static final int OLDEST = 1;
+
     static final int FILE_HEADER = 24;
     static final int BATCH_HEADER = 20;
     private static final int SERVER = 1, SLICE = 2, SELF = 3, GONE = 4, END = 5;
@@ -39,7 +40,11 @@
     /** A file's first bytes: magic, version, kind, generation, checksum of these. */
     static ByteBuffer header(int version, int kind, long generation) {
         ByteBuffer header = ByteBuffer.allocate(FILE_HEADER);
-        header.putInt(MAGIC).putShort((short) version).putShort((short) kind).putLong(generation).putInt(0);
+        header.putInt(MAGIC)
+                .putShort((short) version)
+                .putShort((short) kind)
+                .putLong(generation)
+                .putInt(0);
         CRC32C sum = new CRC32C();
         sum.update(header.array(), 0, 20);
         return header.putInt((int) sum.getValue()).flip();
@@ -83,7 +88,10 @@
         if (fact instanceof Facts.OfServer f) {
             byte[] id = f.id().getBytes(StandardCharsets.UTF_8);
             byte[] standing = f.standing().getBytes(StandardCharsets.UTF_8);
-            room(64 + id.length + standing.length + 8 * (f.starts().size() + f.falls().size() + f.returns().size())
+            room(64
+                    + id.length
+                    + standing.length
+                    + 8 * (f.starts().size() + f.falls().size() + f.returns().size())
                     + 24);
             to.put((byte) SERVER);
             text(id);
@@ -95,7 +103,11 @@
             to.putLong(f.holdNs()).putDouble(f.tookNs()).putDouble(f.size()).putDouble(f.load());
         } else if (fact instanceof Facts.OfSlice f) {
             room(40);
-            to.put((byte) SLICE).putInt(f.slice()).putLong(f.atNs()).putDouble(f.demand()).putLong(f.version());
+            to.put((byte) SLICE)
+                    .putInt(f.slice())
+                    .putLong(f.atNs())
+                    .putDouble(f.demand())
+                    .putLong(f.version());
             to.putShort((short) f.lines().size());
             for (Facts.Line line : f.lines()) {
                 byte[] server = line.server().getBytes(StandardCharsets.UTF_8);
@@ -105,9 +117,15 @@
             }
         } else if (fact instanceof Facts.OfSelf f) {
             room(72 + 4 * f.charges().size());
-            to.put((byte) SELF).putLong(f.atNs()).putLong(f.runNs()).putLong(f.incarnation())
-                    .put((byte) (f.cleanEnd() ? 1 : 0)).putDouble(f.calmLoad()).putDouble(f.shed())
-                    .put((byte) (f.strained() ? 1 : 0)).putInt(f.charges().size());
+            to.put((byte) SELF)
+                    .putLong(f.atNs())
+                    .putLong(f.runNs())
+                    .putLong(f.incarnation())
+                    .put((byte) (f.cleanEnd() ? 1 : 0))
+                    .putDouble(f.calmLoad())
+                    .putDouble(f.shed())
+                    .put((byte) (f.strained() ? 1 : 0))
+                    .putInt(f.charges().size());
             f.charges().forEach(to::putInt);
             to.putDouble(f.calmWhole());
         }
@@ -228,8 +246,8 @@
                 double took = in.getDouble();
                 double size = version >= 2 ? in.getDouble() : 1;
                 double load = version >= 2 ? in.getDouble() : Double.NaN;
-                Facts.Fact fact = new Facts.OfServer(id, at, draining, starts, falls, returns, standing, hold, size,
-                        took, load);
+                Facts.Fact fact =
+                        new Facts.OfServer(id, at, draining, starts, falls, returns, standing, hold, size, took, load);
                 later.accept(() -> into.fact(fact));
             }
             case SLICE -> {
--- a/src/main/java/puffinbarrow/memory/Facts.java
+++ b/src/main/java/puffinbarrow/memory/Facts.java
@@ -19,8 +19,18 @@
      * A server. {@code starts} are the starts that the list stated (on its own clock), newest last; {@code falls} and
      * {@code returns} when it left and came back; {@code standing} its state in the health table.
      */
-    public record OfServer(String id, long atNs, long drainingSinceNs, List<Long> starts, List<Long> falls,
-            List<Long> returns, String standing, long holdNs, double size, double tookNs, double load)
+    public record OfServer(
+            String id,
+            long atNs,
+            long drainingSinceNs,
+            List<Long> starts,
+            List<Long> falls,
+            List<Long> returns,
+            String standing,
+            long holdNs,
+            double size,
+            double tookNs,
+            double load)
             implements Fact {
         /** Enough to tell flapping from a release: a server that fell more often has told all it can. */
         public static final int TIMES = 8;
@@ -41,8 +51,17 @@
     }
 
     /** The coordinator itself. {@code runNs} is its own monotonic clock, so that a jump of the wall clock shows. */
-    public record OfSelf(long atNs, long runNs, long incarnation, boolean cleanEnd, List<Integer> charges,
-            double calmLoad, double calmWhole, double shed, boolean strained) implements Fact {
+    public record OfSelf(
+            long atNs,
+            long runNs,
+            long incarnation,
+            boolean cleanEnd,
+            List<Integer> charges,
+            double calmLoad,
+            double calmWhole,
+            double shed,
+            boolean strained)
+            implements Fact {
         @Override
         public String key() {
             return "self";
--- a/src/main/java/puffinbarrow/memory/Keeper.java
+++ b/src/main/java/puffinbarrow/memory/Keeper.java
@@ -21,6 +21,7 @@
     private static final Logger LOG = LoggerFactory.getLogger("puffinbarrow.memory");
     /** A restart loses no more than this; more often would cost the disk and gain nothing a round of sums does not. */
     private static final long EVERY_MS = 200;
+
     private static final long RETRY_MS = 2000;
 
     private final Path folder;
@@ -107,7 +108,10 @@
             disk = on;
             words.forEach(LOG::info);
             well = true;
-            LOG.atInfo().addKeyValue("folder", folder).addKeyValue("facts", store.image().size()).log("memory is kept");
+            LOG.atInfo()
+                    .addKeyValue("folder", folder)
+                    .addKeyValue("facts", store.image().size())
+                    .log("memory is kept");
         } catch (IOException unusable) {
             failed("no memory: " + said(unusable));
             closeQuietly(on);
--- a/src/main/java/puffinbarrow/memory/Kills.java
+++ b/src/main/java/puffinbarrow/memory/Kills.java
@@ -36,8 +36,8 @@
                 long number = store.sequence() + 1;
                 List<Facts.Fact> facts = new ArrayList<>();
                 for (int i = 0; i < FACTS; i++) {
-                    facts.add(new Facts.OfSlice(i, number, List.of(new Facts.Line("10.0.0." + i + ":80", 1)), number,
-                            number));
+                    facts.add(new Facts.OfSlice(
+                            i, number, List.of(new Facts.Line("10.0.0." + i + ":80", 1)), number, number));
                 }
                 store.commit(facts, List.of());
                 out.println(number);
@@ -47,8 +47,8 @@
     }
 
     /** @param child the command that runs {@link #write} on the folder */
-    public static Outcome run(List<String> child, Path folder, int rounds, long seed) throws IOException,
-            InterruptedException {
+    public static Outcome run(List<String> child, Path folder, int rounds, long seed)
+            throws IOException, InterruptedException {
         UniformRandomProvider chance = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         int whole = 0;
         int ignored = 0;
@@ -56,10 +56,12 @@
         long acknowledged = 0;
         List<String> evidence = new ArrayList<>();
         for (int round = 0; round < rounds; round++) {
-            Process process = new ProcessBuilder(child).redirectError(ProcessBuilder.Redirect.DISCARD).start();
+            Process process = new ProcessBuilder(child)
+                    .redirectError(ProcessBuilder.Redirect.DISCARD)
+                    .start();
             long until = 1 + chance.nextInt(40);
-            try (BufferedReader in = new BufferedReader(new InputStreamReader(process.getInputStream(),
-                    StandardCharsets.US_ASCII))) {
+            try (BufferedReader in =
+                    new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.US_ASCII))) {
                 // Killed after some commits and a moment more, so that it dies anywhere within one.
                 for (long i = 0; i < until; i++) {
                     String line = in.readLine();
@@ -102,7 +104,9 @@
             }
         }
         boolean empty = found.image().size() == 0 && found.sequence() == 0;
-        return empty || found.image().size() == FACTS ? null : "it has " + found.image().size() + " facts";
+        return empty || found.image().size() == FACTS
+                ? null
+                : "it has " + found.image().size() + " facts";
     }
 
     /** A folder for one run. */
--- a/src/main/java/puffinbarrow/memory/Notes.java
+++ b/src/main/java/puffinbarrow/memory/Notes.java
@@ -87,8 +87,8 @@
             Server server = servers.computeIfAbsent(entry.server(), s -> new Server());
             dirtyServers.add(entry.server());
             if (entry.listed() == Event.Listed.READY) {
-                boolean newStart = server.starts.isEmpty()
-                        || server.starts.get(server.starts.size() - 1) != entry.startedNs();
+                boolean newStart =
+                        server.starts.isEmpty() || server.starts.get(server.starts.size() - 1) != entry.startedNs();
                 if (newStart && server.listed) {
                     // It fell and came back between two lists.
                     add(server.falls, wallNs);
@@ -169,9 +169,18 @@
         List<Facts.Fact> facts = new ArrayList<>(dirtyServers.size() + dirtySlices.size() + 1);
         for (String id : dirtyServers) {
             Server s = servers.get(id);
-            facts.add(new Facts.OfServer(id, wallNs, s.drainingSince, List.copyOf(s.starts), List.copyOf(s.falls),
-                    List.copyOf(s.returns), s.drainingSince > 0 ? "draining" : !s.listed ? "gone"
-                    : s.holdNs > 0 ? "held" : "well", (long) s.holdNs, s.size, s.took, s.load));
+            facts.add(new Facts.OfServer(
+                    id,
+                    wallNs,
+                    s.drainingSince,
+                    List.copyOf(s.starts),
+                    List.copyOf(s.falls),
+                    List.copyOf(s.returns),
+                    s.drainingSince > 0 ? "draining" : !s.listed ? "gone" : s.holdNs > 0 ? "held" : "well",
+                    (long) s.holdNs,
+                    s.size,
+                    s.took,
+                    s.load));
         }
         for (int number : dirtySlices) {
             Slice s = slices.get(number);
@@ -181,9 +190,16 @@
         }
         dirtyServers.clear();
         dirtySlices.clear();
-        facts.add(new Facts.OfSelf(wallNs, runNs, incarnation, cleanEnd, List.copyOf(charges),
-                own[Event.Recall.CALM_LOAD.ordinal()], own[Event.Recall.CALM_WHOLE.ordinal()],
-                own[Event.Recall.SHED.ordinal()], own[Event.Recall.STRAINED.ordinal()] > 0));
+        facts.add(new Facts.OfSelf(
+                wallNs,
+                runNs,
+                incarnation,
+                cleanEnd,
+                List.copyOf(charges),
+                own[Event.Recall.CALM_LOAD.ordinal()],
+                own[Event.Recall.CALM_WHOLE.ordinal()],
+                own[Event.Recall.SHED.ordinal()],
+                own[Event.Recall.STRAINED.ordinal()] > 0));
         return facts;
     }
 }
--- a/src/main/java/puffinbarrow/memory/RealDisk.java
+++ b/src/main/java/puffinbarrow/memory/RealDisk.java
@@ -36,8 +36,11 @@
 
     @Override
     public Out create(String name) throws IOException {
-        FileChannel channel = FileChannel.open(folder.resolve(name), StandardOpenOption.CREATE,
-                StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE);
+        FileChannel channel = FileChannel.open(
+                folder.resolve(name),
+                StandardOpenOption.CREATE,
+                StandardOpenOption.TRUNCATE_EXISTING,
+                StandardOpenOption.WRITE);
         return new Out() {
             @Override
             public void write(ByteBuffer bytes) throws IOException {
@@ -60,7 +63,10 @@
 
     @Override
     public void rename(String from, String to) throws IOException {
-        Files.move(folder.resolve(from), folder.resolve(to), StandardCopyOption.ATOMIC_MOVE,
+        Files.move(
+                folder.resolve(from),
+                folder.resolve(to),
+                StandardCopyOption.ATOMIC_MOVE,
                 StandardCopyOption.REPLACE_EXISTING);
     }
 
--- a/src/main/java/puffinbarrow/memory/Recall.java
+++ b/src/main/java/puffinbarrow/memory/Recall.java
@@ -21,9 +21,18 @@
      * once a day.
      */
     private static final Map<Event.Recall, Long> HALF_LIFE = new EnumMap<>(Map.of(
-            Event.Recall.FLAPPING, 10 * MINUTE, Event.Recall.HOLD_NS, 2 * MINUTE, Event.Recall.SHED, 10 * SECOND,
-            Event.Recall.STRAINED, 10 * SECOND, Event.Recall.CALM_LOAD, 24 * 60 * MINUTE,
-            Event.Recall.CALM_WHOLE, 24 * 60 * MINUTE));
+            Event.Recall.FLAPPING,
+            10 * MINUTE,
+            Event.Recall.HOLD_NS,
+            2 * MINUTE,
+            Event.Recall.SHED,
+            10 * SECOND,
+            Event.Recall.STRAINED,
+            10 * SECOND,
+            Event.Recall.CALM_LOAD,
+            24 * 60 * MINUTE,
+            Event.Recall.CALM_WHOLE,
+            24 * 60 * MINUTE));
     /** Under this a fact says nothing; the half-lives above reach it after some four of them. */
     private static final double WORTHLESS = 0.05;
     /** Clocks of one machine do not differ; a little is left for steps that keep time right. */
@@ -42,16 +51,20 @@
         }
         long away = nowNs - self.atNs();
         if (away < -FUTURE_NS) {
-            words.add("memory is from " + -away / SECOND + " s ahead: the clock went back or the file is foreign; nothing"
-                    + " is recalled");
+            words.add("memory is from " + -away / SECOND
+                    + " s ahead: the clock went back or the file is foreign; nothing" + " is recalled");
             return events;
         }
         if (away > STALE_NS) {
             words.add("memory is " + away / (24 * 60 * MINUTE) + " days old; nothing is recalled");
             return events;
         }
-        words.add(String.format(Locale.ROOT, "memory of %.1f s ago, %s end, %d facts", away / 1e9,
-                self.cleanEnd() ? "clean" : "unclean", image.size()));
+        words.add(String.format(
+                Locale.ROOT,
+                "memory of %.1f s ago, %s end, %d facts",
+                away / 1e9,
+                self.cleanEnd() ? "clean" : "unclean",
+                image.size()));
         add(events, Event.Recall.CALM_LOAD, "", self.calmLoad(), away);
         add(events, Event.Recall.CALM_WHOLE, "", self.calmWhole(), away);
         add(events, Event.Recall.SHED, "", self.shed(), away);
--- a/src/main/java/puffinbarrow/memory/Store.java
+++ b/src/main/java/puffinbarrow/memory/Store.java
@@ -116,8 +116,10 @@
             });
         }
         if (end[0] != image.size()) {
-            throw new Codec.Damaged(end[0] < 0 ? "it ends before its last batch"
-                    : "it says " + end[0] + " facts and holds " + image.size());
+            throw new Codec.Damaged(
+                    end[0] < 0
+                            ? "it ends before its last batch"
+                            : "it says " + end[0] + " facts and holds " + image.size());
         }
         return sequence;
     }
--- a/src/main/java/puffinbarrow/net/HttpCaller.java
+++ b/src/main/java/puffinbarrow/net/HttpCaller.java
@@ -55,15 +55,21 @@
         synchronized (this) {
             kept = fresh;
         }
-        net.dial(call.to, fresh, 1 << 20, connectMs, link -> {
-            fresh.link = link;
-            if (fresh.abandoned) {
-                call.end(null, "given up");
-                link.close();
-            } else {
-                fresh.send();
-            }
-        }, failure -> call.end(null, "no connection: " + failure.getMessage()));
+        net.dial(
+                call.to,
+                fresh,
+                1 << 20,
+                connectMs,
+                link -> {
+                    fresh.link = link;
+                    if (fresh.abandoned) {
+                        call.end(null, "given up");
+                        link.close();
+                    } else {
+                        fresh.send();
+                    }
+                },
+                failure -> call.end(null, "no connection: " + failure.getMessage()));
     }
 
     /** Gives the stream up; a call that is out fails. */
@@ -87,6 +93,7 @@
         volatile boolean sent;
         /** Over which it goes, and whether that was kept from a call before. */
         volatile Stream over;
+
         private volatile boolean overKept;
 
         Call(InetSocketAddress to, byte[] request, long timeoutMs, Consumer<Ended> done) {
@@ -125,7 +132,11 @@
 
         boolean takes(Call next) {
             Call before = call;
-            if (!to.equals(next.to) || abandoned || link == null || link.ended() || !before.ended.get()
+            if (!to.equals(next.to)
+                    || abandoned
+                    || link == null
+                    || link.ended()
+                    || !before.ended.get()
                     || System.nanoTime() - idleSince > keepNs) {
                 return false;
             }
--- a/src/main/java/puffinbarrow/net/HttpParser.java
+++ b/src/main/java/puffinbarrow/net/HttpParser.java
@@ -28,10 +28,20 @@
         }
     }
 
-    private enum At { START, HEADER, BODY, CHUNK_SIZE, CHUNK, CHUNK_END, TRAILER, TO_CLOSE }
+    private enum At {
+        START,
+        HEADER,
+        BODY,
+        CHUNK_SIZE,
+        CHUNK,
+        CHUNK_END,
+        TRAILER,
+        TO_CLOSE
+    }
 
     /** Heads of flows are a few hundred bytes; the usual limit of servers in the field. */
     private static final int HEAD_BYTES = 8192;
+
     private static final int HEADERS = 64;
 
     private final boolean requests;
@@ -39,9 +49,11 @@
     private final Consumer<Message> out;
     /** Takes bodies as they come, where an answer goes on for as long as its stream; null: they are kept whole. */
     private final Consumer<ByteBuffer> pieces;
+
     private At at = At.START;
     /** Grows to what lines need: thousands of idle streams must not hold 8 KB each. */
     private byte[] line = new byte[128];
+
     private int lineLength;
     private int headLength;
     private String first, second;
--- a/src/main/java/puffinbarrow/net/Link.java
+++ b/src/main/java/puffinbarrow/net/Link.java
@@ -15,7 +15,13 @@
  */
 public final class Link {
     /** Why a link ended. */
-    public enum Cause { PEER_CLOSED, CLOSED_HERE, BROKEN, SLOW_READER, BAD_INPUT }
+    public enum Cause {
+        PEER_CLOSED,
+        CLOSED_HERE,
+        BROKEN,
+        SLOW_READER,
+        BAD_INPUT
+    }
 
     /** Takes what came. The buffer is read up to its limit and is not kept. */
     public interface Receiver {
@@ -43,6 +49,7 @@
     private boolean closeWhenSent;
     /** While true nothing more is read; the peer's bytes wait in the kernel. */
     private volatile boolean paused;
+
     private boolean readPending;
     /** Whether the last read took all the room there was. */
     private boolean filled;
@@ -152,7 +159,13 @@
             some = queue.stream().limit(16).toArray(ByteBuffer[]::new);
         }
         try {
-            channel.write(some, 0, some.length, 0, java.util.concurrent.TimeUnit.MILLISECONDS, null,
+            channel.write(
+                    some,
+                    0,
+                    some.length,
+                    0,
+                    java.util.concurrent.TimeUnit.MILLISECONDS,
+                    null,
                     new CompletionHandler<Long, Void>() {
                         @Override
                         public void completed(Long count, Void none) {
--- a/src/main/java/puffinbarrow/net/Net.java
+++ b/src/main/java/puffinbarrow/net/Net.java
@@ -85,23 +85,27 @@
     }
 
     /** Listens; each stream that comes gets the receiver that is made for it. */
-    public Listener listen(InetSocketAddress at, long queueBytes, Function<AsynchronousSocketChannel,
-            Link.Receiver> receivers) throws IOException {
+    public Listener listen(
+            InetSocketAddress at, long queueBytes, Function<AsynchronousSocketChannel, Link.Receiver> receivers)
+            throws IOException {
         Listener listener = bind(at, queueBytes, receivers);
         listener.accept();
         return listener;
     }
 
     /** Takes the address; nobody is answered before {@link Listener#accept}. */
-    public Listener bind(InetSocketAddress at, long queueBytes, Function<AsynchronousSocketChannel,
-            Link.Receiver> receivers) throws IOException {
+    public Listener bind(
+            InetSocketAddress at, long queueBytes, Function<AsynchronousSocketChannel, Link.Receiver> receivers)
+            throws IOException {
         AsynchronousServerSocketChannel server = AsynchronousServerSocketChannel.open(group);
         server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
         server.bind(at, 1024);
         return new Listener(server, () -> accept(server, queueBytes, receivers));
     }
 
-    private void accept(AsynchronousServerSocketChannel server, long queueBytes,
+    private void accept(
+            AsynchronousServerSocketChannel server,
+            long queueBytes,
             Function<AsynchronousSocketChannel, Link.Receiver> receivers) {
         server.accept(null, new CompletionHandler<AsynchronousSocketChannel, Void>() {
             @Override
@@ -146,13 +150,23 @@
     }
 
     /** Dials and gives up after that long: a far end that vanished says nothing, and would hold the handle. */
-    public void dial(InetSocketAddress to, Link.Receiver receiver, long queueBytes, long withinMs, Consumer<Link> up,
+    public void dial(
+            InetSocketAddress to,
+            Link.Receiver receiver,
+            long queueBytes,
+            long withinMs,
+            Consumer<Link> up,
             Consumer<Throwable> failed) {
         AtomicBoolean connected = new AtomicBoolean();
-        AsynchronousSocketChannel channel = dial(to, receiver, queueBytes, link -> {
-            connected.set(true);
-            up.accept(link);
-        }, failed);
+        AsynchronousSocketChannel channel = dial(
+                to,
+                receiver,
+                queueBytes,
+                link -> {
+                    connected.set(true);
+                    up.accept(link);
+                },
+                failed);
         schedule(withinMs, () -> {
             if (channel != null && !connected.get()) {
                 try {
@@ -165,8 +179,12 @@
     }
 
     /** Dials; one of the two is called on a thread of the group. The channel is null if none could be opened. */
-    public AsynchronousSocketChannel dial(InetSocketAddress to, Link.Receiver receiver, long queueBytes,
-            Consumer<Link> up, Consumer<Throwable> failed) {
+    public AsynchronousSocketChannel dial(
+            InetSocketAddress to,
+            Link.Receiver receiver,
+            long queueBytes,
+            Consumer<Link> up,
+            Consumer<Throwable> failed) {
         AsynchronousSocketChannel channel;
         try {
             channel = AsynchronousSocketChannel.open(group);
--- a/src/main/java/puffinbarrow/platform/Collectors.java
+++ b/src/main/java/puffinbarrow/platform/Collectors.java
@@ -134,7 +134,8 @@
                     full |= !sink.offer(words.report(message));
                 } catch (ProtocolException spoilt) {
                     // The messages around it are sound, so the stream goes on.
-                    counters.note("reports.refused", spoilt.getMessage() + " in " + Translation.brief(message.toString()));
+                    counters.note(
+                            "reports.refused", spoilt.getMessage() + " in " + Translation.brief(message.toString()));
                 }
             } else if (kind.equals("telemetry")) {
                 join(message);
--- a/src/main/java/puffinbarrow/platform/Configuration.java
+++ b/src/main/java/puffinbarrow/platform/Configuration.java
@@ -12,8 +12,16 @@
 import puffinbarrow.wire.MalformedBatch;
 
 /** What a coordinator is told at its start and at each new configuration. Decoded once, here. */
-record Configuration(String name, InetSocketAddress listen, InetSocketAddress discovery, InetSocketAddress relay,
-        long seed, int sockets, Translation.Listing known, Settings settings, Facts.Names names) {
+record Configuration(
+        String name,
+        InetSocketAddress listen,
+        InetSocketAddress discovery,
+        InetSocketAddress relay,
+        long seed,
+        int sockets,
+        Translation.Listing known,
+        Settings settings,
+        Facts.Names names) {
 
     /** One factory for all JSON of the process: its tables of names are shared. */
     private static final JsonFactory JSON = new JsonFactory();
@@ -23,12 +31,16 @@
         Object settings = all.get("settings");
         Map<?, ?> limits = object(all.get("limits"), "limits");
         Facts.Names names = Facts.names(settings);
-        return new Configuration(String.valueOf(all.get("name")), address(all.get("listen"), "listen"),
+        return new Configuration(
+                String.valueOf(all.get("name")),
+                address(all.get("listen"), "listen"),
                 address(all.get("discovery"), "discovery"),
                 address(object(all.get("registry"), "registry").get("address"), "registry.address"),
                 seed(String.valueOf(all.get("seed"))),
                 limits.get("sockets") instanceof Number n ? n.intValue() : 256,
-                new Translation(names, clock).listing(all.get("known")), Facts.settings(settings), names);
+                new Translation(names, clock).listing(all.get("known")),
+                Facts.settings(settings),
+                names);
     }
 
     static Object json(byte[] text) throws IOException {
--- a/src/main/java/puffinbarrow/platform/DiscoveryClient.java
+++ b/src/main/java/puffinbarrow/platform/DiscoveryClient.java
@@ -23,6 +23,7 @@
     private static final long HOLD_MS = 5000;
     /** Beyond the wait: discovery gives up after two seconds of its own. */
     private static final long ANSWER_MS = 2300;
+
     private static final long CONNECT_MS = 500;
     private static final int LIST_BYTES = 1 << 20;
 
@@ -77,11 +78,15 @@
     private void ask(long which, long holdMs) {
         long from = version;
         byte[] request = get("/api/targets?from=" + from + "&hold_ms=" + holdMs);
-        watch.call(at, request, holdMs + ANSWER_MS, ended -> host.offer(() -> {
-            if (which == life && following) {
-                answered(which, ended, holdMs == 0, from);
-            }
-        }));
+        watch.call(
+                at,
+                request,
+                holdMs + ANSWER_MS,
+                ended -> host.offer(() -> {
+                    if (which == life && following) {
+                        answered(which, ended, holdMs == 0, from);
+                    }
+                }));
     }
 
     private void answered(long which, HttpCaller.Ended ended, boolean first, long from) {
@@ -115,11 +120,15 @@
 
     /** Changes without their base say nothing: the whole list first, then the watch goes on. */
     private void resync(long which) {
-        watch.call(at, get("/api/targets"), ANSWER_MS, ended -> host.offer(() -> {
-            if (which == life && following) {
-                answered(which, ended, true, 0);
-            }
-        }));
+        watch.call(
+                at,
+                get("/api/targets"),
+                ANSWER_MS,
+                ended -> host.offer(() -> {
+                    if (which == life && following) {
+                        answered(which, ended, true, 0);
+                    }
+                }));
     }
 
     private void failed(Exception wrong) {
@@ -130,18 +139,22 @@
     /** Asks once for the whole list. */
     void fetch() {
         long from = version;
-        single.call(at, get("/api/targets"), ANSWER_MS, ended -> host.offer(() -> {
-            try {
-                Translation.Listing listing = read(ended);
-                beganAnew(listing, from);
-                if (!take(listing)) {
-                    // A watch's answer overtook it; whoever asked still waits for a whole list.
-                    fetch();
-                }
-            } catch (ProtocolException | IOException wrong) {
-                failed(wrong);
-            }
-        }));
+        single.call(
+                at,
+                get("/api/targets"),
+                ANSWER_MS,
+                ended -> host.offer(() -> {
+                    try {
+                        Translation.Listing listing = read(ended);
+                        beganAnew(listing, from);
+                        if (!take(listing)) {
+                            // A watch's answer overtook it; whoever asked still waits for a whole list.
+                            fetch();
+                        }
+                    } catch (ProtocolException | IOException wrong) {
+                        failed(wrong);
+                    }
+                }));
     }
 
     private Translation.Listing read(HttpCaller.Ended ended) throws IOException {
@@ -164,13 +177,15 @@
             addresses.clear();
         }
         addresses.putAll(listing.addresses());
-        listing.list().entries().stream().filter(e -> e.listed() == Event.Listed.GONE)
+        listing.list().entries().stream()
+                .filter(e -> e.listed() == Event.Listed.GONE)
                 .forEach(e -> addresses.remove(e.server()));
         host.happened(listing.list());
         return true;
     }
 
     private byte[] get(String target) {
-        return ("GET " + target + " HTTP/1.1\r\nhost: " + Net.text(at) + "\r\n\r\n").getBytes(StandardCharsets.US_ASCII);
+        return ("GET " + target + " HTTP/1.1\r\nhost: " + Net.text(at) + "\r\n\r\n")
+                .getBytes(StandardCharsets.US_ASCII);
     }
 }
--- a/src/main/java/puffinbarrow/platform/EventStream.java
+++ b/src/main/java/puffinbarrow/platform/EventStream.java
@@ -63,7 +63,9 @@
         for (String pair : text.split("&")) {
             int equals = pair.indexOf('=');
             if (equals > 0) {
-                fields.put(pair.substring(0, equals), URLDecoder.decode(pair.substring(equals + 1), StandardCharsets.UTF_8));
+                fields.put(
+                        pair.substring(0, equals),
+                        URLDecoder.decode(pair.substring(equals + 1), StandardCharsets.UTF_8));
             }
         }
         return fields;
--- a/src/main/java/puffinbarrow/platform/RelayClient.java
+++ b/src/main/java/puffinbarrow/platform/RelayClient.java
@@ -28,6 +28,7 @@
 final class RelayClient {
     /** An answer comes within 50 ms or never; three times that, as our own part of a core may be late to read it. */
     private static final long ANSWER_MS = 150;
+
     private static final long CONNECT_MS = 400;
     /** The relay closes what stood idle for "about 10 s or less"; a new connection costs one way there and back. */
     private static final long KEEP_MS = 2000;
@@ -47,6 +48,7 @@
     private static final long SETTLE_MS = 60;
     /** Where it is never quiet, as marks come back all the time: held no longer than an order's way to a proxy. */
     private static final long HELD_NS = 250_000_000;
+
     private static final long REDIAL_MS = 100;
 
     private static final class Call {
@@ -59,6 +61,7 @@
         boolean proven;
         /** Between two tries. */
         boolean pausing;
+
         long pauseMs = LEAST_PAUSE_MS;
     }
 
@@ -74,6 +77,7 @@
     private NewsStream stream, next;
     /** The mark that the relay took last, and who has answered to it. */
     private int lastMark = -1;
+
     private final BitSet answered = new BitSet();
     /** Since when the oldest of what is held has been. */
     private long heldSince;
@@ -164,10 +168,16 @@
         Call call = calls.peekFirst();
         out = true;
         // A form's body is plain ASCII once it is escaped.
-        String body = "Action=CommitChanges&changes=" + URLEncoder.encode(String.join(";", call.texts), StandardCharsets.UTF_8);
+        String body = "Action=CommitChanges&changes="
+                + URLEncoder.encode(String.join(";", call.texts), StandardCharsets.UTF_8);
         String request = "POST /api/ HTTP/1.1\r\nhost: " + Net.text(to)
-                + "\r\ncontent-type: application/x-www-form-urlencoded\r\ncontent-length: " + body.length() + "\r\n\r\n" + body;
-        caller.call(to, request.getBytes(StandardCharsets.US_ASCII), ANSWER_MS, ended -> host.offer(() -> ended(call, ended)));
+                + "\r\ncontent-type: application/x-www-form-urlencoded\r\ncontent-length: " + body.length() + "\r\n\r\n"
+                + body;
+        caller.call(
+                to,
+                request.getBytes(StandardCharsets.US_ASCII),
+                ANSWER_MS,
+                ended -> host.offer(() -> ended(call, ended)));
     }
 
     private void ended(Call call, HttpCaller.Ended ended) {
@@ -207,8 +217,9 @@
 
     private void taken(Call call, int taken) {
         host.counters().count("calls.taken");
-        host.counters().say("call orders=" + taken + " proxies=" + snapshot.proxies() + " "
-                + Translation.brief(String.join(";", call.texts)));
+        host.counters()
+                .say("call orders=" + taken + " proxies=" + snapshot.proxies() + " "
+                        + Translation.brief(String.join(";", call.texts)));
         call.orders.subList(0, taken).forEach(order -> {
             snapshot.took(order);
             if (order instanceof Order.Mark mark && mark.number() != lastMark) {
@@ -237,13 +248,15 @@
     private void again(Call call, long pauseMs) {
         call.pauseMs = Math.min(MOST_PAUSE_MS, call.pauseMs * 2);
         call.pausing = out = true;
-        net.schedule(pauseMs, () -> host.offer(() -> {
-            // Else proof came in the pause, and another call may be out by now.
-            if (call.pausing) {
-                call.pausing = out = false;
-                send();
-            }
-        }));
+        net.schedule(
+                pauseMs,
+                () -> host.offer(() -> {
+                    // Else proof came in the pause, and another call may be out by now.
+                    if (call.pausing) {
+                        call.pausing = out = false;
+                        send();
+                    }
+                }));
     }
 
     /** Whether a call that ended without an answer was proved taken while it was out. */
@@ -264,8 +277,12 @@
             answered.set(done.proxy());
         }
         Call call = calls.peekFirst();
-        if (event instanceof Event.InForce done && call != null && (call.doubtful || !call.pausing) && out
-                && call.orders.get(call.orders.size() - 1) instanceof Order.Mark mark && mark.number() == done.mark()) {
+        if (event instanceof Event.InForce done
+                && call != null
+                && (call.doubtful || !call.pausing)
+                && out
+                && call.orders.get(call.orders.size() - 1) instanceof Order.Mark mark
+                && mark.number() == done.mark()) {
             call.proven = true;
             if (call.pausing) {
                 call.pausing = out = false;
@@ -349,8 +366,8 @@
     private void settle(NewsStream which, List<Event> events) {
         if (which.opening != null) {
             boolean gap = stream == null;
-            Set<Integer> given = which.opening.settle(which.sinceAsked,
-                    gap && which.heardAt - deafSince > emptyNs, events);
+            Set<Integer> given =
+                    which.opening.settle(which.sinceAsked, gap && which.heardAt - deafSince > emptyNs, events);
             repeat(given, which.sinceAsked);
             which.opening = null;
             which.sinceAsked.clear();
@@ -380,9 +397,11 @@
     private void repeat(Set<Integer> given, List<Order> onTheWay) {
         Set<Order> unsent = Collections.newSetFromMap(new IdentityHashMap<>());
         calls.stream().skip(out ? 1 : 0).forEach(call -> unsent.addAll(call.orders));
-        List<Order> again = onTheWay.stream().filter(order -> !unsent.contains(order)
-                && (order instanceof Order.SetLine o && given.contains(o.table())
-                        || order instanceof Order.ClearTable c && given.contains(c.table()))).toList();
+        List<Order> again = onTheWay.stream()
+                .filter(order -> !unsent.contains(order)
+                        && (order instanceof Order.SetLine o && given.contains(o.table())
+                                || order instanceof Order.ClearTable c && given.contains(c.table())))
+                .toList();
         if (again.isEmpty()) {
             return;
         }
@@ -409,11 +428,13 @@
         } else if (which == next) {
             host.counters().note("news.not_had", why);
             next = null;
-            net.schedule(REDIAL_MS, () -> host.offer(() -> {
-                if (next == null && (stream == null || !stream.at.equals(to))) {
-                    listen();
-                }
-            }));
+            net.schedule(
+                    REDIAL_MS,
+                    () -> host.offer(() -> {
+                        if (next == null && (stream == null || !stream.at.equals(to))) {
+                            listen();
+                        }
+                    }));
         }
     }
 
@@ -426,22 +447,31 @@
         private volatile boolean closed;
         /** On the decision thread. */
         private boolean up;
+
         private long heardAt;
         /** Until it has settled: what it has told, and the orders that it may not show. */
         private RelaySnapshot.Opening opening;
+
         private final List<Order> sinceAsked = new ArrayList<>();
 
         void dial() {
-            net.dial(at, this, 4096, CONNECT_MS, up -> {
-                link = up;
-                if (closed) {
-                    up.close();
-                    return;
-                }
-                host.offer(() -> begun(this));
-                up.send(ByteBuffer.wrap(("GET /api/stream HTTP/1.1\r\nhost: " + Net.text(at)
-                        + "\r\naccept: text/event-stream\r\n\r\n").getBytes(StandardCharsets.US_ASCII)));
-            }, failure -> host.offer(() -> lost(this, "no connection: " + failure.getMessage())));
+            net.dial(
+                    at,
+                    this,
+                    4096,
+                    CONNECT_MS,
+                    up -> {
+                        link = up;
+                        if (closed) {
+                            up.close();
+                            return;
+                        }
+                        host.offer(() -> begun(this));
+                        up.send(ByteBuffer.wrap(("GET /api/stream HTTP/1.1\r\nhost: " + Net.text(at)
+                                        + "\r\naccept: text/event-stream\r\n\r\n")
+                                .getBytes(StandardCharsets.US_ASCII)));
+                    },
+                    failure -> host.offer(() -> lost(this, "no connection: " + failure.getMessage())));
         }
 
         private void news(EventStream.News news) {
--- a/src/main/java/puffinbarrow/platform/RelaySnapshot.java
+++ b/src/main/java/puffinbarrow/platform/RelaySnapshot.java
@@ -164,14 +164,16 @@
          * @return the slices given: new ones, and those whose lines are not as they were believed
          */
         Set<Integer> settle(List<Order> onTheWay, boolean anew, List<Event> out) {
-            List.copyOf(joined).stream().filter(id -> anew || !proxies.containsKey(id))
+            List.copyOf(joined).stream()
+                    .filter(id -> anew || !proxies.containsKey(id))
                     .forEach(id -> left(id, out));
             proxies.forEach((id, proxy) -> {
                 if (joined.add(id)) {
                     out.add(proxy);
                 }
             });
-            List.copyOf(slices.keySet()).stream().filter(slice -> !tables.containsKey(slice))
+            List.copyOf(slices.keySet()).stream()
+                    .filter(slice -> !tables.containsKey(slice))
                     .forEach(slice -> taken(slice, out));
             Map<Integer, TreeMap<String, Double>> believed = copy(slices);
             Map<Integer, TreeMap<String, Double>> told = copy(tables);
@@ -195,7 +197,8 @@
 
     /** A weight that went out and came back may have lost its last digits. */
     private static boolean same(TreeMap<String, Double> a, TreeMap<String, Double> b) {
-        return b != null && a.keySet().equals(b.keySet())
+        return b != null
+                && a.keySet().equals(b.keySet())
                 && a.keySet().stream().allMatch(id -> Math.abs(a.get(id) - b.get(id)) <= 1e-6 * b.get(id));
     }
 }
