--- a/src/main/java/puffinbarrow/platform/Service.java
+++ b/src/main/java/puffinbarrow/platform/Service.java
@@ -26,6 +26,7 @@
     private static final int INBOX = 8192;
     /** The simulator's own tick: what comes within it is decided as one batch, which saves most of the work. */
     private static final long TICK_NS = 4_000_000;
+
     private static final long WATCH_NS = 250_000_000;
     /** A probe's answer may take as long as the platform waits for one. */
     private static final long PROBE_MS = 500;
@@ -37,6 +38,7 @@
     private final Path file;
     /** As it was at the start. */
     private final Configuration config;
+
     private final CounterRegistry counters;
     private final Inbox<Runnable> inbox = new Inbox<>(INBOX);
     private final Net net;
@@ -46,8 +48,7 @@
     private final Prober prober;
     private final Net.Listener listener;
     private final Failures failures = new Failures();
-    private final PriorityQueue<Order.WakeAt> timers =
-            new PriorityQueue<>((a, b) -> Long.compare(a.atNs(), b.atNs()));
+    private final PriorityQueue<Order.WakeAt> timers = new PriorityQueue<>((a, b) -> Long.compare(a.atNs(), b.atNs()));
     private List<Event> batch = new ArrayList<>();
     private volatile boolean running = true;
     private boolean gaveUp;
@@ -67,12 +68,16 @@
         Translation words = new Translation(config.names(), clock);
         this.net = new Net("serve", 1);
         this.controller = factory.start(config.settings(), config.seed());
-        this.relay = new RelayClient(net, this, words, config.relay(),
-                (long) (config.settings().queueLimit() / Math.max(1, config.settings().linesPerS()) * 1e9));
+        this.relay = new RelayClient(net, this, words, config.relay(), (long)
+                (config.settings().queueLimit() / Math.max(1, config.settings().linesPerS()) * 1e9));
         this.discovery = new DiscoveryClient(net, this, words, config.discovery(), config.known());
-        this.prober = new Prober(net, discovery::address, PROBE_MS,
+        this.prober = new Prober(
+                net,
+                discovery::address,
+                PROBE_MS,
                 new Prober.Question("/-/load", answer -> Translation.probed(new String(answer.body()))));
-        happened(new Event.ServerList(Event.ListKind.STALE_COPY, config.known().list().entries()));
+        happened(new Event.ServerList(
+                Event.ListKind.STALE_COPY, config.known().list().entries()));
         int strangers = Math.max(32, config.sockets() - OWN_HANDLES);
         this.listener = new Collectors(net, words, new Reports(), counters, strangers).bind(config.listen());
         this.config = config;
@@ -110,8 +115,8 @@
                 watchAt = now + WATCH_NS;
             }
             if (now >= secondAt) {
-                counters.second("proxies=" + relay.snapshot().proxies() + " slices=" + relay.snapshot().slices()
-                        + " calls=" + relay.waiting());
+                counters.second("proxies=" + relay.snapshot().proxies() + " slices="
+                        + relay.snapshot().slices() + " calls=" + relay.waiting());
                 secondAt = now + 1_000_000_000L;
             }
             while (!timers.isEmpty() && timers.peek().atNs() <= now) {
@@ -120,7 +125,8 @@
             if (!batch.isEmpty()) {
                 decide(now);
             }
-            long next = Math.min(watchAt, timers.isEmpty() ? watchAt : timers.peek().atNs());
+            long next =
+                    Math.min(watchAt, timers.isEmpty() ? watchAt : timers.peek().atNs());
             if (inbox.isEmpty()) {
                 LockSupport.parkNanos(Math.max(0, next - System.nanoTime()));
             }
@@ -174,8 +180,11 @@
     }
 
     private void failed(long now, List<Event> events, RuntimeException failure) {
-        counters.note("decisions.failed", failure + " at " + List.of(failure.getStackTrace()).subList(0,
-                Math.min(6, failure.getStackTrace().length)) + " on " + events.size() + " events; what stands is left");
+        counters.note(
+                "decisions.failed",
+                failure + " at "
+                        + List.of(failure.getStackTrace()).subList(0, Math.min(6, failure.getStackTrace().length))
+                        + " on " + events.size() + " events; what stands is left");
         // The decisions' own timer may have been lost with the batch.
         timers.add(new Order.WakeAt(now + WATCH_NS, 0));
         if (failures.tooMany(now)) {
@@ -235,7 +244,7 @@
     @Override
     public void close() {
         running = false;
-        offer(() -> { });
+        offer(() -> {});
         listener.close();
         net.close();
     }
--- a/src/main/java/puffinbarrow/platform/Translation.java
+++ b/src/main/java/puffinbarrow/platform/Translation.java
@@ -30,11 +30,12 @@
     /** Discovery's answer, with where each backend listens as seen from here. */
     record Listing(long version, Event.ServerList list, Map<String, InetSocketAddress> addresses) {}
 
-    private static final Map<String, Event.Listed> STATES = Map.of("SERVING", Event.Listed.READY,
-            "DRAINING", Event.Listed.DRAINING, "DELETED", Event.Listed.GONE);
+    private static final Map<String, Event.Listed> STATES =
+            Map.of("SERVING", Event.Listed.READY, "DRAINING", Event.Listed.DRAINING, "DELETED", Event.Listed.GONE);
 
     /** Bounds that no sound figure reaches: ten minutes, and more tries than a fleet of this form sees in them. */
     private static final double MOST_MS = 600_000;
+
     private static final long MOST_COUNT = 100_000_000;
 
     private final Facts.Names names;
@@ -79,14 +80,24 @@
         long count = whole(fields, "count", 1, MOST_COUNT);
         long fail = whole(fields, "fail", 0, count);
         double mean = fail < count || fields.containsKey("mean") ? real(fields, "mean", 0, MOST_MS) : 0;
-        return new Event.ServerSums(text(fields, "target"), zone(fields), ns(real(fields, "over", 1, MOST_MS)), ns(mean),
-                fail, count, load(fields.getOrDefault("util", "")));
+        return new Event.ServerSums(
+                text(fields, "target"),
+                zone(fields),
+                ns(real(fields, "over", 1, MOST_MS)),
+                ns(mean),
+                fail,
+                count,
+                load(fields.getOrDefault("util", "")));
     }
 
     private Event sliceDemand(Map<String, String> fields) {
         // Flows that fail may have come in a span before, so they can be more than came in this one.
-        return new Event.SliceDemand(slice(fields), place(names.groups(), fields, "lane"),
-                whole(fields, "count", 0, MOST_COUNT), whole(fields, "fail", 0, MOST_COUNT), ns(real(fields, "over", 1, MOST_MS)));
+        return new Event.SliceDemand(
+                slice(fields),
+                place(names.groups(), fields, "lane"),
+                whole(fields, "count", 0, MOST_COUNT),
+                whole(fields, "fail", 0, MOST_COUNT),
+                ns(real(fields, "over", 1, MOST_MS)));
     }
 
     private static Map<Measure, Double> load(String pairs) {
@@ -104,7 +115,8 @@
 
     /** A joined proxy. */
     Event.ProxyJoined joined(Map<String, String> fields) {
-        return new Event.ProxyJoined(proxy(fields), flag(fields, "new"), real(fields, "rps", 0, MOST_COUNT), zone(fields));
+        return new Event.ProxyJoined(
+                proxy(fields), flag(fields, "new"), real(fields, "rps", 0, MOST_COUNT), zone(fields));
     }
 
     int proxy(Map<String, String> fields) {
@@ -116,7 +128,8 @@
     }
 
     Event.InForce inForce(Map<String, String> fields) {
-        return new Event.InForce(proxy(fields), (int) whole(fields, "seq", 0, 65_535), ns(real(fields, "ms", 0, MOST_MS)));
+        return new Event.InForce(
+                proxy(fields), (int) whole(fields, "seq", 0, 65_535), ns(real(fields, "ms", 0, MOST_MS)));
     }
 
     Event.StoredLine line(Map<String, String> fields) {
@@ -138,7 +151,8 @@
     private static String text(Map<String, String> fields, String name) {
         String value = fields.get(name);
         if (value == null || value.isEmpty() || value.length() > 256) {
-            throw new ProtocolException(name + ": " + (value == null || value.isEmpty() ? "absent" : "over 256 characters"));
+            throw new ProtocolException(
+                    name + ": " + (value == null || value.isEmpty() ? "absent" : "over 256 characters"));
         }
         return value;
     }
@@ -153,7 +167,8 @@
         } catch (NumberFormatException none) {
             // Said below.
         }
-        throw new ProtocolException(name + ": wanted a whole number from " + least + " to " + most + ", found " + value);
+        throw new ProtocolException(
+                name + ": wanted a whole number from " + least + " to " + most + ", found " + value);
     }
 
     private static double real(Map<String, String> fields, String name, double least, double most) {
@@ -177,7 +192,8 @@
 
     Listing listing(Object json) {
         Map<?, ?> all = Configuration.object(json, "the list");
-        if (!(all.get("generation") instanceof Number version) || !(all.get("reset") instanceof Boolean whole)
+        if (!(all.get("generation") instanceof Number version)
+                || !(all.get("reset") instanceof Boolean whole)
                 || !(all.get("instances") instanceof List<?> instances)) {
             throw new ProtocolException("the list: wanted generation, reset and instances");
         }
@@ -189,15 +205,22 @@
             if (!(of.get("instanceId") instanceof String server) || listed == null) {
                 throw new ProtocolException("instances: wanted an id and a known lifecycle, found " + of);
             }
-            entries.add(new Event.Entry(server, names.zones().indexOf(String.valueOf(of.get("zone"))),
-                    names.kinds().indexOf(String.valueOf(of.get("machineType"))), (int) number(of, "cell"), listed,
-                    number(of, "weight"), clock.at((long) number(of, "startedAtMs"))));
+            entries.add(new Event.Entry(
+                    server,
+                    names.zones().indexOf(String.valueOf(of.get("zone"))),
+                    names.kinds().indexOf(String.valueOf(of.get("machineType"))),
+                    (int) number(of, "cell"),
+                    listed,
+                    number(of, "weight"),
+                    clock.at((long) number(of, "startedAtMs"))));
             if (of.get("hostPort") instanceof String) {
                 addresses.put(server, Configuration.address(of.get("hostPort"), "hostPort"));
             }
         }
-        return new Listing(version.longValue(),
-                new Event.ServerList(whole ? Event.ListKind.WHOLE : Event.ListKind.PATCH, entries), addresses);
+        return new Listing(
+                version.longValue(),
+                new Event.ServerList(whole ? Event.ListKind.WHOLE : Event.ListKind.PATCH, entries),
+                addresses);
     }
 
     private static double number(Map<?, ?> of, String name) {
--- a/src/main/java/puffinbarrow/proto/Frame.java
+++ b/src/main/java/puffinbarrow/proto/Frame.java
@@ -12,13 +12,28 @@
     int MINOR = 1;
 
     /** Who says hello. */
-    enum Role { PROXY, PEER, COORDINATOR, PROXY_AT_STORE }
+    enum Role {
+        PROXY,
+        PEER,
+        COORDINATOR,
+        PROXY_AT_STORE
+    }
 
     /** Why a hello or a stream was turned away. */
-    enum Refused { VERSION, NUMBER_TAKEN, MALFORMED, EXPECTED_HELLO, UNKNOWN_ROLE, TOO_SLOW, SHUTTING_DOWN, UNKNOWN_PEER }
+    enum Refused {
+        VERSION,
+        NUMBER_TAKEN,
+        MALFORMED,
+        EXPECTED_HELLO,
+        UNKNOWN_ROLE,
+        TOO_SLOW,
+        SHUTTING_DOWN,
+        UNKNOWN_PEER
+    }
 
-    record Hello(int major, int minor, Role role, int number, int zone, long incarnation, boolean fresh,
-            double flowsPerS) implements Frame {}
+    record Hello(
+            int major, int minor, Role role, int number, int zone, long incarnation, boolean fresh, double flowsPerS)
+            implements Frame {}
 
     record Welcome(int minor, int coordinator, long incarnation) implements Frame {}
 
@@ -92,8 +107,17 @@
      * A member's record. To the store: write it if its revision is that one, to be answered by {@link Written} with this
      * id. From the store: how it stands, at that revision; the id is 0.
      */
-    record MemberRecord(long id, long revision, int number, long incarnation, long beat, boolean settled, boolean leaving,
-            boolean dead, int flaps) implements Frame {}
+    record MemberRecord(
+            long id,
+            long revision,
+            int number,
+            long incarnation,
+            long beat,
+            boolean settled,
+            boolean leaving,
+            boolean dead,
+            int flaps)
+            implements Frame {}
 
     /** A slice's record, likewise. */
     record VoiceRecord(long id, long revision, int slice, int owner, long incarnation, long term) implements Frame {}
--- a/src/main/java/puffinbarrow/proto/FrameException.java
+++ b/src/main/java/puffinbarrow/proto/FrameException.java
@@ -5,7 +5,13 @@
     private static final long serialVersionUID = 1;
 
     /** One counter each. */
-    public enum Cause { OVERSIZED, CHECKSUM, VERSION, UNKNOWN_TYPE, MALFORMED }
+    public enum Cause {
+        OVERSIZED,
+        CHECKSUM,
+        VERSION,
+        UNKNOWN_TYPE,
+        MALFORMED
+    }
 
     private final Cause cause;
 
--- a/src/main/java/puffinbarrow/proto/FrameReader.java
+++ b/src/main/java/puffinbarrow/proto/FrameReader.java
@@ -56,7 +56,8 @@
             }
         }
         while (in.hasRemaining()) {
-            int need = kept.position() < FrameWriter.HEADER ? FrameWriter.HEADER
+            int need = kept.position() < FrameWriter.HEADER
+                    ? FrameWriter.HEADER
                     : FrameWriter.HEADER + checked(kept.getInt(0));
             ensure(need);
             int some = Math.min(in.remaining(), need - kept.position());
@@ -80,16 +81,17 @@
 
     private int checked(int length) {
         if (length < 0 || length > limit) {
-            throw new FrameException(Cause.OVERSIZED, "a frame of " + Integer.toUnsignedString(length)
-                    + " bytes, " + limit + " is the most");
+            throw new FrameException(
+                    Cause.OVERSIZED,
+                    "a frame of " + Integer.toUnsignedString(length) + " bytes, " + limit + " is the most");
         }
         return length;
     }
 
     private void ensure(int bytes) {
         if (kept.capacity() < bytes) {
-            ByteBuffer larger = ByteBuffer.allocate(Math.min(FrameWriter.HEADER + limit, Math.max(bytes,
-                    kept.capacity() * 2)));
+            ByteBuffer larger =
+                    ByteBuffer.allocate(Math.min(FrameWriter.HEADER + limit, Math.max(bytes, kept.capacity() * 2)));
             kept.flip();
             larger.put(kept);
             kept = larger;
@@ -211,8 +213,15 @@
                 if (in.getInt() != Frame.MAGIC) {
                     throw malformed("hello without the magic number");
                 }
-                return new Frame.Hello(in.get(), in.get(), pick(Frame.Role.values(), in.get(), "role"), in.getInt(),
-                        in.getInt(), in.getLong(), in.get() != 0, finite(in.getDouble()));
+                return new Frame.Hello(
+                        in.get(),
+                        in.get(),
+                        pick(Frame.Role.values(), in.get(), "role"),
+                        in.getInt(),
+                        in.getInt(),
+                        in.getLong(),
+                        in.get() != 0,
+                        finite(in.getDouble()));
             }
             case Types.WELCOME:
                 return new Frame.Welcome(in.get(), in.getInt(), in.getLong());
@@ -226,8 +235,14 @@
                 int count = count(in, 31);
                 List<Event.Entry> entries = new ArrayList<>(count);
                 for (int i = 0; i < count; i++) {
-                    entries.add(new Event.Entry(text(in), in.getInt(), in.getInt(), in.getInt(),
-                            pick(Event.Listed.values(), in.get(), "entry"), finite(in.getDouble()), in.getLong()));
+                    entries.add(new Event.Entry(
+                            text(in),
+                            in.getInt(),
+                            in.getInt(),
+                            in.getInt(),
+                            pick(Event.Listed.values(), in.get(), "entry"),
+                            finite(in.getDouble()),
+                            in.getLong()));
                 }
                 return new Frame.ServerList(kind, version, entries);
             }
@@ -249,7 +264,8 @@
             case Types.READ_SLICE:
                 return new Frame.ReadSlice(in.getInt());
             case Types.OWNER:
-                return new Frame.Owner(in.getInt(), in.getInt(), in.hasRemaining() ? positive(in.getLong(), "term") : 0);
+                return new Frame.Owner(
+                        in.getInt(), in.getInt(), in.hasRemaining() ? positive(in.getLong(), "term") : 0);
             case Types.STALE:
                 return new Frame.Stale(in.getInt(), positive(in.getLong(), "term"));
             case Types.WATCH:
@@ -263,11 +279,24 @@
                 long incarnation = in.getLong();
                 long beat = positive(in.getLong(), "beat");
                 int flags = in.get();
-                return new Frame.MemberRecord(id, revision, number, incarnation, beat, (flags & 1) != 0, (flags & 2) != 0,
-                        (flags & 4) != 0, in.getInt());
+                return new Frame.MemberRecord(
+                        id,
+                        revision,
+                        number,
+                        incarnation,
+                        beat,
+                        (flags & 1) != 0,
+                        (flags & 2) != 0,
+                        (flags & 4) != 0,
+                        in.getInt());
             }
             case Types.VOICE:
-                return new Frame.VoiceRecord(in.getLong(), in.getLong(), in.getInt(), in.getInt(), in.getLong(),
+                return new Frame.VoiceRecord(
+                        in.getLong(),
+                        in.getLong(),
+                        in.getInt(),
+                        in.getInt(),
+                        in.getLong(),
                         positive(in.getLong(), "term"));
             case Types.WRITTEN:
                 return new Frame.Written(in.getLong(), in.get() != 0);
@@ -306,7 +335,10 @@
                 return new Order.Mask(text(in), on);
             }
             case Types.LEVEL:
-                return new Order.SetLevel(in.getInt(), in.getInt(), weight(in.getDouble()),
+                return new Order.SetLevel(
+                        in.getInt(),
+                        in.getInt(),
+                        weight(in.getDouble()),
                         pick(Order.Retry.values(), in.get(), "way of trying again"));
             case Types.MARK:
                 return new Order.Mark(in.getInt(), in.get() != 0);
--- a/src/main/java/puffinbarrow/proto/FrameWriter.java
+++ b/src/main/java/puffinbarrow/proto/FrameWriter.java
@@ -23,6 +23,7 @@
     private final CRC32C crc = new CRC32C();
     /** Far above the servers of one fleet; a clash costs encoding the text anew. Longer texts are messages, not ids. */
     private static final int KEPT = 1024;
+
     private static final int LONGEST_KEPT = 64;
     private final String[] keptTexts;
     private final byte[][] keptBytes;
@@ -83,7 +84,10 @@
     private int body(Frame frame) {
         if (frame instanceof Frame.Orders f) {
             room(24);
-            to.putLong(f.turn()).putLong(f.orderedAtNs()).putInt(f.carried()).putInt(f.orders().size());
+            to.putLong(f.turn())
+                    .putLong(f.orderedAtNs())
+                    .putInt(f.carried())
+                    .putInt(f.orders().size());
             for (int i = 0; i < f.orders().size(); i++) {
                 order(f.orders().get(i));
             }
@@ -97,7 +101,10 @@
             return Types.ORDERS;
         } else if (frame instanceof Frame.Sums f) {
             room(24);
-            to.putInt(f.zone()).putLong(f.round()).putLong(f.spanNs()).putInt(f.met().size());
+            to.putInt(f.zone())
+                    .putLong(f.round())
+                    .putLong(f.spanNs())
+                    .putInt(f.met().size());
             for (int i = 0; i < f.met().size(); i++) {
                 Frame.Met met = f.met().get(i);
                 text(met.server());
@@ -111,7 +118,10 @@
             to.putLong(f.round()).putLong(f.spanNs()).putInt(f.came().size());
             for (int i = 0; i < f.came().size(); i++) {
                 Frame.Came came = f.came().get(i);
-                to.putInt(came.slice()).put((byte) came.group()).putLong(came.flows()).putLong(came.dropped());
+                to.putInt(came.slice())
+                        .put((byte) came.group())
+                        .putLong(came.flows())
+                        .putLong(came.dropped());
             }
             return Types.DEMAND;
         } else if (frame instanceof Frame.Applied f) {
@@ -133,8 +143,14 @@
     private int rare(Frame frame) {
         room(64);
         if (frame instanceof Frame.Hello f) {
-            to.putInt(Frame.MAGIC).put((byte) f.major()).put((byte) f.minor()).put((byte) f.role().ordinal())
-                    .putInt(f.number()).putInt(f.zone()).putLong(f.incarnation()).put(bit(f.fresh()))
+            to.putInt(Frame.MAGIC)
+                    .put((byte) f.major())
+                    .put((byte) f.minor())
+                    .put((byte) f.role().ordinal())
+                    .putInt(f.number())
+                    .putInt(f.zone())
+                    .putLong(f.incarnation())
+                    .put(bit(f.fresh()))
                     .putDouble(f.flowsPerS());
             return Types.HELLO;
         } else if (frame instanceof Frame.Welcome f) {
@@ -147,12 +163,18 @@
         } else if (frame instanceof Frame.Bye) {
             return Types.BYE;
         } else if (frame instanceof Frame.ServerList f) {
-            to.put((byte) f.kind().ordinal()).putLong(f.version()).putInt(f.entries().size());
+            to.put((byte) f.kind().ordinal())
+                    .putLong(f.version())
+                    .putInt(f.entries().size());
             for (Event.Entry e : f.entries()) {
                 text(e.server());
                 room(32);
-                to.putInt(e.zone()).putInt(e.kind()).putInt(e.cell()).put((byte) e.listed().ordinal())
-                        .putDouble(e.size()).putLong(e.startedNs());
+                to.putInt(e.zone())
+                        .putInt(e.kind())
+                        .putInt(e.cell())
+                        .put((byte) e.listed().ordinal())
+                        .putDouble(e.size())
+                        .putLong(e.startedNs());
             }
             return Types.LIST;
         } else if (frame instanceof Frame.Follow f) {
@@ -185,11 +207,20 @@
         } else if (frame instanceof Frame.Synced) {
             return Types.SYNCED;
         } else if (frame instanceof Frame.MemberRecord f) {
-            to.putLong(f.id()).putLong(f.revision()).putInt(f.number()).putLong(f.incarnation()).putLong(f.beat())
-                    .put((byte) (bit(f.settled()) | bit(f.leaving()) << 1 | bit(f.dead()) << 2)).putInt(f.flaps());
+            to.putLong(f.id())
+                    .putLong(f.revision())
+                    .putInt(f.number())
+                    .putLong(f.incarnation())
+                    .putLong(f.beat())
+                    .put((byte) (bit(f.settled()) | bit(f.leaving()) << 1 | bit(f.dead()) << 2))
+                    .putInt(f.flaps());
             return Types.MEMBER;
         } else if (frame instanceof Frame.VoiceRecord f) {
-            to.putLong(f.id()).putLong(f.revision()).putInt(f.slice()).putInt(f.owner()).putLong(f.incarnation())
+            to.putLong(f.id())
+                    .putLong(f.revision())
+                    .putInt(f.slice())
+                    .putInt(f.owner())
+                    .putLong(f.incarnation())
                     .putLong(f.term());
             return Types.VOICE;
         } else if (frame instanceof Frame.Written f) {
@@ -216,7 +247,10 @@
             text(o.server());
         } else if (order instanceof Order.SetLevel o) {
             room(18);
-            to.put(Types.LEVEL).putInt(o.table()).putInt(o.groups()).putDouble(o.level())
+            to.put(Types.LEVEL)
+                    .putInt(o.table())
+                    .putInt(o.groups())
+                    .putDouble(o.level())
                     .put((byte) o.retry().ordinal());
         } else if (order instanceof Order.Mark o) {
             room(6);
@@ -278,8 +312,10 @@
 
     /** An array and a cursor: plain stores at a known place cost less than a buffer's checks for each field. */
     private static final class Bytes {
-        private static final VarHandle SHORTS = view(short[].class), INTS = view(int[].class),
-                LONGS = view(long[].class), DOUBLES = view(double[].class);
+        private static final VarHandle SHORTS = view(short[].class),
+                INTS = view(int[].class),
+                LONGS = view(long[].class),
+                DOUBLES = view(double[].class);
 
         byte[] bytes = new byte[4096];
         int at;
--- a/src/main/java/puffinbarrow/proto/Names.java
+++ b/src/main/java/puffinbarrow/proto/Names.java
@@ -53,7 +53,11 @@
         ByteBuffer part = in.duplicate();
         part.limit(start + length).position(start);
         in.position(start + length);
-        return StandardCharsets.UTF_8.newDecoder().onMalformedInput(CodingErrorAction.REPORT)
-                .onUnmappableCharacter(CodingErrorAction.REPORT).decode(part).toString();
+        return StandardCharsets.UTF_8
+                .newDecoder()
+                .onMalformedInput(CodingErrorAction.REPORT)
+                .onUnmappableCharacter(CodingErrorAction.REPORT)
+                .decode(part)
+                .toString();
     }
 }
--- a/src/main/java/puffinbarrow/replay/Bridge.java
+++ b/src/main/java/puffinbarrow/replay/Bridge.java
@@ -134,8 +134,7 @@
         config.idleNs = Long.MAX_VALUE / 2;
         config.outboundBytes = 64 << 20;
         config.frameBytes = 16 << 20;
-        coordinator = new Coordinator(config, decisions, Core.Tempo.FREE, server -> backendsAt.address())
-                .startByHand();
+        coordinator = new Coordinator(config, decisions, Core.Tempo.FREE, server -> backendsAt.address()).startByHand();
         // The registry's and the store's streams stand once their inputs have come in.
         until("registry and store", () -> coordinator.offered() >= (settings.slices() > 0 ? 2 : 1));
         coordinator.turnAt(Long.MIN_VALUE / 4);
@@ -189,8 +188,15 @@
         } else if (event instanceof Event.StoredLine e) {
             store.send(new Frame.Stored(e.slice(), List.of(new Frame.Line(e.server(), e.weight()))));
         } else if (event instanceof Event.ProxyJoined e) {
-            Far far = new Far(new Frame.Hello(Frame.MAJOR, Frame.MINOR, Frame.Role.PROXY, e.proxy(), e.zone(),
-                    e.proxy(), e.fresh(), e.flowsPerS()));
+            Far far = new Far(new Frame.Hello(
+                    Frame.MAJOR,
+                    Frame.MINOR,
+                    Frame.Role.PROXY,
+                    e.proxy(),
+                    e.zone(),
+                    e.proxy(),
+                    e.fresh(),
+                    e.flowsPerS()));
             proxies.put(e.proxy(), dial(far));
         } else if (event instanceof Event.ProxyLeft e) {
             Far far = proxies.remove(e.proxy());
@@ -199,14 +205,27 @@
             }
             far.link.close();
         } else if (event instanceof Event.ServerSums e) {
-            far(e.server()).send(new Frame.Sums(e.zone(), round++, e.spanNs(), List.of(new Frame.Met(e.server(),
-                    e.tries(), e.dropped(), e.tookNs() * Math.max(0, e.tries() - e.dropped()), e.report()))));
+            far(e.server())
+                    .send(new Frame.Sums(
+                            e.zone(),
+                            round++,
+                            e.spanNs(),
+                            List.of(new Frame.Met(
+                                    e.server(),
+                                    e.tries(),
+                                    e.dropped(),
+                                    e.tookNs() * Math.max(0, e.tries() - e.dropped()),
+                                    e.report()))));
         } else if (event instanceof Event.SliceDemand e) {
-            far("slice " + e.slice()).send(new Frame.Demand(round++, e.spanNs(),
-                    List.of(new Frame.Came(e.slice(), e.group(), e.flows(), e.dropped()))));
+            far("slice " + e.slice())
+                    .send(new Frame.Demand(
+                            round++,
+                            e.spanNs(),
+                            List.of(new Frame.Came(e.slice(), e.group(), e.flows(), e.dropped()))));
         } else if (event instanceof Event.ProxyDemand e) {
-            proxies.get(e.proxy()).send(new Frame.Demand(round++, e.spanNs(),
-                    List.of(new Frame.Came(-1, e.group(), e.flows(), e.dropped()))));
+            proxies.get(e.proxy())
+                    .send(new Frame.Demand(
+                            round++, e.spanNs(), List.of(new Frame.Came(-1, e.group(), e.flows(), e.dropped()))));
         } else if (event instanceof Event.InForce e) {
             Far far = proxies.get(e.proxy());
             if (far == null) {
@@ -223,11 +242,16 @@
 
     private Far dial(Far far) {
         CompletableFuture<Link> up = new CompletableFuture<>();
-        net.dial(coordinator.address(), far, 1 << 20, link -> {
-            far.link = link;
-            far.send(far.hello);
-            up.complete(link);
-        }, up::completeExceptionally);
+        net.dial(
+                coordinator.address(),
+                far,
+                1 << 20,
+                link -> {
+                    far.link = link;
+                    far.send(far.hello);
+                    up.complete(link);
+                },
+                up::completeExceptionally);
         try {
             up.get(20, TimeUnit.SECONDS);
         } catch (Exception failed) {
@@ -266,7 +290,8 @@
 
         private void request(HttpParser.Message request) {
             synchronized (probes) {
-                probes.computeIfAbsent(request.header("host"), h -> new ArrayDeque<>()).addLast(link);
+                probes.computeIfAbsent(request.header("host"), h -> new ArrayDeque<>())
+                        .addLast(link);
                 probed.add(request.header("host"));
             }
         }
@@ -286,7 +311,8 @@
         }
         if (event.answered()) {
             link.send(ByteBuffer.wrap(("HTTP/1.1 200 OK\r\n" + Orca.HEADER + ": " + Orca.write(event.report())
-                    + "\r\ncontent-length: 0\r\n\r\n").getBytes(StandardCharsets.US_ASCII)));
+                            + "\r\ncontent-length: 0\r\n\r\n")
+                    .getBytes(StandardCharsets.US_ASCII)));
         } else {
             link.close();
         }
@@ -296,8 +322,7 @@
 
     private List<Order> collect() {
         Map<String, Double> counts = coordinator.meters().values();
-        double messages = counts.getOrDefault("channel.messages.sent", 0.0)
-                - counts.getOrDefault("messages.lost", 0.0);
+        double messages = counts.getOrDefault("channel.messages.sent", 0.0) - counts.getOrDefault("messages.lost", 0.0);
         until("orders to arrive", () -> received.get() >= messages);
         double questions = counts.getOrDefault("registry.asked", 0.0);
         until("questions to the registry", () -> {
@@ -323,8 +348,7 @@
                 first = own;
                 out.addAll(own);
             } else if (!own.equals(first)) {
-                throw new IllegalStateException("proxy " + each.getKey() + " was ordered " + own
-                        + ", others " + first);
+                throw new IllegalStateException("proxy " + each.getKey() + " was ordered " + own + ", others " + first);
             }
         }
         synchronized (asked) {
--- a/src/main/java/puffinbarrow/replay/Replay.java
+++ b/src/main/java/puffinbarrow/replay/Replay.java
@@ -33,8 +33,8 @@
     }
 
     private static final Set<String> INSIDE = Set.of("After", "WriteLog");
-    private static final Map<String, String> TO = Map.of("Follow", "registry", "Fetch", "registry", "Share", "peers",
-            "SoundOut", "backends");
+    private static final Map<String, String> TO =
+            Map.of("Follow", "registry", "Fetch", "registry", "Share", "peers", "SoundOut", "backends");
 
     private final JsonFactory json = new JsonFactory();
     private final Controller.Factory decisions;
@@ -149,8 +149,10 @@
                 while (in.nextToken() == JsonToken.START_ARRAY) {
                     List<String> words = new ArrayList<>();
                     while (in.nextToken() != JsonToken.END_ARRAY) {
-                        words.add(in.currentToken().isNumeric() && in.currentToken() == JsonToken.VALUE_NUMBER_FLOAT
-                                ? Double.toString(in.getDoubleValue()) : in.getText());
+                        words.add(
+                                in.currentToken().isNumeric() && in.currentToken() == JsonToken.VALUE_NUMBER_FLOAT
+                                        ? Double.toString(in.getDoubleValue())
+                                        : in.getText());
                     }
                     String name = words.get(0);
                     if (INSIDE.contains(name)) {
@@ -159,8 +161,10 @@
                         split.computeIfAbsent("failure", k -> new ArrayList<>()).add(String.join(" ", words));
                     } else {
                         orders += count ? 1 : 0;
-                        split.computeIfAbsent(TO.getOrDefault(name, "proxies") + " of instance " + words.get(1),
-                                k -> new ArrayList<>()).add(String.join(" ", words));
+                        split.computeIfAbsent(
+                                        TO.getOrDefault(name, "proxies") + " of instance " + words.get(1),
+                                        k -> new ArrayList<>())
+                                .add(String.join(" ", words));
                     }
                 }
             }
--- a/src/main/java/puffinbarrow/resp/RespReader.java
+++ b/src/main/java/puffinbarrow/resp/RespReader.java
@@ -14,7 +14,12 @@
  * closed. Not thread-safe: one for each stream, fed by that stream's reads.
  */
 public final class RespReader {
-    private enum At { ARRAY, LENGTH, BULK, BULK_END }
+    private enum At {
+        ARRAY,
+        LENGTH,
+        BULK,
+        BULK_END
+    }
 
     /** The longest header line: a type, a length of ten digits, with room to say what it was instead. */
     private static final int LINE_BYTES = 16;
@@ -103,8 +108,8 @@
         while (in.hasRemaining()) {
             byte b = in.get();
             if (lineLength == 0 && b != type) {
-                throw new RespException("expected '" + (type == '\r' ? "the end of a string" : type) + "', found byte "
-                        + (b & 0xff));
+                throw new RespException(
+                        "expected '" + (type == '\r' ? "the end of a string" : type) + "', found byte " + (b & 0xff));
             }
             if (lineLength == LINE_BYTES || ++taken > limit) {
                 throw new RespException("a header line without an end");
--- a/src/main/java/puffinbarrow/standin/Backend.java
+++ b/src/main/java/puffinbarrow/standin/Backend.java
@@ -26,8 +26,19 @@
  */
 public final class Backend {
     /** What a machine is and where it stands. */
-    public record Shape(int zone, int kind, int cell, int cores, double speed, int waitingRoom, int connections,
-            double coldFrom, long coldNs, double warmKeyGain, int warmKeys, long dedupNs) {}
+    public record Shape(
+            int zone,
+            int kind,
+            int cell,
+            int cores,
+            double speed,
+            int waitingRoom,
+            int connections,
+            double coldFrom,
+            long coldNs,
+            double warmKeyGain,
+            int warmKeys,
+            long dedupNs) {}
 
     private record Job(Link link, long flow, int slice, int group, String key, long workNs, int life) {}
 
@@ -52,6 +63,7 @@
     private int working;
     /** Counts lives of the process: what a former life began is never finished by a later one. */
     private int life;
+
     private boolean up;
     private boolean fell;
     private boolean draining;
@@ -64,8 +76,9 @@
     private int done, failed;
     private double lastBusy, lastPerS;
 
-    public Backend(Net net, Shape shape, Recorder recorder, UniformRandomProvider chance, double fallMultiple,
-            long fallNs) throws IOException {
+    public Backend(
+            Net net, Shape shape, Recorder recorder, UniformRandomProvider chance, double fallMultiple, long fallNs)
+            throws IOException {
         this.net = net;
         this.shape = shape;
         this.recorder = recorder;
@@ -143,8 +156,7 @@
                 slow = 1;
                 asked.clear();
                 askedWork = 0;
-                recorder.add(new Seen.Started(startedAt, id, shape.cores, shape.speed, shape.coldFrom,
-                        shape.coldNs));
+                recorder.add(new Seen.Started(startedAt, id, shape.cores, shape.speed, shape.coldFrom, shape.coldNs));
             }
         } catch (IOException held) {
             net.schedule(50, this::startCold);
@@ -251,8 +263,14 @@
         Job job;
         synchronized (this) {
             header = report(now);
-            job = new Job(link, number(request, "x-flow"), (int) number(request, "x-slice"),
-                    (int) number(request, "x-group"), request.header("x-key"), number(request, "x-work-ns"), life);
+            job = new Job(
+                    link,
+                    number(request, "x-flow"),
+                    (int) number(request, "x-slice"),
+                    (int) number(request, "x-group"),
+                    request.header("x-key"),
+                    number(request, "x-work-ns"),
+                    life);
             if (overload(now, job.workNs)) {
                 code = -1;
             } else if (draining) {
@@ -376,7 +394,7 @@
     private static void answer(Link link, int code, String report) {
         String reason = code == 200 ? "OK" : code == 503 ? "Service Unavailable" : "Internal Server Error";
         link.send(ByteBuffer.wrap(("HTTP/1.1 " + code + " " + reason + "\r\n" + Orca.HEADER + ": " + report
-                + "\r\ncontent-length: 0\r\n\r\n").getBytes(StandardCharsets.US_ASCII)));
+                        + "\r\ncontent-length: 0\r\n\r\n")
+                .getBytes(StandardCharsets.US_ASCII)));
     }
-
 }
--- a/src/main/java/puffinbarrow/standin/Caller.java
+++ b/src/main/java/puffinbarrow/standin/Caller.java
@@ -14,7 +14,12 @@
 
 /** Sends HTTP/1.1 requests over kept connections, one at a time on each, with a time-out that closes the connection. */
 final class Caller {
-    enum Outcome { ANSWERED, CONNECT_FAILED, RESET, TIMED_OUT }
+    enum Outcome {
+        ANSWERED,
+        CONNECT_FAILED,
+        RESET,
+        TIMED_OUT
+    }
 
     record Result(Outcome outcome, HttpParser.Message answer) {
         boolean good() {
@@ -45,14 +50,19 @@
         Stream fresh = new Stream(to);
         fresh.call = call;
         call.stream = fresh;
-        net.dial(to, fresh, 1 << 20, link -> {
-            fresh.link = link;
-            if (call.done.get()) {
-                link.close();
-            } else {
-                link.send(ByteBuffer.wrap(call.request.getBytes(StandardCharsets.US_ASCII)));
-            }
-        }, failed -> call.finish(new Result(Outcome.CONNECT_FAILED, null)));
+        net.dial(
+                to,
+                fresh,
+                1 << 20,
+                link -> {
+                    fresh.link = link;
+                    if (call.done.get()) {
+                        link.close();
+                    } else {
+                        link.send(ByteBuffer.wrap(call.request.getBytes(StandardCharsets.US_ASCII)));
+                    }
+                },
+                failed -> call.finish(new Result(Outcome.CONNECT_FAILED, null)));
     }
 
     private Stream take(InetSocketAddress to) {
--- a/src/main/java/puffinbarrow/standin/Delays.java
+++ b/src/main/java/puffinbarrow/standin/Delays.java
@@ -20,7 +20,17 @@
  */
 public final class Delays implements AutoCloseable {
     /** How an answer is written. */
-    public enum Manner { PLAIN, SPLIT, CHUNKED, CUT_SHORT, CLOSED, LONGER, DOUBLED, ANOTHERS, EARLY }
+    public enum Manner {
+        PLAIN,
+        SPLIT,
+        CHUNKED,
+        CUT_SHORT,
+        CLOSED,
+        LONGER,
+        DOUBLED,
+        ANOTHERS,
+        EARLY
+    }
 
     private final Net net;
     private final Net.Listener listener;
@@ -119,7 +129,8 @@
                     net.schedule(5, () -> say("ent-length: 2\r\n\r\no"));
                     net.schedule(10, () -> say("k"));
                 }
-                case CHUNKED -> say("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n1\r\no\r\n1\r\nk\r\n0\r\n\r\n");
+                case CHUNKED -> say(
+                        "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n1\r\no\r\n1\r\nk\r\n0\r\n\r\n");
                 case CUT_SHORT -> {
                     say("HTTP/1.1 200 OK\r\ncontent-length: 20\r\n\r\nok");
                     link.closeWhenSent();
--- a/src/main/java/puffinbarrow/standin/PlainProxy.java
+++ b/src/main/java/puffinbarrow/standin/PlainProxy.java
@@ -37,8 +37,14 @@
  */
 public final class PlainProxy implements AutoCloseable {
     /** How a proxy of the day behaves. */
-    public record Habits(long transitNs, long applyNsPerLine, long sumsLateNs, int failsToAvoid, long avoidNs,
-            long holdNs, double tryBudgets) {}
+    public record Habits(
+            long transitNs,
+            long applyNsPerLine,
+            long sumsLateNs,
+            int failsToAvoid,
+            long avoidNs,
+            long holdNs,
+            double tryBudgets) {}
 
     /** Far above the way of a write to the store, within the second that WIRE gives a proxy to read it. */
     private static final long READ_AGAIN_MS = 500;
@@ -72,8 +78,15 @@
 
         Voice(int number, InetSocketAddress address) {
             this.number = number;
-            this.dialer = new Dialer(net, "coordinator " + number, address, () -> hello(Frame.Role.PROXY, !met), 1 << 20, 1 << 22,
-                    frame -> heard(this, frame), up -> stream(this, up));
+            this.dialer = new Dialer(
+                    net,
+                    "coordinator " + number,
+                    address,
+                    () -> hello(Frame.Role.PROXY, !met),
+                    1 << 20,
+                    1 << 22,
+                    frame -> heard(this, frame),
+                    up -> stream(this, up));
         }
     }
 
@@ -92,6 +105,7 @@
     private final Map<Integer, Integer> owners = new HashMap<>();
     /** The latest term seen of each slice, from the store or with orders; older ones are refused. */
     private final Map<Integer, Long> terms = new HashMap<>();
+
     private final Map<String, Avoid> avoided = new HashMap<>();
     private final Map<String, InetSocketAddress> addresses = new HashMap<>();
     private Dialer store;
@@ -103,8 +117,15 @@
     private volatile boolean closed;
     private long blocked, retried, wrongVoice;
 
-    public PlainProxy(Net net, int number, int zone, CoordinatorConfig config, Habits habits, Recorder recorder,
-            UniformRandomProvider chance) throws IOException {
+    public PlainProxy(
+            Net net,
+            int number,
+            int zone,
+            CoordinatorConfig config,
+            Habits habits,
+            Recorder recorder,
+            UniformRandomProvider chance)
+            throws IOException {
         this.net = net;
         this.number = number;
         this.zone = zone;
@@ -121,8 +142,16 @@
 
     /** Dials store and coordinators and reports its sums from now on. */
     public void start(InetSocketAddress storeAt, Map<Integer, InetSocketAddress> coordinators) {
-        store = new Dialer(net, "store", storeAt, () -> hello(Frame.Role.PROXY_AT_STORE, true), 1 << 20, 1 << 22,
-                this::fromStore, this::storeUp).start();
+        store = new Dialer(
+                        net,
+                        "store",
+                        storeAt,
+                        () -> hello(Frame.Role.PROXY_AT_STORE, true),
+                        1 << 20,
+                        1 << 22,
+                        this::fromStore,
+                        this::storeUp)
+                .start();
         synchronized (this) {
             coordinators.forEach((n, address) -> voices.put(n, new Voice(n, address)));
         }
@@ -209,8 +238,13 @@
 
     private void heard(Voice voice, Frame frame) {
         if (frame instanceof Frame.Orders orders) {
-            recorder.add(new Seen.Arrived(System.nanoTime(), number, voice.number, orders.turn(),
-                    orders.orderedAtNs(), orders.orders().size()));
+            recorder.add(new Seen.Arrived(
+                    System.nanoTime(),
+                    number,
+                    voice.number,
+                    orders.turn(),
+                    orders.orderedAtNs(),
+                    orders.orders().size()));
             synchronized (this) {
                 // Half to one and a half of the mean way; in order; the standstill for its lines comes on top.
                 long way = (long) (habits.transitNs * (0.5 + chance.nextDouble()));
@@ -233,10 +267,14 @@
             voice.applying = true;
             due = voice.waiting.peekFirst();
         }
-        net.timer().schedule(() -> {
-            apply(voice, due);
-            applyNext(voice);
-        }, Math.max(0, due.atNs - System.nanoTime()), TimeUnit.NANOSECONDS);
+        net.timer()
+                .schedule(
+                        () -> {
+                            apply(voice, due);
+                            applyNext(voice);
+                        },
+                        Math.max(0, due.atNs - System.nanoTime()),
+                        TimeUnit.NANOSECONDS);
     }
 
     private void apply(Voice voice, Due due) {
@@ -452,12 +490,14 @@
             Order.Retry retry = retry();
             boolean follow = (retry == Order.Retry.ONCE || retry == Order.Retry.TWICE) && mayFollow(retry);
             if (follow) {
-                timeout = Math.min(timeout, (long) (habits.tryBudgets * config.groups.get(group).budgetNs()));
+                timeout = Math.min(timeout, (long)
+                        (habits.tryBudgets * config.groups.get(group).budgetNs()));
             }
             String text = "POST /flow HTTP/1.1\r\nhost: " + server + "\r\nx-flow: " + id + "\r\nx-slice: " + slice
                     + "\r\nx-group: " + group + "\r\nx-key: " + request.header("x-key") + "\r\nx-work-ns: " + workNs
                     + "\r\ncontent-length: 0\r\n\r\n";
-            caller.call(address(server), text, Math.max(1_000_000, timeout), result -> ended(server, mine, now, result));
+            caller.call(
+                    address(server), text, Math.max(1_000_000, timeout), result -> ended(server, mine, now, result));
         }
 
         private Order.Retry retry() {
@@ -474,9 +514,10 @@
 
         /** To a single owner only while its voice is heard and the store could tell of another, and a proxy lease longer. */
         private boolean mayWrite(Voice voice, long now) {
-            return config.groups.get(group).repeats() == CoordinatorConfig.Repeats.RETRIABLE || voice != null
-                    && (voice.outlet != null || now - voice.lostAt < config.proxyLeaseNs)
-                    && (storeOutlet != null || now - storeLostAt < config.proxyLeaseNs);
+            return config.groups.get(group).repeats() == CoordinatorConfig.Repeats.RETRIABLE
+                    || voice != null
+                            && (voice.outlet != null || now - voice.lostAt < config.proxyLeaseNs)
+                            && (storeOutlet != null || now - storeLostAt < config.proxyLeaseNs);
         }
 
         private String pick(Voice voice, long now) {
@@ -515,11 +556,14 @@
                 recorder.add(new Seen.Ended(now, number, id, mine - 1, result.good(), result.proof()));
                 note(server, sentAt, now, result);
                 Order.Retry retry = retry();
-                again = !result.good() && now < expiresAt - 50_000_000L && switch (retry) {
-                    case NEVER -> false;
-                    case ON_PROOF -> result.proof() && attempt < 2;
-                    case ONCE, TWICE -> mayFollow(retry);
-                } && tables.getOrDefault(slice, new TreeMap<>()).size() > 1;
+                again = !result.good()
+                        && now < expiresAt - 50_000_000L
+                        && switch (retry) {
+                            case NEVER -> false;
+                            case ON_PROOF -> result.proof() && attempt < 2;
+                            case ONCE, TWICE -> mayFollow(retry);
+                        }
+                        && tables.getOrDefault(slice, new TreeMap<>()).size() > 1;
                 retried += again ? 1 : 0;
             }
             if (result.good()) {
@@ -542,7 +586,8 @@
                     sum.dropped++;
                     voice.demand.computeIfAbsent((long) slice << 8 | group, k -> new long[2])[1]++;
                 }
-                if (result.answer() != null && !result.answer().header(Orca.HEADER).isEmpty()) {
+                if (result.answer() != null
+                        && !result.answer().header(Orca.HEADER).isEmpty()) {
                     sum.report = Orca.read(result.answer().header(Orca.HEADER));
                 }
             }
@@ -563,8 +608,9 @@
         }
 
         private void answer(int code, String reason, String headers) {
-            client.send(ByteBuffer.wrap(("HTTP/1.1 " + code + " " + reason + "\r\n" + headers
-                    + "content-length: 0\r\n\r\n").getBytes(StandardCharsets.US_ASCII)));
+            client.send(
+                    ByteBuffer.wrap(("HTTP/1.1 " + code + " " + reason + "\r\n" + headers + "content-length: 0\r\n\r\n")
+                            .getBytes(StandardCharsets.US_ASCII)));
         }
     }
 
@@ -586,13 +632,13 @@
             round = System.nanoTime() / config.roundNs;
             for (Voice voice : voices.values()) {
                 List<Frame.Met> met = new ArrayList<>();
-                voice.sums.forEach((server, sum) -> met.add(
-                        new Frame.Met(server, sum.tries, sum.dropped, sum.tookNs, sum.report)));
+                voice.sums.forEach((server, sum) ->
+                        met.add(new Frame.Met(server, sum.tries, sum.dropped, sum.tookNs, sum.report)));
                 List<Frame.Came> came = new ArrayList<>();
                 voice.demand.forEach((key, counts) -> {
                     if (counts[0] > 0) {
-                        came.add(new Frame.Came((int) (key >> 8), (int) (key & 0xff), counts[0],
-                                Math.min(counts[0], counts[1])));
+                        came.add(new Frame.Came(
+                                (int) (key >> 8), (int) (key & 0xff), counts[0], Math.min(counts[0], counts[1])));
                     }
                 });
                 voice.sums = new TreeMap<>();
@@ -616,6 +662,7 @@
     public synchronized List<String> open(int slice) {
         Voice voice = voices.get(owners.getOrDefault(slice, -1));
         return tables.getOrDefault(slice, new TreeMap<>()).keySet().stream()
-                .filter(s -> voice == null || !voice.masks.contains(s)).toList();
+                .filter(s -> voice == null || !voice.masks.contains(s))
+                .toList();
     }
 }
--- a/src/main/java/puffinbarrow/standin/Registry.java
+++ b/src/main/java/puffinbarrow/standin/Registry.java
@@ -97,6 +97,7 @@
         private boolean sentWhole;
         /** What this coordinator has not been told, in order; told together when the first is due. */
         private final LinkedHashMap<String, Event.Entry> untold = new LinkedHashMap<>();
+
         private boolean due;
 
         @Override
@@ -116,7 +117,8 @@
                 synchronized (Registry.this) {
                     follows = follow.on();
                     if (follows) {
-                        tell(sentWhole ? Event.ListKind.WHOLE : Event.ListKind.STALE_COPY,
+                        tell(
+                                sentWhole ? Event.ListKind.WHOLE : Event.ListKind.STALE_COPY,
                                 new ArrayList<>(entries.values()));
                         sentWhole = true;
                     }
--- a/src/main/java/puffinbarrow/standin/Store.java
+++ b/src/main/java/puffinbarrow/standin/Store.java
@@ -192,8 +192,8 @@
     }
 
     /** Writes a member's or a voice's record if its revision is the one expected; tells all who watch. */
-    private void compareAndSet(Stream from, long id, boolean same, Frame before, java.util.function.LongFunction
-            <Frame> next) {
+    private void compareAndSet(
+            Stream from, long id, boolean same, Frame before, java.util.function.LongFunction<Frame> next) {
         if (same) {
             Frame now = next.apply(++revisions);
             if (now instanceof Frame.MemberRecord m) {
@@ -242,8 +242,11 @@
                     table.clear();
                 }
                 table.compute(o.server(), (s, was) -> o.weight() > 0 ? o.weight() : null);
-            } else if (order instanceof Order.ClearTable o && o.table() >= 0 && o.table() < slices
-                    && owner[o.table()] == from.number && (!leases || terms.getOrDefault(o.table(), 0L) >= term(o.table()))) {
+            } else if (order instanceof Order.ClearTable o
+                    && o.table() >= 0
+                    && o.table() < slices
+                    && owner[o.table()] == from.number
+                    && (!leases || terms.getOrDefault(o.table(), 0L) >= term(o.table()))) {
                 tables.remove(o.table());
             }
         }
@@ -264,7 +267,10 @@
 
         private void frame(Frame frame) {
             synchronized (Store.this) {
-                if (away || frame instanceof Frame.Hello h && h.role() == Frame.Role.COORDINATOR && cut.contains(h.number())) {
+                if (away
+                        || frame instanceof Frame.Hello h
+                                && h.role() == Frame.Role.COORDINATOR
+                                && cut.contains(h.number())) {
                     link.close();
                 } else if (frame instanceof Frame.Hello hello) {
                     number = hello.number();
@@ -290,13 +296,30 @@
                     tell(new Frame.Synced());
                 } else if (frame instanceof Frame.MemberRecord m && holds) {
                     Frame.MemberRecord before = members.get(m.number());
-                    compareAndSet(this, m.id(), m.revision() == (before == null ? 0 : before.revision()), before,
-                            revision -> new Frame.MemberRecord(0, revision, m.number(), m.incarnation(), m.beat(), m.settled(),
-                                    m.leaving(), m.dead(), m.flaps()));
+                    compareAndSet(
+                            this,
+                            m.id(),
+                            m.revision() == (before == null ? 0 : before.revision()),
+                            before,
+                            revision -> new Frame.MemberRecord(
+                                    0,
+                                    revision,
+                                    m.number(),
+                                    m.incarnation(),
+                                    m.beat(),
+                                    m.settled(),
+                                    m.leaving(),
+                                    m.dead(),
+                                    m.flaps()));
                 } else if (frame instanceof Frame.VoiceRecord v && holds && v.slice() >= 0 && v.slice() < slices) {
                     Frame.VoiceRecord before = voices.get(v.slice());
-                    compareAndSet(this, v.id(), v.revision() == (before == null ? 0 : before.revision()), before,
-                            revision -> new Frame.VoiceRecord(0, revision, v.slice(), v.owner(), v.incarnation(), v.term()));
+                    compareAndSet(
+                            this,
+                            v.id(),
+                            v.revision() == (before == null ? 0 : before.revision()),
+                            before,
+                            revision -> new Frame.VoiceRecord(
+                                    0, revision, v.slice(), v.owner(), v.incarnation(), v.term()));
                 } else if (frame instanceof Frame.Ping ping) {
                     send(new Frame.Pong(ping.number()));
                 }
--- a/src/main/java/puffinbarrow/wire/Facts.java
+++ b/src/main/java/puffinbarrow/wire/Facts.java
@@ -19,8 +19,8 @@
         for (Object each : list(all.get("RequestClasses"), "RequestClasses")) {
             groups.add(String.valueOf(map(each, "RequestClasses").get("Name")));
         }
-        return new Names(texts(all, "Zones"), texts(all, "Models"), groups, (int) whole(domain, "ProxyCount"),
-                (int) whole(domain, "Ranges"));
+        return new Names(texts(all, "Zones"), texts(all, "Models"), groups, (int) whole(domain, "ProxyCount"), (int)
+                whole(domain, "Ranges"));
     }
 
     private static List<String> texts(Map<?, ?> from, String key) {
@@ -36,13 +36,25 @@
             groups.add(group(map(each, "RequestClasses")));
         }
         String throttle = String.valueOf(domain.get("ThrottleBy"));
-        return new Settings("ask".equals(all.get("Discovery")), throttle.equals("per_second"),
-                !throttle.equals("off"), groups, (int) whole(domain, "Ranges"), flag(domain, "SoleOwner"),
-                real(domain, "Backlog"), real(domain, "EgressPerS"), real(domain, "Overhead"),
-                (int) whole(domain, "PushesAllowed"), whole(domain, "CountedOverNs"), whole(domain, "ReportEveryNs"),
-                whole(rules, "StopSendingWithinNs"), whole(rules, "WarmWithinNs"),
-                real(rules, "StartCapacity"), real(rules, "FallMultiple"),
-                flag(map(all.get("Ceilings"), "Ceilings"), "Probes"), flag(rules, "DroppedStayOpen"),
+        return new Settings(
+                "ask".equals(all.get("Discovery")),
+                throttle.equals("per_second"),
+                !throttle.equals("off"),
+                groups,
+                (int) whole(domain, "Ranges"),
+                flag(domain, "SoleOwner"),
+                real(domain, "Backlog"),
+                real(domain, "EgressPerS"),
+                real(domain, "Overhead"),
+                (int) whole(domain, "PushesAllowed"),
+                whole(domain, "CountedOverNs"),
+                whole(domain, "ReportEveryNs"),
+                whole(rules, "StopSendingWithinNs"),
+                whole(rules, "WarmWithinNs"),
+                real(rules, "StartCapacity"),
+                real(rules, "FallMultiple"),
+                flag(map(all.get("Ceilings"), "Ceilings"), "Probes"),
+                flag(rules, "DroppedStayOpen"),
                 whole(domain, "Ranges") > 0 ? (int) whole(domain, "ProxyCount") : 0);
     }
 
--- a/src/main/java/puffinbarrow/wire/Json.java
+++ b/src/main/java/puffinbarrow/wire/Json.java
@@ -14,9 +14,18 @@
 public final class Json {
     /** Values of a load report by the names the settings give them. */
     public static final Map<String, Event.Measure> MEASURES = Map.of(
-            "cpu_share", Event.Measure.BUSY, "busy_reqs", Event.Measure.HELD,
-            "pending", Event.Measure.WAITING, "svc_ms", Event.Measure.SERVICE_MS,
-            "served_ps", Event.Measure.DELIVERED_PER_S, "failed_ps", Event.Measure.DROPPED_PER_S);
+            "cpu_share",
+            Event.Measure.BUSY,
+            "busy_reqs",
+            Event.Measure.HELD,
+            "pending",
+            Event.Measure.WAITING,
+            "svc_ms",
+            Event.Measure.SERVICE_MS,
+            "served_ps",
+            Event.Measure.DELIVERED_PER_S,
+            "failed_ps",
+            Event.Measure.DROPPED_PER_S);
 
     private final JsonParser in;
 
--- a/src/main/java/puffinbarrow/wire/Orders.java
+++ b/src/main/java/puffinbarrow/wire/Orders.java
@@ -18,7 +18,14 @@
         } else if (order instanceof Order.Mask o) {
             array(out, "Mask", who, o.server(), o.out());
         } else if (order instanceof Order.SetLevel o) {
-            array(out, "SetLevel", who, o.table(), o.groups(), o.level(), o.retry().ordinal());
+            array(
+                    out,
+                    "SetLevel",
+                    who,
+                    o.table(),
+                    o.groups(),
+                    o.level(),
+                    o.retry().ordinal());
         } else if (order instanceof Order.Mark o) {
             array(out, "Nonce", who, o.everyProxy(), o.number());
         } else if (order instanceof Order.Follow o) {
--- a/src/main/java/puffinbarrow/wire/WireHost.java
+++ b/src/main/java/puffinbarrow/wire/WireHost.java
@@ -144,71 +144,72 @@
                 batch.inbox.remove(who);
                 return;
             }
-            default -> { }
+            default -> {}
         }
-        Event event = switch (name) {
-            case "Registry" -> {
-                in.integer("Version");
-                Event.ListKind kind = kind(in.text("Mode"));
-                int ref = in.small("Ref");
-                List<Event.Entry> entries =
-                        kind == Event.ListKind.BROKEN ? List.of() : pools.get(ref);
-                if (entries == null) {
-                    throw new MalformedBatch("Registry: no pool " + ref);
-                }
-                yield new Event.ServerList(kind, entries);
-            }
-            case "Wakeup" -> new Event.Timer(in.integer("Label"));
-            case "Health" -> {
-                long took = in.integer("TookNs");
-                String server = in.text("Backend");
-                yield new Event.Probed(server, in.integer("Code") == 1, took, in.pairs("Load"));
-            }
-            case "Heard" -> new Event.PeerMessage(in.small("Sender"), in.text("Bytes"));
-            case "Connected" -> {
-                boolean fresh = in.bool("Yes");
-                double flows = in.number("W");
-                yield new Event.ProxyJoined(in.small("Agent"), fresh, flows, in.small("Az"));
-            }
-            case "Left" -> new Event.ProxyLeft(in.small("Agent"));
-            case "Observed" -> {
-                int zone = in.small("Az");
-                long span = in.integer("WindowNs");
-                long took = in.integer("TookNs");
-                String server = in.text("Backend");
-                long lost = in.integer("Lost");
-                yield new Event.ServerSums(server, zone, span, took, lost, in.integer("Count"), in.pairs("Load"));
-            }
-            case "Ingress" -> {
-                int proxy = in.small("Agent");
-                int group = in.small("Class");
-                long count = in.integer("Count");
-                long lost = in.integer("Lost");
-                yield new Event.ProxyDemand(proxy, group, count, lost, in.integer("WindowNs"));
-            }
-            case "RangeLoad" -> {
-                int table = in.small("Tbl");
-                int group = in.small("Class");
-                long count = in.integer("Count");
-                long lost = in.integer("Lost");
-                yield new Event.SliceDemand(table, group, count, lost, in.integer("WindowNs"));
-            }
-            case "Leased" -> {
-                int table = in.small("Tbl");
-                yield new Event.SliceCharge(table, in.bool("Yes"));
-            }
-            case "StandingLine" -> {
-                String server = in.text("Backend");
-                int table = in.small("Tbl");
-                yield new Event.StoredLine(table, server, in.number("W"));
-            }
-            case "InForce" -> {
-                int proxy = in.small("Agent");
-                int mark = in.small("Version");
-                yield new Event.InForce(proxy, mark, in.integer("TookNs"));
-            }
-            default -> throw new MalformedBatch("unknown event " + name);
-        };
+        Event event =
+                switch (name) {
+                    case "Registry" -> {
+                        in.integer("Version");
+                        Event.ListKind kind = kind(in.text("Mode"));
+                        int ref = in.small("Ref");
+                        List<Event.Entry> entries = kind == Event.ListKind.BROKEN ? List.of() : pools.get(ref);
+                        if (entries == null) {
+                            throw new MalformedBatch("Registry: no pool " + ref);
+                        }
+                        yield new Event.ServerList(kind, entries);
+                    }
+                    case "Wakeup" -> new Event.Timer(in.integer("Label"));
+                    case "Health" -> {
+                        long took = in.integer("TookNs");
+                        String server = in.text("Backend");
+                        yield new Event.Probed(server, in.integer("Code") == 1, took, in.pairs("Load"));
+                    }
+                    case "Heard" -> new Event.PeerMessage(in.small("Sender"), in.text("Bytes"));
+                    case "Connected" -> {
+                        boolean fresh = in.bool("Yes");
+                        double flows = in.number("W");
+                        yield new Event.ProxyJoined(in.small("Agent"), fresh, flows, in.small("Az"));
+                    }
+                    case "Left" -> new Event.ProxyLeft(in.small("Agent"));
+                    case "Observed" -> {
+                        int zone = in.small("Az");
+                        long span = in.integer("WindowNs");
+                        long took = in.integer("TookNs");
+                        String server = in.text("Backend");
+                        long lost = in.integer("Lost");
+                        yield new Event.ServerSums(
+                                server, zone, span, took, lost, in.integer("Count"), in.pairs("Load"));
+                    }
+                    case "Ingress" -> {
+                        int proxy = in.small("Agent");
+                        int group = in.small("Class");
+                        long count = in.integer("Count");
+                        long lost = in.integer("Lost");
+                        yield new Event.ProxyDemand(proxy, group, count, lost, in.integer("WindowNs"));
+                    }
+                    case "RangeLoad" -> {
+                        int table = in.small("Tbl");
+                        int group = in.small("Class");
+                        long count = in.integer("Count");
+                        long lost = in.integer("Lost");
+                        yield new Event.SliceDemand(table, group, count, lost, in.integer("WindowNs"));
+                    }
+                    case "Leased" -> {
+                        int table = in.small("Tbl");
+                        yield new Event.SliceCharge(table, in.bool("Yes"));
+                    }
+                    case "StandingLine" -> {
+                        String server = in.text("Backend");
+                        int table = in.small("Tbl");
+                        yield new Event.StoredLine(table, server, in.number("W"));
+                    }
+                    case "InForce" -> {
+                        int proxy = in.small("Agent");
+                        int mark = in.small("Version");
+                        yield new Event.InForce(proxy, mark, in.integer("TookNs"));
+                    }
+                    default -> throw new MalformedBatch("unknown event " + name);
+                };
         // Events for an instance that does not run are legal: it was killed while they were on the way.
         if (instances.containsKey(who)) {
             batch.inbox.computeIfAbsent(who, w -> new ArrayList<>()).add(event);
@@ -237,12 +238,13 @@
             int hardware = in.small("Hw");
             int cell = in.small("Bay");
             String mode = in.text("Mode");
-            Event.Listed listed = switch (mode) {
-                case "ready" -> Event.Listed.READY;
-                case "draining" -> Event.Listed.DRAINING;
-                case "gone" -> Event.Listed.GONE;
-                default -> throw new MalformedBatch("Members: unknown mode " + mode);
-            };
+            Event.Listed listed =
+                    switch (mode) {
+                        case "ready" -> Event.Listed.READY;
+                        case "draining" -> Event.Listed.DRAINING;
+                        case "gone" -> Event.Listed.GONE;
+                        default -> throw new MalformedBatch("Members: unknown mode " + mode);
+                    };
             double size = in.number("W");
             entries.add(new Event.Entry(server, zone, hardware, cell, listed, size, in.integer("BornNs")));
             in.endArray();
--- a/src/test/java/puffinbarrow/FakeHost.java
+++ b/src/test/java/puffinbarrow/FakeHost.java
@@ -20,6 +20,7 @@
     long now = 100 * SECOND;
     /** What a good answer takes: a fifth of the latency budget in good times. */
     long tookNs = SECOND / 5;
+
     final Logic logic;
     final TreeMap<Integer, TreeMap<String, Double>> tables = new TreeMap<>();
     final TreeSet<String> masks = new TreeSet<>();
@@ -28,6 +29,7 @@
     private final List<Event> pending = new ArrayList<>();
     /** Slices that the store took away, which the decisions have not heard yet: orders for them reach nobody. */
     final TreeSet<Integer> takenAway = new TreeSet<>();
+
     private boolean acknowledge = true;
 
     FakeHost(Settings settings) {
@@ -39,14 +41,50 @@
     }
 
     static Settings settings(int slices, boolean listOnRequest, int messages, boolean droppedStay) {
-        return new Settings(listOnRequest, false, true, GROUPS, slices, false, 8000, 4000, 10, messages, 10 * SECOND,
-                SECOND, 2 * SECOND, 16 * SECOND, 0.2, 3, droppedStay, droppedStay, 0);
+        return new Settings(
+                listOnRequest,
+                false,
+                true,
+                GROUPS,
+                slices,
+                false,
+                8000,
+                4000,
+                10,
+                messages,
+                10 * SECOND,
+                SECOND,
+                2 * SECOND,
+                16 * SECOND,
+                0.2,
+                3,
+                droppedStay,
+                droppedStay,
+                0);
     }
 
     /** A channel that holds little. */
     static FakeHost narrow(int slices, double queueLimit, int proxies) {
-        return new FakeHost(new Settings(false, false, true, GROUPS, slices, false, queueLimit, 4000, 10, 0, 10 * SECOND,
-                SECOND, 2 * SECOND, 16 * SECOND, 0.2, 3, false, false, proxies));
+        return new FakeHost(new Settings(
+                false,
+                false,
+                true,
+                GROUPS,
+                slices,
+                false,
+                queueLimit,
+                4000,
+                10,
+                0,
+                10 * SECOND,
+                SECOND,
+                2 * SECOND,
+                16 * SECOND,
+                0.2,
+                3,
+                false,
+                false,
+                proxies));
     }
 
     /** Servers s0.. listed, slices spread over them in turn, two proxies. */
@@ -92,8 +130,8 @@
 
     /** A round of sums from one server. */
     void sums(String server, int tries, int dropped, double busy) {
-        tell(new Event.ServerSums(server, 0, SECOND, tookNs, dropped, tries,
-                busy < 0 ? Map.of() : Map.of(Event.Measure.BUSY, busy)));
+        tell(new Event.ServerSums(
+                server, 0, SECOND, tookNs, dropped, tries, busy < 0 ? Map.of() : Map.of(Event.Measure.BUSY, busy)));
     }
 
     void demand(int slice, int flows) {
@@ -130,8 +168,9 @@
                 boolean changed = o.out() ? masks.add(o.server()) : masks.remove(o.server());
             } else if (order instanceof Order.Mark o) {
                 turns.add(turn);
-                boolean reached = o.everyProxy() || turn.stream()
-                        .anyMatch(v -> !(v instanceof Order.SetLine line && takenAway.contains(line.table())));
+                boolean reached = o.everyProxy()
+                        || turn.stream()
+                                .anyMatch(v -> !(v instanceof Order.SetLine line && takenAway.contains(line.table())));
                 for (int proxy = 0; acknowledge && reached && proxy < 2; proxy++) {
                     tell(new Event.InForce(proxy, o.number(), SECOND / 5));
                 }
@@ -142,8 +181,10 @@
     /** The servers a slice's flows can reach, the heaviest line first. */
     List<String> open(int slice) {
         TreeMap<String, Double> lines = tables.get(slice);
-        return lines.keySet().stream().filter(s -> !masks.contains(s))
-                .sorted((a, b) -> Double.compare(lines.get(b), lines.get(a))).toList();
+        return lines.keySet().stream()
+                .filter(s -> !masks.contains(s))
+                .sorted((a, b) -> Double.compare(lines.get(b), lines.get(a)))
+                .toList();
     }
 
     <T extends Order> List<T> all(Class<T> kind) {
--- a/src/test/java/puffinbarrow/LogicTest.java
+++ b/src/test/java/puffinbarrow/LogicTest.java
@@ -51,8 +51,9 @@
     @Test
     void aServerThatLeavesTheListIsOrphanedToOthersButNeverBare() {
         FakeHost host = FakeHost.of(3, 6);
-        host.tell(new Event.ServerList(Event.ListKind.WHOLE, List.of(
-                FakeHost.entry("s1", Listed.READY, 0), FakeHost.entry("s2", Listed.READY, 0))));
+        host.tell(new Event.ServerList(
+                Event.ListKind.WHOLE,
+                List.of(FakeHost.entry("s1", Listed.READY, 0), FakeHost.entry("s2", Listed.READY, 0))));
         host.run(2);
         for (int slice = 0; slice < 6; slice++) {
             assertEquals(2, host.open(slice).size());
@@ -66,7 +67,10 @@
         rounds(host, 4, 4);
         host.list("s0", Listed.GONE, 0);
         host.run(2);
-        long heirs = List.of(0, 4, 8).stream().map(s -> host.open(s).get(0)).distinct().count();
+        long heirs = List.of(0, 4, 8).stream()
+                .map(s -> host.open(s).get(0))
+                .distinct()
+                .count();
         assertTrue(heirs >= 2);
     }
 
@@ -81,7 +85,9 @@
         assertFalse(host.masks.contains("s0"));
         host.tables.values().forEach(table -> assertFalse(table.containsKey("s0")));
         rounds(host, 4, 6);
-        long back = host.tables.values().stream().filter(t -> t.getOrDefault("s0", 0.0) > 0.5).count();
+        long back = host.tables.values().stream()
+                .filter(t -> t.getOrDefault("s0", 0.0) > 0.5)
+                .count();
         assertTrue(back >= 1 && back <= 2, "a slice a cycle, but " + back);
     }
 
@@ -181,7 +187,8 @@
         }
         assertTrue(host.tables.get(3).values().stream().filter(w -> w > 0.5).count() >= 2);
         rounds(host, 6, 14);
-        assertEquals(1, host.tables.get(3).values().stream().filter(w -> w > 0.5).count());
+        assertEquals(
+                1, host.tables.get(3).values().stream().filter(w -> w > 0.5).count());
     }
 
     @Test
@@ -194,7 +201,9 @@
             }
             host.run(1);
         }
-        long left = host.tables.values().stream().filter(t -> t.getOrDefault("s2", 0.0) > 0.5).count();
+        long left = host.tables.values().stream()
+                .filter(t -> t.getOrDefault("s2", 0.0) > 0.5)
+                .count();
         assertTrue(left < 4, "left " + left);
         assertFalse(host.masks.contains("s2"));
     }
@@ -210,7 +219,8 @@
         host.run(0.25);
         assertEquals(4, host.all(Order.Probe.class).size());
         for (int miss = 0; miss < 2; miss++) {
-            host.tell(new Event.Probed("s0", true, 1, java.util.Map.of()),
+            host.tell(
+                    new Event.Probed("s0", true, 1, java.util.Map.of()),
                     new Event.Probed("s1", false, 1, java.util.Map.of()));
             host.run(0.25);
         }
@@ -283,14 +293,20 @@
             host.run(1);
         }
         List<Order.SetLevel> levels = host.all(Order.SetLevel.class);
-        Order.SetLevel last = levels.stream().filter(o -> (o.groups() & 1) != 0).reduce((a, b) -> b).orElseThrow();
+        Order.SetLevel last = levels.stream()
+                .filter(o -> (o.groups() & 1) != 0)
+                .reduce((a, b) -> b)
+                .orElseThrow();
         assertEquals(Order.Retry.NEVER, last.retry());
         assertTrue(last.level() < 1);
         assertTrue(levels.stream().filter(o -> (o.groups() & 4) != 0).allMatch(o -> o.level() == 1));
         host.tookNs = SECOND / 5;
         rounds(host, 4, 30);
         levels = host.all(Order.SetLevel.class);
-        last = levels.stream().filter(o -> (o.groups() & 1) != 0).reduce((a, b) -> b).orElseThrow();
+        last = levels.stream()
+                .filter(o -> (o.groups() & 1) != 0)
+                .reduce((a, b) -> b)
+                .orElseThrow();
         assertEquals(Order.Retry.ON_PROOF, last.retry());
         assertEquals(1, last.level());
     }
@@ -327,7 +343,8 @@
         host.run(1);
         host.tell(new Event.ProxyJoined(0, false, 1, 0));
         host.run(1);
-        assertEquals(4, host.all(Order.Mask.class).stream().filter(o -> !o.out()).count());
+        assertEquals(
+                4, host.all(Order.Mask.class).stream().filter(o -> !o.out()).count());
         assertFalse(host.all(Order.SetLevel.class).isEmpty());
     }
 
@@ -399,7 +416,8 @@
         }
         int before = host.turns.size();
         host.run(2);
-        host.turns.subList(before, host.turns.size())
+        host.turns
+                .subList(before, host.turns.size())
                 .forEach(turn -> assertTrue((turn.size() + 12) * 10 <= 900, turn.size() + " orders"));
         for (int i = 0; i < 40; i++) {
             assertTrue(host.masks.contains("s" + i));
@@ -459,7 +477,9 @@
         rounds(host, 10, 2);
         host.list("s9", Listed.GONE, 0);
         rounds(host, 10, 2);
-        long full = host.tables.values().stream().filter(t -> t.getOrDefault("s0", 0.0) > 0.5).count();
+        long full = host.tables.values().stream()
+                .filter(t -> t.getOrDefault("s0", 0.0) > 0.5)
+                .count();
         assertTrue(full <= 2, "slices on the cold server: " + full);
     }
 
@@ -549,8 +569,13 @@
     @Test
     void strangersAndLateNewsHarmNothing() {
         FakeHost host = FakeHost.of(4, 8);
-        host.tell(new Event.ProxyLeft(99), new Event.InForce(98, 77, 1), new Event.SliceDemand(900, 0, 1, 0, 1),
-                new Event.SliceCharge(-1, true), new Event.Timer(5), new Event.PeerMessage(3, "?"));
+        host.tell(
+                new Event.ProxyLeft(99),
+                new Event.InForce(98, 77, 1),
+                new Event.SliceDemand(900, 0, 1, 0, 1),
+                new Event.SliceCharge(-1, true),
+                new Event.Timer(5),
+                new Event.PeerMessage(3, "?"));
         host.sums("nobody", 5, 5, 1);
         host.run(2);
         assertEquals(2, host.open(0).size());
@@ -578,14 +603,18 @@
             uneven.give(slice, slice < 9 ? "s0" : "s" + (slice - 8));
         }
         uneven.run(1);
-        long before = uneven.tables.values().stream().filter(t -> t.getOrDefault("s0", 0.0) > 0.5).count();
+        long before = uneven.tables.values().stream()
+                .filter(t -> t.getOrDefault("s0", 0.0) > 0.5)
+                .count();
         for (int round = 0; round < 10; round++) {
             for (int i = 0; i < 4; i++) {
                 uneven.sums("s" + i, 20, 0, i == 0 ? 0.9 : 0.2);
             }
             uneven.run(1);
         }
-        long after = uneven.tables.values().stream().filter(t -> t.getOrDefault("s0", 0.0) > 0.5).count();
+        long after = uneven.tables.values().stream()
+                .filter(t -> t.getOrDefault("s0", 0.0) > 0.5)
+                .count();
         assertTrue(after < before, before + " -> " + after);
         assertTrue(host.tables.isEmpty());
     }
@@ -593,12 +622,17 @@
     @Test
     void aServerRecalledAsFlappingIsSuspectUntilItsSumsAreGoodAndGetsNoOrphans() {
         FakeHost host = new FakeHost(FakeHost.settings(8, false, 0));
-        host.tell(new Event.ServerList(Event.ListKind.STALE_COPY, List.of(FakeHost.entry("s3", Listed.READY, 0))),
+        host.tell(
+                new Event.ServerList(Event.ListKind.STALE_COPY, List.of(FakeHost.entry("s3", Listed.READY, 0))),
                 new Event.Recalled(Event.Recall.FLAPPING, "s3", 3, 0.9));
         host.begin(4, 8);
         host.list("s0", Listed.GONE, 0);
         host.run(0.5);
-        assertEquals(2, host.tables.values().stream().filter(t -> t.getOrDefault("s3", 0.0) > 0.5).count());
+        assertEquals(
+                2,
+                host.tables.values().stream()
+                        .filter(t -> t.getOrDefault("s3", 0.0) > 0.5)
+                        .count());
         rounds(host, 4, 2);
         assertTrue(host.all(Order.Log.class).stream().anyMatch(l -> l.text().equals("s3 SUSPECT GOOD -> WELL")));
     }
@@ -607,13 +641,18 @@
     void aFleetRecalledAsSheddingIsLetInLessAndNotTriedAgainAndForgottenOverloadIsNot() {
         for (double confidence : new double[] {0.9, 0.1}) {
             FakeHost host = new FakeHost(FakeHost.settings(8, false, 0));
-            host.tell(new Event.Recalled(Event.Recall.SHED, "", 0.8, confidence),
+            host.tell(
+                    new Event.Recalled(Event.Recall.SHED, "", 0.8, confidence),
                     new Event.Recalled(Event.Recall.STRAINED, "", 1, confidence));
             host.begin(4, 8);
-            double least = host.all(Order.SetLevel.class).stream().mapToDouble(Order.SetLevel::level).min().orElse(1);
+            double least = host.all(Order.SetLevel.class).stream()
+                    .mapToDouble(Order.SetLevel::level)
+                    .min()
+                    .orElse(1);
             assertEquals(confidence > 0.5, least < 0.5, "level " + least);
-            assertEquals(confidence > 0.5, host.all(Order.SetLevel.class).stream()
-                    .allMatch(l -> l.retry() == Order.Retry.NEVER));
+            assertEquals(
+                    confidence > 0.5,
+                    host.all(Order.SetLevel.class).stream().allMatch(l -> l.retry() == Order.Retry.NEVER));
         }
     }
 
@@ -629,7 +668,9 @@
     }
 
     private static long carried(FakeHost host, String server) {
-        return host.tables.values().stream().filter(table -> table.getOrDefault(server, 0.0) > 0.5).count();
+        return host.tables.values().stream()
+                .filter(table -> table.getOrDefault(server, 0.0) > 0.5)
+                .count();
     }
 
     @Test
--- a/src/test/java/puffinbarrow/audit/AuditTest.java
+++ b/src/test/java/puffinbarrow/audit/AuditTest.java
@@ -18,10 +18,13 @@
     private long flow;
 
     private static CoordinatorConfig config(String more) {
-        return CoordinatorConfig.parse("t", "coordinator 0 of 1\nregistry 127.0.0.1:1 push\nstore 127.0.0.1:1\n\n"
-                + (more.isEmpty() ? "slices 4\n" : more) + "group read utility 1 budget 1s expiry 2s retriable\ngroup order utility 1 budget 1s expiry 2s "
-                + "deduped zone 500ms\ngroup book utility 1 budget 1s expiry 2s non-retriable\nbare 2s\ngrace 1s\n"
-                + "warm 10s\nfall-multiple 2 for 1s\nqueue 100\npace 200\nhead 10\nmessages 3 per 1s\n",
+        return CoordinatorConfig.parse(
+                "t",
+                "coordinator 0 of 1\nregistry 127.0.0.1:1 push\nstore 127.0.0.1:1\n\n"
+                        + (more.isEmpty() ? "slices 4\n" : more)
+                        + "group read utility 1 budget 1s expiry 2s retriable\ngroup order utility 1 budget 1s expiry 2s "
+                        + "deduped zone 500ms\ngroup book utility 1 budget 1s expiry 2s non-retriable\nbare 2s\ngrace 1s\n"
+                        + "warm 10s\nfall-multiple 2 for 1s\nqueue 100\npace 200\nhead 10\nmessages 3 per 1s\n",
                 new ArrayList<>());
     }
 
--- a/src/test/java/puffinbarrow/config/ConfigTest.java
+++ b/src/test/java/puffinbarrow/config/ConfigTest.java
@@ -12,7 +12,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class ConfigTest {
-    private static final String SOUND = """
+    private static final String SOUND =
+            """
             coordinator 1 of 2
             zones "zilina 1" trnava-1   # two of them
             zone trnava-1
@@ -48,27 +49,33 @@
     void allMistakesAreToldAtOnceEachWithItsLine() {
         List<String> told = mistakes(SOUND + "grase 3s\nwarm soon\nround 1s extra\nlevels shares\nqueue 5000\n"
                 + "zone \"trnava\npeer 1 localhost\ncold-share 120%\n");
-        assertEquals(List.of(
-                "c.conf:12: unknown keyword 'grase', expected one of the settings (did you mean grace TIME?)",
-                "c.conf:13: warm: found 'soon', expected when a backend is warm at the latest, a time such as 20ms,"
-                        + " 1.5s or 2m",
-                "c.conf:14: round: found 'extra', expected the end of the line",
-                "c.conf:15: levels: found 'shares', expected one of share, rate, off (did you mean share?)",
-                "c.conf:16: queue: stands twice, expected once (first at c.conf:10)",
-                "c.conf:17: a quote is not closed, expected \" before the end of the line",
-                "c.conf:17: zone: stands twice, expected once (first at c.conf:3)",
-                "c.conf:18: peer: found 'localhost', expected the peer as ADDRESS:PORT, such as 127.0.0.1:7400",
-                "c.conf:18: peer: found our own number 1, expected that of another coordinator",
-                "c.conf:19: cold-share: found '120%', expected the part of its work a cold backend can do, a share"
-                        + " such as 0.25 or 25%"), told);
+        assertEquals(
+                List.of(
+                        "c.conf:12: unknown keyword 'grase', expected one of the settings (did you mean grace TIME?)",
+                        "c.conf:13: warm: found 'soon', expected when a backend is warm at the latest, a time such as 20ms,"
+                                + " 1.5s or 2m",
+                        "c.conf:14: round: found 'extra', expected the end of the line",
+                        "c.conf:15: levels: found 'shares', expected one of share, rate, off (did you mean share?)",
+                        "c.conf:16: queue: stands twice, expected once (first at c.conf:10)",
+                        "c.conf:17: a quote is not closed, expected \" before the end of the line",
+                        "c.conf:17: zone: stands twice, expected once (first at c.conf:3)",
+                        "c.conf:18: peer: found 'localhost', expected the peer as ADDRESS:PORT, such as 127.0.0.1:7400",
+                        "c.conf:18: peer: found our own number 1, expected that of another coordinator",
+                        "c.conf:19: cold-share: found '120%', expected the part of its work a cold backend can do, a share"
+                                + " such as 0.25 or 25%"),
+                told);
     }
 
     @Test
     void linesThatContradictEachOtherAreFound() {
-        List<String> told = mistakes(SOUND.replace("queue 3000", "queue 30000").replace("expiry 5s", "expiry 1s")
-                .replace("1 of 2", "2 of 2").replace("store 127.0.0.1:7002\n", "").replace("zone trnava-1", "zone x"));
+        List<String> told = mistakes(SOUND.replace("queue 3000", "queue 30000")
+                .replace("expiry 5s", "expiry 1s")
+                .replace("1 of 2", "2 of 2")
+                .replace("store 127.0.0.1:7002\n", "")
+                .replace("zone trnava-1", "zone x"));
         assertEquals(5, told.size(), told.toString());
-        assertTrue(told.stream().anyMatch(t -> t.contains("a budget over its expiry, expected a budget of at most 1.0s")));
+        assertTrue(
+                told.stream().anyMatch(t -> t.contains("a budget over its expiry, expected a budget of at most 1.0s")));
         assertTrue(told.stream().anyMatch(t -> t.contains("a full queue of 30000 lines takes 10.7s")));
         assertTrue(told.stream().anyMatch(t -> t.contains("slices without a store")));
     }
@@ -93,9 +100,10 @@
     @Test
     void onlyWhatMayChangeAliveIsTakenUp() {
         CoordinatorConfig config = CoordinatorConfig.parse("c.conf", SOUND + "log text info\n", problems);
-        CoordinatorConfig again = CoordinatorConfig.parse("c.conf",
-                SOUND.replace("pace 2800", "pace 9000") + "log json debug\n", problems);
-        assertEquals(List.of("c.conf:11: pace: cannot change while running, expected a restart"),
+        CoordinatorConfig again = CoordinatorConfig.parse(
+                "c.conf", SOUND.replace("pace 2800", "pace 9000") + "log json debug\n", problems);
+        assertEquals(
+                List.of("c.conf:11: pace: cannot change while running, expected a restart"),
                 config.refusedChanges(again).stream().map(Problem::toString).toList());
         config.adopt(again);
         assertTrue(config.logJson);
--- a/src/test/java/puffinbarrow/coordinator/ChannelTest.java
+++ b/src/test/java/puffinbarrow/coordinator/ChannelTest.java
@@ -68,8 +68,11 @@
     }
 
     private static Frame.Sums sums(long round, String server, long tries, long dropped, long tookNs) {
-        return new Frame.Sums(1, round, SECOND, List.of(new Frame.Met(server, tries, dropped, tookNs,
-                Map.of(Event.Measure.BUSY, tries / 10.0))));
+        return new Frame.Sums(
+                1,
+                round,
+                SECOND,
+                List.of(new Frame.Met(server, tries, dropped, tookNs, Map.of(Event.Measure.BUSY, tries / 10.0))));
     }
 
     private static List<Event> release(Gather gather, long now, int joined) {
@@ -85,7 +88,8 @@
         gather.sums(SECOND, 1, sums(7, "a", 4, 1, 300));
         assertEquals(List.of(), release(gather, SECOND, 2));
         gather.sums(SECOND, 2, sums(7, "a", 6, 0, 600));
-        assertEquals(List.of(new Event.ServerSums("a", 1, SECOND, 100, 1, 10, Map.of(Event.Measure.BUSY, 0.6))),
+        assertEquals(
+                List.of(new Event.ServerSums("a", 1, SECOND, 100, 1, 10, Map.of(Event.Measure.BUSY, 0.6))),
                 release(gather, SECOND, 2));
     }
 
--- a/src/test/java/puffinbarrow/coordinator/CoordinatorTest.java
+++ b/src/test/java/puffinbarrow/coordinator/CoordinatorTest.java
@@ -85,9 +85,13 @@
 
     private CoordinatorConfig config(int number, String more) {
         List<Problem> problems = new ArrayList<>();
-        CoordinatorConfig config = CoordinatorConfig.parse("test", "coordinator " + number + " of 2\nregistry 127.0.0.1:"
-                + registry.address().getPort() + " push\nstore 127.0.0.1:" + store.address().getPort()
-                + "\nslices 30\ngroup g utility 1 budget 1s expiry 2s retriable\n" + more, problems);
+        CoordinatorConfig config = CoordinatorConfig.parse(
+                "test",
+                "coordinator " + number + " of 2\nregistry 127.0.0.1:"
+                        + registry.address().getPort() + " push\nstore 127.0.0.1:"
+                        + store.address().getPort()
+                        + "\nslices 30\ngroup g utility 1 budget 1s expiry 2s retriable\n" + more,
+                problems);
         assertEquals(List.of(), problems);
         return config;
     }
@@ -99,7 +103,7 @@
     }
 
     private static void until(String what, BooleanSupplier done) {
-        for (long end = System.nanoTime() + 20_000_000_000L; !done.getAsBoolean();) {
+        for (long end = System.nanoTime() + 20_000_000_000L; !done.getAsBoolean(); ) {
             assertTrue(System.nanoTime() < end, "waited in vain for " + what);
             try {
                 Thread.sleep(2);
@@ -129,7 +133,8 @@
         }
 
         Raw hello(int number, long incarnation) throws IOException {
-            return send(new Frame.Hello(1, 0, Frame.Role.PROXY, number, 0, incarnation, true, 1)).read();
+            return send(new Frame.Hello(1, 0, Frame.Role.PROXY, number, 0, incarnation, true, 1))
+                    .read();
         }
 
         Raw read() {
@@ -171,7 +176,10 @@
         }
 
         List<Frame.Orders> orders() {
-            return heard.stream().filter(f -> f instanceof Frame.Orders).map(f -> (Frame.Orders) f).toList();
+            return heard.stream()
+                    .filter(f -> f instanceof Frame.Orders)
+                    .map(f -> (Frame.Orders) f)
+                    .toList();
         }
 
         @Override
@@ -192,8 +200,11 @@
         Raw version = new Raw(coordinator).read().send(new Frame.Hello(2, 0, Frame.Role.PROXY, 5, 0, 1, true, 1));
         Raw taken = new Raw(coordinator).hello(1, 11);
         Raw stranger = new Raw(coordinator).read().send(new Frame.Hello(1, 0, Frame.Role.PEER, 7, 0, 1, true, 1));
-        Raw huge = new Raw(coordinator).read().bytes(ByteBuffer.allocate(12).putInt(0, 5000).array());
-        byte[] damaged = java.util.Arrays.copyOf(FrameWriter.one(new Frame.Ping(1)).array(), 20);
+        Raw huge = new Raw(coordinator)
+                .read()
+                .bytes(ByteBuffer.allocate(12).putInt(0, 5000).array());
+        byte[] damaged =
+                java.util.Arrays.copyOf(FrameWriter.one(new Frame.Ping(1)).array(), 20);
         damaged[13] ^= 1;
         Raw broken = new Raw(coordinator).read().bytes(damaged);
         Raw wrong = new Raw(coordinator).hello(6, 1).send(new Frame.Owner(1, 1));
@@ -263,7 +274,8 @@
         until("the second join", () -> decisions.count(Event.ProxyJoined.class) == 2);
         decisions.next = List.of(new Order.Mask("new:1", true), new Order.Mark(2, false));
         until("new orders", () -> !again.orders().isEmpty());
-        assertEquals(List.of(new Order.Mask("new:1", true), new Order.Mark(2, false)),
+        assertEquals(
+                List.of(new Order.Mask("new:1", true), new Order.Mark(2, false)),
                 again.orders().get(0).orders());
         assertEquals(0, first.orders().size());
         // A mark of the former stream answers nothing any more.
@@ -284,7 +296,9 @@
         decisions.next = List.of(new Order.Mask("a:1", true));
         coordinator.turnAt(1);
         coordinator.turnAt(10_000_000_000L);
-        until("the welcome and the orders of its turn", () -> proxy.welcome() && proxy.orders().size() == 1);
+        until(
+                "the welcome and the orders of its turn",
+                () -> proxy.welcome() && proxy.orders().size() == 1);
     }
 
     @Test
@@ -295,8 +309,12 @@
         start(config(0, ""), decisions);
         until("a whole list", () -> decisions.count(Event.ServerList.class) >= 1);
         Event.ServerList first = (Event.ServerList) decisions.told.stream()
-                .filter(e -> e instanceof Event.ServerList).findFirst().orElseThrow();
-        assertEquals(List.of("a:1"), first.entries().stream().map(Event.Entry::server).toList());
+                .filter(e -> e instanceof Event.ServerList)
+                .findFirst()
+                .orElseThrow();
+        assertEquals(
+                List.of("a:1"),
+                first.entries().stream().map(Event.Entry::server).toList());
     }
 
     @Test
@@ -313,14 +331,15 @@
         until("the turn", () -> b.next.isEmpty());
         two.cutPeer(0, false);
         until("a message again", () -> tells(a, b, "after"));
-        assertTrue(a.told.stream().noneMatch(e -> e instanceof Event.PeerMessage m && m.text().equals("lost")));
+        assertTrue(a.told.stream()
+                .noneMatch(e -> e instanceof Event.PeerMessage m && m.text().equals("lost")));
         assertTrue(!proxy.ended);
     }
 
     private static boolean tells(Scripted to, Scripted from, String text) {
         from.next = List.of(new Order.Tell(0, text));
-        return to.told.stream().anyMatch(e -> e instanceof Event.PeerMessage m && m.text().equals(text)
-                && m.sender() == 1);
+        return to.told.stream()
+                .anyMatch(e -> e instanceof Event.PeerMessage m && m.text().equals(text) && m.sender() == 1);
     }
 
     @Test
@@ -362,23 +381,28 @@
         for (int i = 0; i < 30; i++) {
             store.begin(i, "s:" + i % 12);
         }
-        Coordinator coordinator = new Coordinator(config(0, "queue 600\npace 600\ngrace 3s\nmessages 20 per 10s\n"),
-                Logic::new).start();
+        Coordinator coordinator =
+                new Coordinator(config(0, "queue 600\npace 600\ngrace 3s\nmessages 20 per 10s\n"), Logic::new).start();
         open.add(coordinator::kill);
         List<Raw> all = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
             all.add(new Raw(coordinator).hello(i, i));
         }
-        until("charges and joins", () -> value(coordinator, "slices.charge") == 30
-                && value(coordinator, "streams.joined") == 6);
+        until(
+                "charges and joins",
+                () -> value(coordinator, "slices.charge") == 30 && value(coordinator, "streams.joined") == 6);
         for (int i = 0; i < 8; i++) {
             registry.set(new Event.Entry("s:" + i, 0, 0, 0, Event.Listed.GONE, 1, 0));
             long sent = (long) value(coordinator, "channel.messages.sent");
             int before = i;
             until("some orders", () -> before > 3 || value(coordinator, "channel.messages.sent") > sent);
         }
-        until("masks at all", () -> all.stream().allMatch(r -> r.orders().stream().flatMap(o -> o.orders().stream())
-                .filter(o -> o instanceof Order.Mask m && m.out()).count() >= 1));
+        until("masks at all", () -> all.stream()
+                .allMatch(r -> r.orders().stream()
+                                .flatMap(o -> o.orders().stream())
+                                .filter(o -> o instanceof Order.Mask m && m.out())
+                                .count()
+                        >= 1));
         double most = value(coordinator, "channel.lines.most");
         assertTrue(most > 0 && most <= 600, "most waiting " + most);
         assertEquals(0, value(coordinator, "channel.cut_off{cause=queue_full}"));
@@ -415,12 +439,21 @@
         }
         Path file = folder.resolve("c.conf");
         Path ports = folder.resolve("ports");
-        Files.writeString(file, "coordinator 0 of 2\nregistry 127.0.0.1:" + registry.address().getPort()
-                + " push\nstore 127.0.0.1:" + store.address().getPort() + "\nslices 30\ngroup g utility 1 budget 1s "
-                + "expiry 2s retriable\nport-file " + ports + "\npace 300\nqueue 900\nhead 1\n");
+        Files.writeString(
+                file,
+                "coordinator 0 of 2\nregistry 127.0.0.1:" + registry.address().getPort()
+                        + " push\nstore 127.0.0.1:" + store.address().getPort()
+                        + "\nslices 30\ngroup g utility 1 budget 1s "
+                        + "expiry 2s retriable\nport-file " + ports + "\npace 300\nqueue 900\nhead 1\n");
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
-        ProcessBuilder command = new ProcessBuilder(java, "-cp", System.getProperty("java.class.path"),
-                "puffinbarrow.cli.Main", "coordinator", "-c", file.toString());
+        ProcessBuilder command = new ProcessBuilder(
+                java,
+                "-cp",
+                System.getProperty("java.class.path"),
+                "puffinbarrow.cli.Main",
+                "coordinator",
+                "-c",
+                file.toString());
         command.redirectErrorStream(true).redirectOutput(folder.resolve("out").toFile());
         for (int life = 0; life < 2; life++) {
             Files.deleteIfExists(ports);
@@ -432,7 +465,8 @@
             until("the welcome", proxy::welcome);
             int dead = life;
             // Orders begin to flow as servers go; it is killed while the rest of them waits.
-            registry.set(List.of(new Event.Entry("s:" + dead, 0, 0, 0, Event.Listed.GONE, 1, 0),
+            registry.set(List.of(
+                    new Event.Entry("s:" + dead, 0, 0, 0, Event.Listed.GONE, 1, 0),
                     new Event.Entry("s:" + (dead + 4), 0, 0, 0, Event.Listed.GONE, 1, 0)));
             until("orders", () -> !proxy.orders().isEmpty());
             process.destroyForcibly();
@@ -443,4 +477,5 @@
                 assertTrue(!store.table(slice).isEmpty());
             }
         }
-    }}
+    }
+}
--- a/src/test/java/puffinbarrow/day/TakeoverTest.java
+++ b/src/test/java/puffinbarrow/day/TakeoverTest.java
@@ -18,7 +18,8 @@
 
 /** Half a minute of killed, stopped and cut-off coordinators, each a process of its own, on a fixed schedule. */
 class TakeoverTest {
-    private static final String DRILL = """
+    private static final String DRILL =
+            """
             coordinators 3
             proxies 6
             backends 12 cores 3
@@ -42,10 +43,14 @@
         List<Problem> problems = new ArrayList<>();
         Script script = Script.parse("drill", DRILL, problems);
         assertEquals(List.of(), problems);
-        List<String> program = List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-XX:TieredStopAtLevel=1", "-cp", System.getProperty("java.class.path"), "puffinbarrow.cli.Main");
-        try (Day day = new Day(script, new PrintStream(new ByteArrayOutputStream()), new Day.Bend(Logic::new, List.of()),
-                program)) {
+        List<String> program = List.of(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-XX:TieredStopAtLevel=1",
+                "-cp",
+                System.getProperty("java.class.path"),
+                "puffinbarrow.cli.Main");
+        try (Day day = new Day(
+                script, new PrintStream(new ByteArrayOutputStream()), new Day.Bend(Logic::new, List.of()), program)) {
             Page page = day.run();
             assertTrue(page.verdict().kept(), page.text());
             assertTrue(page.sound(), page.text());
@@ -56,7 +61,9 @@
     @Test
     void aSliceWithASingleOwnerPausesBetweenTwo() throws Exception {
         List<Problem> problems = new ArrayList<>();
-        Script script = Script.parse("owners", """
+        Script script = Script.parse(
+                "owners",
+                """
                 coordinators 2
                 proxies 4
                 backends 8 cores 4
@@ -68,12 +75,15 @@
                 set slices 16 sole-owner
                 at 1s release 50% batch 25% drain 2s
                 at 6s coordinator 1 killed for 2s
-                """, problems);
+                """,
+                problems);
         assertEquals(List.of(), problems);
-        try (Day day = new Day(script, new PrintStream(new ByteArrayOutputStream()), new Day.Bend(Logic::new, List.of()))) {
+        try (Day day =
+                new Day(script, new PrintStream(new ByteArrayOutputStream()), new Day.Bend(Logic::new, List.of()))) {
             Page page = day.run();
             assertTrue(page.verdict().kept(), page.text());
-            double changes = page.coordinators().values().stream().mapToDouble(f -> f.getOrDefault("slices.owner_changes", 0.0))
+            double changes = page.coordinators().values().stream()
+                    .mapToDouble(f -> f.getOrDefault("slices.owner_changes", 0.0))
                     .sum();
             assertTrue(changes > 0, "owners changed");
         }
@@ -82,10 +92,16 @@
     @Test
     void twoVoicesUnderOneTermAndAStepBackAreFound() {
         List<Problem> problems = new ArrayList<>();
-        CoordinatorConfig config = CoordinatorConfig.parse("t", "coordinator 0 of 2\nzones a\nzone a\nslices 3\nregistry "
-                + "127.0.0.1:1 push\nstore 127.0.0.1:1\ngroup g utility 1 budget 1s expiry 2s retriable\n", problems);
+        CoordinatorConfig config = CoordinatorConfig.parse(
+                "t",
+                "coordinator 0 of 2\nzones a\nzone a\nslices 3\nregistry "
+                        + "127.0.0.1:1 push\nstore 127.0.0.1:1\ngroup g utility 1 budget 1s expiry 2s retriable\n",
+                problems);
         assertEquals(List.of(), problems);
-        List<Seen> sound = List.of(new Seen.Took(1, 0, 0, 2, 4), new Seen.Took(2, 1, 0, 2, 4), new Seen.Took(3, 0, 1, 2, 5),
+        List<Seen> sound = List.of(
+                new Seen.Took(1, 0, 0, 2, 4),
+                new Seen.Took(2, 1, 0, 2, 4),
+                new Seen.Took(3, 0, 1, 2, 5),
                 new Seen.Applied(4, 0, 1, 3, List.<Order>of()));
         assertTrue(Audit.judge(config, sound, 0).kept());
         List<Seen> two = List.of(new Seen.Took(1, 0, 0, 2, 4), new Seen.Took(2, 1, 1, 2, 4));
--- a/src/test/java/puffinbarrow/emulator/EmulatorTest.java
+++ b/src/test/java/puffinbarrow/emulator/EmulatorTest.java
@@ -23,7 +23,8 @@
 
 /** The emulator's engine, its days and its experiments. */
 class EmulatorTest {
-    private static final String SMALL = """
+    private static final String SMALL =
+            """
             coordinators 2
             proxies 6
             backends 12 cores 3
@@ -33,7 +34,8 @@
             seed 5
             set probes on
             """;
-    private static final String ROUGH = """
+    private static final String ROUGH =
+            """
             at 2s backends 25% die for 4s
             at 7s coordinator 1 killed for 3s
             at 8s backends 2 fail 80% for 3s
@@ -90,7 +92,9 @@
             for (int i = 1; i < out.size(); i++) {
                 long[] before = out.get(i - 1);
                 long[] after = out.get(i);
-                assertTrue(before[0] < after[0] || before[0] == after[0] && before[1] < after[1], agenda.getClass() + " at " + i);
+                assertTrue(
+                        before[0] < after[0] || before[0] == after[0] && before[1] < after[1],
+                        agenda.getClass() + " at " + i);
             }
         }
     }
@@ -101,7 +105,8 @@
         World other = new World(new Heap(), 9, 10);
         other.chance("server", 7).nextLong();
         assertEquals(one.chance("proxy", 1).nextLong(), other.chance("proxy", 1).nextLong());
-        assertNotEquals(one.chance("proxy", 1).nextLong(), one.chance("proxy", 2).nextLong());
+        assertNotEquals(
+                one.chance("proxy", 1).nextLong(), one.chance("proxy", 2).nextLong());
     }
 
     @Test
@@ -119,7 +124,8 @@
         String first = told(play(SMALL + ROUGH, "ours"));
         assertEquals(first, told(play(SMALL + ROUGH, "ours")));
         assertNotEquals(first, told(play(SMALL + ROUGH + "seed 6\n", "ours")));
-        assertEquals(first, told(new Fleet(setup(SMALL + ROUGH), Policy.named("ours"), new Calendar(), 50_000_000).run()));
+        assertEquals(
+                first, told(new Fleet(setup(SMALL + ROUGH), Policy.named("ours"), new Calendar(), 50_000_000).run()));
     }
 
     @Test
@@ -127,16 +133,30 @@
         for (Policy policy : Policy.ALL) {
             Outcome outcome = play(SMALL + ROUGH, policy.name());
             assertTrue(outcome.whole() && outcome.intended > 1500, policy.name() + outcome.text());
-            assertEquals(outcome.inBudget + outcome.late, outcome.latency[0].getTotalCount() + outcome.latency[1].getTotalCount()
-                    + outcome.latency[2].getTotalCount());
+            assertEquals(
+                    outcome.inBudget + outcome.late,
+                    outcome.latency[0].getTotalCount()
+                            + outcome.latency[1].getTotalCount()
+                            + outcome.latency[2].getTotalCount());
         }
-        for (String model : List.of("pick two-choices", "pick rotate", "work processor", "overdue goes-on", "overdue stops",
-                "loss-when-full 40%", "handshake 5ms", "connections 2 kept 1s", "avoid 0", "network 20ms")) {
+        for (String model : List.of(
+                "pick two-choices",
+                "pick rotate",
+                "work processor",
+                "overdue goes-on",
+                "overdue stops",
+                "loss-when-full 40%",
+                "handshake 5ms",
+                "connections 2 kept 1s",
+                "avoid 0",
+                "network 20ms")) {
             Outcome outcome = play(SMALL + ROUGH + "model " + model + "\n", "ours");
             assertTrue(outcome.whole() && outcome.service > 0.5, model + outcome.text());
         }
-        Outcome processors = play(SMALL + ROUGH + "model work processor\nmodel overdue stops\nat 3s backends 3 pause 1s every 2s for 8s\n"
-                + "at 4s backends cells 1 vanish for 5s\n", "ours");
+        Outcome processors = play(
+                SMALL + ROUGH + "model work processor\nmodel overdue stops\nat 3s backends 3 pause 1s every 2s for 8s\n"
+                        + "at 4s backends cells 1 vanish for 5s\n",
+                "ours");
         assertTrue(processors.whole(), processors.text());
     }
 
@@ -145,11 +165,15 @@
         Outcome ours = play(SMALL + ROUGH, "ours");
         assertTrue(ours.verdict.kept(), ours.text());
         // Never told to stop: servers that drain are sent to for as long as they are there.
-        Outcome deaf = play(SMALL + "at 4s backends 3 preempt for 8s\nset grace 2s\n", (settings, seed) -> {
-            Logic logic = new Logic(settings, seed);
-            return (now, events) -> logic.handle(now, events).stream().filter(o -> !(o instanceof Order.Mask)
-                    && !(o instanceof Order.SetLine)).toList();
-        }, 50_000_000);
+        Outcome deaf = play(
+                SMALL + "at 4s backends 3 preempt for 8s\nset grace 2s\n",
+                (settings, seed) -> {
+                    Logic logic = new Logic(settings, seed);
+                    return (now, events) -> logic.handle(now, events).stream()
+                            .filter(o -> !(o instanceof Order.Mask) && !(o instanceof Order.SetLine))
+                            .toList();
+                },
+                50_000_000);
         assertTrue(deaf.verdict.broke(Audit.Rule.DRAIN), deaf.text());
     }
 
@@ -162,7 +186,8 @@
 
     @Test
     void aFrozenCoordinatorIsTakenOverAndItsOldOrdersChangeNothing() {
-        Outcome outcome = play(SMALL + "at 3s coordinator 0 frozen for 8s\nat 5s backends 3 die for 4s\nset messages 40 per 10s\n",
+        Outcome outcome = play(
+                SMALL + "at 3s coordinator 0 frozen for 8s\nat 5s backends 3 die for 4s\nset messages 40 per 10s\n",
                 "ours");
         assertTrue(outcome.verdict.kept() && outcome.handed >= 18, outcome.text());
     }
@@ -178,19 +203,25 @@
     @Test
     void aPolicyThatThrowsOrFloodsEndsItsRunAsFailed() {
         int[] calls = new int[1];
-        Outcome thrown = play(SMALL, (settings, seed) -> (now, events) -> {
-            if (calls[0]++ > 50) {
-                throw new ArithmeticException("on purpose");
-            }
-            return List.of();
-        }, 50_000_000);
+        Outcome thrown = play(
+                SMALL,
+                (settings, seed) -> (now, events) -> {
+                    if (calls[0]++ > 50) {
+                        throw new ArithmeticException("on purpose");
+                    }
+                    return List.of();
+                },
+                50_000_000);
         assertTrue(thrown.failed.contains("on purpose"), thrown.failed);
-        Outcome flooding = play(SMALL, (settings, seed) -> (now, events) -> {
-            List<Order> all = new ArrayList<>();
-            IntStream.range(0, 2000).forEach(i -> all.add(new Order.Mask("nobody" + i, false)));
-            all.add(new Order.WakeAt(now + 100_000_000, 1));
-            return all;
-        }, 50_000_000);
+        Outcome flooding = play(
+                SMALL,
+                (settings, seed) -> (now, events) -> {
+                    List<Order> all = new ArrayList<>();
+                    IntStream.range(0, 2000).forEach(i -> all.add(new Order.Mask("nobody" + i, false)));
+                    all.add(new Order.WakeAt(now + 100_000_000, 1));
+                    return all;
+                },
+                50_000_000);
         assertTrue(flooding.failed.contains("floods"), flooding.failed);
         Outcome endless = play(SMALL, (settings, seed) -> new Logic(settings, seed), 10_000);
         assertTrue(endless.failed.contains("events"), endless.failed);
@@ -199,21 +230,30 @@
     @Test
     void settingsThatMakeNoSenseAreRefusedWithTheirLine() {
         List<Problem> problems = new ArrayList<>();
-        Setup.parse("d", "proxies 3\nmodel network fast\nmodel pick best\nat 4s coordinator 7 killed for 1s\nmodel sharing x\n", problems);
+        Setup.parse(
+                "d",
+                "proxies 3\nmodel network fast\nmodel pick best\nat 4s coordinator 7 killed for 1s\nmodel sharing x\n",
+                problems);
         assertEquals(4, problems.size(), problems.toString());
-        assertTrue(problems.get(0).toString().startsWith("d:2: model: found 'fast', expected one way, a time"), problems.toString());
+        assertTrue(
+                problems.get(0).toString().startsWith("d:2: model: found 'fast', expected one way, a time"),
+                problems.toString());
         problems.clear();
         Experiment.parse("e", "seeds 5 to 2\npolicy best\nlevel a x \"proxies 0\"\nfoo\n", n -> null, problems);
         assertEquals(3, problems.size(), problems.toString());
         problems.clear();
-        Experiment.parse("e", "line length 5s\nlevel size big \"proxies 99999\"\ndraw at {2..8}s backends 1 die for 1s\n", n -> null,
+        Experiment.parse(
+                "e",
+                "line length 5s\nlevel size big \"proxies 99999\"\ndraw at {2..8}s backends 1 die for 1s\n",
+                n -> null,
                 problems);
         assertEquals(2, problems.size(), problems.toString());
     }
 
     // ---- Experiments.
 
-    private static final String EXPERIMENT = """
+    private static final String EXPERIMENT =
+            """
             line coordinators 2
             line proxies 4
             line backends 8 cores 3
@@ -237,14 +277,14 @@
     @Test
     void anExperimentCutOffGoesOnToTheSameResultsOnAnyNumberOfThreads(@TempDir Path folder) throws Exception {
         Path whole = folder.resolve("whole");
-        assertTrue(new Runs(experiment(EXPERIMENT), whole, 1, t -> { }).play());
+        assertTrue(new Runs(experiment(EXPERIMENT), whole, 1, t -> {}).play());
         String results = Files.readString(whole.resolve("results.csv"));
         assertEquals(13, results.lines().count(), results);
         Path cut = folder.resolve("cut");
         Files.createDirectories(cut);
         // As a kill leaves it: some rows, the last one torn.
         List<String> rows = new ArrayList<>();
-        Runs first = new Runs(experiment(EXPERIMENT), cut, 8, t -> { });
+        Runs first = new Runs(experiment(EXPERIMENT), cut, 8, t -> {});
         assertTrue(first.play());
         assertEquals(results, Files.readString(cut.resolve("results.csv")));
         List<String> lines = results.lines().toList();
@@ -252,13 +292,15 @@
             rows.add(lines.get(i) + ",1.0,1.0,0.1");
         }
         Files.delete(cut.resolve("results.csv"));
-        Files.writeString(cut.resolve("runs.part.csv"), String.join("\n", rows) + "\n" + lines.get(7).substring(0, 30));
+        Files.writeString(
+                cut.resolve("runs.part.csv"),
+                String.join("\n", rows) + "\n" + lines.get(7).substring(0, 30));
         List<String> said = new ArrayList<>();
         assertTrue(new Runs(experiment(EXPERIMENT), cut, 3, said::add).play());
         assertTrue(said.get(0).startsWith("5 of 12 runs are there"), said.toString());
         assertEquals(8, said.size(), said.toString());
         assertEquals(results, Files.readString(cut.resolve("results.csv")));
-        assertFalse(new Runs(experiment(EXPERIMENT + "draw slices {16..20}\n"), cut, 3, t -> { }).play());
+        assertFalse(new Runs(experiment(EXPERIMENT + "draw slices {16..20}\n"), cut, 3, t -> {}).play());
         Report report = new Report(Sheet.read(cut.resolve("results.csv")));
         assertEquals(4, report.table().size());
         report.html(folder.resolve("r.html"), "test");
@@ -267,7 +309,8 @@
 
     @Test
     void aSearchFindsTheLineThatHurtsAndCutsTheRestAway() throws Exception {
-        Experiment experiment = experiment("""
+        Experiment experiment = experiment(
+                """
                 line coordinators 1
                 line proxies 4
                 line backends 8 cores 3
@@ -278,7 +321,7 @@
                 maybe 70% not at {2..9}s traffic x 1.0{1..9} for {1..3}s
                 maybe 70% nor at {2..9}s hot 1 keys {1..2}% for {1..3}s
                 """);
-        Search.Find find = new Search(experiment, Policy.named("ours"), Policy.named("oracle"), 1, 4, t -> { }).run(24);
+        Search.Find find = new Search(experiment, Policy.named("ours"), Policy.named("oracle"), 1, 4, t -> {}).run(24);
         assertTrue(find.loss() > 0.05 || !find.broken().isEmpty(), find.told());
         assertTrue(find.text().contains("slow x 20") && !find.text().contains("hot 1 keys"), find.text());
         assertEquals(find.text(), Token.text(Token.of(find.text())));
--- a/src/test/java/puffinbarrow/lease/LeaseTest.java
+++ b/src/test/java/puffinbarrow/lease/LeaseTest.java
@@ -50,7 +50,10 @@
         Lease lease = lease();
         long[] revision = {0};
         serve(lease, 0, lease.connected(0), revision);
-        assertEquals(1, only(Step.WriteMember.class, serve(lease, 0, lease.synced(0), revision)).size());
+        assertEquals(
+                1,
+                only(Step.WriteMember.class, serve(lease, 0, lease.synced(0), revision))
+                        .size());
         List<Step> all = new ArrayList<>();
         long now = 0;
         for (; now <= 2 * LEASE; now += 75 * MS) {
@@ -74,7 +77,8 @@
         Lease lease = lease();
         lease.connected(0);
         Step.WriteMember first = only(Step.WriteMember.class, lease.synced(0)).get(0);
-        Step.WriteMember again = only(Step.WriteMember.class, lease.tick(400 * MS)).get(0);
+        Step.WriteMember again =
+                only(Step.WriteMember.class, lease.tick(400 * MS)).get(0);
         assertEquals(first, again);
         lease.member(500 * MS, 1, first.value());
         assertEquals(LEASE - LEASE / 10, lease.speakUntilNs());
@@ -102,14 +106,15 @@
         IntStream.of(before).forEach(m -> counts[m]++);
         assertTrue(IntStream.of(counts).max().orElse(0) <= 2100, "within the room of 5%");
         int[] after = Shares.of(10_000, IntStream.range(0, 6).boxed().toList());
-        long moved = IntStream.range(0, 10_000).filter(i -> before[i] != after[i]).count();
+        long moved =
+                IntStream.range(0, 10_000).filter(i -> before[i] != after[i]).count();
         assertTrue(moved < 1.2 * 10_000 / 6, moved + " moved, a sixth would do");
         assertEquals(-1, Shares.of(3, List.of())[0]);
     }
 
     private static Simulation.Outcome play(int members, long lengthLeases, Fault... faults) {
-        Simulation.Outcome outcome = Simulation.run(new Simulation.Plan(3, members, 40, 3, LEASE, lengthLeases * LEASE, 0.05, false,
-                List.of(faults)));
+        Simulation.Outcome outcome = Simulation.run(
+                new Simulation.Plan(3, members, 40, 3, LEASE, lengthLeases * LEASE, 0.05, false, List.of(faults)));
         assertNull(outcome.broken());
         return outcome;
     }
@@ -118,7 +123,9 @@
     void aColdStartSharesOnceAndADeathIsTakenOverWithinTwoLeases() {
         assertEquals(40, play(3, 10).moves());
         Simulation.Outcome killed = play(3, 40, new Fault(Kind.KILL, 20 * LEASE, 15 * LEASE, 1));
-        assertTrue(killed.silentMs().getMaxValue() < 2 * LEASE / MS, "silent for " + killed.silentMs().getMaxValue());
+        assertTrue(
+                killed.silentMs().getMaxValue() < 2 * LEASE / MS,
+                "silent for " + killed.silentMs().getMaxValue());
         // Away and back: its third twice, and little else.
         assertTrue(killed.moves() <= 40 + 2 * 15 + 8, "" + killed.moves());
     }
@@ -132,8 +139,13 @@
 
     @Test
     void splitsInWhichBothBelieveToLeadLeaveOneVoice() {
-        play(3, 60, new Fault(Kind.CUT, 10 * LEASE, 6 * LEASE, 0), new Fault(Kind.CUT, 11 * LEASE, 9 * LEASE, 1),
-                new Fault(Kind.STORE_SLOW, 12 * LEASE, 5 * LEASE, 0), new Fault(Kind.ANSWERS_LOST, 20 * LEASE, 9 * LEASE, 2));
+        play(
+                3,
+                60,
+                new Fault(Kind.CUT, 10 * LEASE, 6 * LEASE, 0),
+                new Fault(Kind.CUT, 11 * LEASE, 9 * LEASE, 1),
+                new Fault(Kind.STORE_SLOW, 12 * LEASE, 5 * LEASE, 0),
+                new Fault(Kind.ANSWERS_LOST, 20 * LEASE, 9 * LEASE, 2));
         Simulation.Outcome down = play(4, 40, new Fault(Kind.STORE_DOWN, 10 * LEASE, 2 * LEASE, 0));
         assertTrue(down.silentMs().getTotalCount() >= 40, "all leases ran out");
     }
@@ -152,6 +164,8 @@
     @Test
     void aMemberThatLeavesHandsAllOnWithoutWaitingForALease() {
         Simulation.Outcome left = play(3, 30, new Fault(Kind.LEAVE, 10 * LEASE, 0, 1));
-        assertTrue(left.silentMs().getMaxValue() < LEASE / 4 / MS, "silent for " + left.silentMs().getMaxValue());
+        assertTrue(
+                left.silentMs().getMaxValue() < LEASE / 4 / MS,
+                "silent for " + left.silentMs().getMaxValue());
     }
 }
--- a/src/test/java/puffinbarrow/lease/ModelTest.java
+++ b/src/test/java/puffinbarrow/lease/ModelTest.java
@@ -29,8 +29,8 @@
         Map<String, Boolean> broken = new TreeMap<>();
         Map<String, Boolean> expected = new TreeMap<>();
         for (Command command : world.getAllCommands()) {
-            A4Solution solution = TranslateAlloyToKodkod.execute_command(A4Reporter.NOP, world.getAllReachableSigs(), command,
-                    options);
+            A4Solution solution = TranslateAlloyToKodkod.execute_command(
+                    A4Reporter.NOP, world.getAllReachableSigs(), command, options);
             broken.put(command.label, solution.satisfiable());
             expected.put(command.label, command.label.startsWith("Without"));
         }
--- a/src/test/java/puffinbarrow/lease/PauseTest.java
+++ b/src/test/java/puffinbarrow/lease/PauseTest.java
@@ -78,8 +78,9 @@
     @Test
     void aRemovalAloneEmptiesAndALaterOwnerWaits() {
         ownedByA();
-        assertEquals(List.of(new Order.ClearTable(3), new Order.Mark(-1, true)), pause.orders(5000,
-                List.of(new Order.SetLine(3, "a", 0)), Set.of(0)));
+        assertEquals(
+                List.of(new Order.ClearTable(3), new Order.Mark(-1, true)),
+                pause.orders(5000, List.of(new Order.SetLine(3, "a", 0)), Set.of(0)));
         assertEquals(List.of(), change(5010, Set.of(0)));
         pause.applied(5020, 0, -1);
         assertEquals(List.of(TO_B), pause.due(5220));
--- a/src/test/java/puffinbarrow/lease/SimulationTest.java
+++ b/src/test/java/puffinbarrow/lease/SimulationTest.java
@@ -22,7 +22,10 @@
     @Test
     void clocksThatJumpBreakNeitherTermsNorTheFence() {
         for (long seed = 1; seed <= 8; seed++) {
-            assertNull(Simulation.run(Simulation.plan(seed, 4, 24, LEASE, 60 * LEASE, 0.05, true)).broken(), "seed " + seed);
+            assertNull(
+                    Simulation.run(Simulation.plan(seed, 4, 24, LEASE, 60 * LEASE, 0.05, true))
+                            .broken(),
+                    "seed " + seed);
         }
     }
 
@@ -43,8 +46,9 @@
     void theSamePlanGivesTheSameRun() {
         Simulation.Outcome a = Simulation.run(plan(9));
         Simulation.Outcome b = Simulation.run(plan(9));
-        assertEquals(List.of(a.steps(), a.writes(), a.moves(), a.refused()), List.of(b.steps(), b.writes(), b.moves(),
-                b.refused()));
+        assertEquals(
+                List.of(a.steps(), a.writes(), a.moves(), a.refused()),
+                List.of(b.steps(), b.writes(), b.moves(), b.refused()));
         assertTrue(a.refused() > 0, "old orders came and were refused");
     }
 
--- a/src/test/java/puffinbarrow/load/ArrivalsTest.java
+++ b/src/test/java/puffinbarrow/load/ArrivalsTest.java
@@ -31,7 +31,9 @@
     }
 
     private static long between(List<Flow> flows, double from, double to) {
-        return flows.stream().filter(f -> f.startNs() >= from * 1e9 && f.startNs() < to * 1e9).count();
+        return flows.stream()
+                .filter(f -> f.startNs() >= from * 1e9 && f.startNs() < to * 1e9)
+                .count();
     }
 
     @Test
@@ -41,7 +43,8 @@
         for (int i = 0; i < gaps.length; i++) {
             gaps[i] = (flows.get(i + 1).startNs() - flows.get(i).startNs()) / 1e9;
         }
-        double p = new KolmogorovSmirnovTest().kolmogorovSmirnovTest(new ExponentialDistribution(null, 1 / 500.0), gaps);
+        double p =
+                new KolmogorovSmirnovTest().kolmogorovSmirnovTest(new ExponentialDistribution(null, 1 / 500.0), gaps);
         assertTrue(p > 0.01, "p " + p);
     }
 
@@ -50,7 +53,8 @@
         List<Flow> flows = flows(GROUP + "rate 400\nlength 20s\nseed 4\nshape sine by 50% every 5s\n");
         double[] gaps = new double[flows.size() - 1];
         for (int i = 0; i < gaps.length; i++) {
-            gaps[i] = integral(flows.get(i + 1).startNs()) - integral(flows.get(i).startNs());
+            gaps[i] =
+                    integral(flows.get(i + 1).startNs()) - integral(flows.get(i).startNs());
         }
         double p = new KolmogorovSmirnovTest().kolmogorovSmirnovTest(new ExponentialDistribution(null, 1), gaps);
         assertTrue(p > 0.01, "p " + p);
@@ -103,27 +107,41 @@
         assertEquals(flows(text + "seed 7\n"), flows(text + "seed 7\n"));
         assertNotEquals(flows(text + "seed 7\n"), flows(text + "seed 8\n"));
         // Stated, so that another machine or a later version that draws otherwise is noticed.
-        assertEquals("Flow[number=99, startNs=362066616, group=0, target=0, key=3, workNs=0, ask=null]", flows(text + "seed 7\n").get(99).toString());
+        assertEquals(
+                "Flow[number=99, startNs=362066616, group=0, target=0, key=3, workNs=0, ask=null]",
+                flows(text + "seed 7\n").get(99).toString());
     }
 
     @Test
     void keysFollowZipfAndAFlashCrowdMoves() {
         List<Flow> flows = flows(GROUP + "rate 5000\nlength 10s\nseed 9\nkeys 1000 zipf 0.8\n"
                 + "hot 2 keys 40% at 2s for 3s\nhot 1 keys 20% at 6s for 2s\n");
-        double one = flows.stream().filter(f -> f.startNs() < 2e9 && f.key() == 0).count();
-        double ten = flows.stream().filter(f -> f.startNs() < 2e9 && f.key() == 9).count();
+        double one =
+                flows.stream().filter(f -> f.startNs() < 2e9 && f.key() == 0).count();
+        double ten =
+                flows.stream().filter(f -> f.startNs() < 2e9 && f.key() == 9).count();
         assertEquals(Math.pow(10, 0.8), one / ten, 2);
-        assertEquals(0.4, flows.stream().filter(f -> f.startNs() >= 2e9 && f.startNs() < 5e9 && f.key() < 2).count()
-                / (double) between(flows, 2, 5), 0.08);
-        long moved = flows.stream().filter(f -> f.startNs() >= 6e9 && f.startNs() < 8e9 && f.key() == 7919 % 1000).count();
+        assertEquals(
+                0.4,
+                flows.stream()
+                                .filter(f -> f.startNs() >= 2e9 && f.startNs() < 5e9 && f.key() < 2)
+                                .count()
+                        / (double) between(flows, 2, 5),
+                0.08);
+        long moved = flows.stream()
+                .filter(f -> f.startNs() >= 6e9 && f.startNs() < 8e9 && f.key() == 7919 % 1000)
+                .count();
         assertEquals(0.2, moved / (double) between(flows, 6, 8), 0.02);
     }
 
     @Test
     void whatMakesNoSenseIsRefusedWithItsLine() {
         List<Problem> problems = new ArrayList<>();
-        Scenario.parse("t", "target 10.0.0.1:80\nrate none\nshape peek x 2\ngroup g share 1 utility 1 budget 2s expiry 1s "
-                + "path /\nshape step x 900 at 1s\nrate 1000\n", problems);
+        Scenario.parse(
+                "t",
+                "target 10.0.0.1:80\nrate none\nshape peek x 2\ngroup g share 1 utility 1 budget 2s expiry 1s "
+                        + "path /\nshape step x 900 at 1s\nrate 1000\n",
+                problems);
         List<String> told = problems.stream().map(Problem::toString).toList();
         assertEquals(5, told.size(), told.toString());
         assertTrue(told.get(0).startsWith("t:1: target: found") && told.get(0).contains("loopback"), told.toString());
--- a/src/test/java/puffinbarrow/load/EngineTest.java
+++ b/src/test/java/puffinbarrow/load/EngineTest.java
@@ -25,8 +25,11 @@
 
     private static Scenario scenario(InetSocketAddress target, String more) {
         List<Problem> problems = new ArrayList<>();
-        Scenario scenario = Scenario.parse("t", "target 127.0.0.1:" + target.getPort() + "\ngroup g share 1 utility 1 "
-                + "budget 500ms expiry 3s path /\n" + more, problems);
+        Scenario scenario = Scenario.parse(
+                "t",
+                "target 127.0.0.1:" + target.getPort() + "\ngroup g share 1 utility 1 "
+                        + "budget 500ms expiry 3s path /\n" + more,
+                problems);
         assertEquals(List.of(), problems);
         return scenario;
     }
@@ -41,8 +44,12 @@
 
     @Test
     void everyIntendedFlowHasOneOutcomeWhateverTheMannerOfAnswers() throws Exception {
-        for (Delays.Manner manner : List.of(Delays.Manner.PLAIN, Delays.Manner.SPLIT, Delays.Manner.CHUNKED,
-                Delays.Manner.CUT_SHORT, Delays.Manner.CLOSED)) {
+        for (Delays.Manner manner : List.of(
+                Delays.Manner.PLAIN,
+                Delays.Manner.SPLIT,
+                Delays.Manner.CHUNKED,
+                Delays.Manner.CUT_SHORT,
+                Delays.Manner.CLOSED)) {
             try (Delays target = target(TWO_MS)) {
                 target.manner(manner);
                 Result result = run(target.address(), "rate 300\nlength 1s\n");
@@ -59,10 +66,11 @@
     void aTargetThatStandsStillCannotHideItsSlowAnswers() throws Exception {
         try (Delays target = target(TWO_MS)) {
             Executors.newSingleThreadScheduledExecutor(r -> {
-                Thread thread = new Thread(r);
-                thread.setDaemon(true);
-                return thread;
-            }).schedule(() -> target.standStill(1_000_000_000L), 1, TimeUnit.SECONDS);
+                        Thread thread = new Thread(r);
+                        thread.setDaemon(true);
+                        return thread;
+                    })
+                    .schedule(() -> target.standStill(1_000_000_000L), 1, TimeUnit.SECONDS);
             // Few connections: what a closed loop sends in the stall is one flow each.
             Result result = run(target.address(), "rate 500\nlength 4s\nconnections 20\narrivals constant\n");
             // A quarter of the flows were meant to start in the stall of a second: half of those suffer over 0.5 s.
@@ -92,7 +100,8 @@
             assertEquals(result.intended - result.all.count(Result.Outcome.NEVER_SENT), target.requests());
             Result few = run(target.address(), "rate 100\nlength 1s\nconnections 1\n");
             // One connection answers a flow in 0.8 s; the rest waits its turn until it expires.
-            assertTrue(few.all.count(Result.Outcome.NEVER_SENT) + few.all.count(Result.Outcome.TIMED_OUT) > 50,
+            assertTrue(
+                    few.all.count(Result.Outcome.NEVER_SENT) + few.all.count(Result.Outcome.TIMED_OUT) > 50,
                     few.all.outcomes.toString());
         }
     }
@@ -111,7 +120,10 @@
             try (Delays target = target(TWO_MS)) {
                 target.manner(manner);
                 Result result = run(target.address(), "rate 300\nlength 1s\n");
-                assertEquals(result.intended, result.all.count(Result.Outcome.IN_BUDGET), manner + " " + result.all.outcomes);
+                assertEquals(
+                        result.intended,
+                        result.all.count(Result.Outcome.IN_BUDGET),
+                        manner + " " + result.all.outcomes);
                 assertEquals(result.intended, result.stray, manner.toString());
                 assertEquals(result.intended, result.connections, manner.toString());
             }
@@ -133,13 +145,17 @@
         try (Delays target = target(TWO_MS)) {
             target.manner(Delays.Manner.EARLY);
             List<Problem> problems = new ArrayList<>();
-            Scenario upload = Scenario.parse("t", "target 127.0.0.1:" + target.address().getPort() + "\ngroup g share 1 utility 1 "
-                    + "budget 2s expiry 3s path / method POST body 16M\nrate 10\nlength 1s\narrivals constant\n", problems);
+            Scenario upload = Scenario.parse(
+                    "t",
+                    "target 127.0.0.1:" + target.address().getPort() + "\ngroup g share 1 utility 1 "
+                            + "budget 2s expiry 3s path / method POST body 16M\nrate 10\nlength 1s\narrivals constant\n",
+                    problems);
             assertEquals(List.of(), problems);
             try (Engine engine = new Engine(upload)) {
                 Result result = engine.run(null);
                 assertTrue(result.whole());
-                assertEquals(result.intended, result.all.count(Result.Outcome.IN_BUDGET), result.all.outcomes.toString());
+                assertEquals(
+                        result.intended, result.all.count(Result.Outcome.IN_BUDGET), result.all.outcomes.toString());
                 assertEquals(result.intended, target.requests());
                 assertEquals(result.intended, result.connections);
             }
@@ -169,8 +185,10 @@
         Result result = run(first.address(), "rate 200\nlength 3s\narrivals constant\n");
         long lost = result.all.count(Result.Outcome.REFUSED) + result.all.count(Result.Outcome.RESET);
         assertTrue(result.all.count(Result.Outcome.REFUSED) > 0, result.all.outcomes.toString());
-        assertEquals(result.intended, lost + result.all.count(Result.Outcome.IN_BUDGET)
-                + result.all.count(Result.Outcome.LATE), result.all.outcomes.toString());
+        assertEquals(
+                result.intended,
+                lost + result.all.count(Result.Outcome.IN_BUDGET) + result.all.count(Result.Outcome.LATE),
+                result.all.outcomes.toString());
         assertEquals(0, result.steps.get(2).count(Result.Outcome.REFUSED), "the third second is whole again");
         away.interrupt();
     }
@@ -179,17 +197,34 @@
     void moreFlowsThanTheSystemHasHandlesForWaitForTheConnectionsThereAre() throws Exception {
         try (Delays target = target(draw -> 100e6)) {
             java.nio.file.Path scenario = java.nio.file.Files.createTempFile("handles", ".load");
-            java.nio.file.Files.writeString(scenario, "target 127.0.0.1:" + target.address().getPort() + "\ngroup g share 1 "
-                    + "utility 1 budget 1s expiry 3s path /\nrate 800\nlength 2s\nconnections 5000\n");
+            java.nio.file.Files.writeString(
+                    scenario,
+                    "target 127.0.0.1:" + target.address().getPort() + "\ngroup g share 1 "
+                            + "utility 1 budget 1s expiry 3s path /\nrate 800\nlength 2s\nconnections 5000\n");
             // What the program itself needs: every jar of a class path takes a handle, and those of tests are many.
-            String needed = java.util.Arrays.stream(System.getProperty("java.class.path").split(java.io.File.pathSeparator))
-                    .filter(entry -> !entry.endsWith(".jar") || entry.matches(".*(picocli|logback|slf4j-api|logstash|jackson|micrometer"
-                            + "|HdrHistogram|LatencyUtils|commons-|hash4j|freemarker|xchart)[^/]*\\.jar"))
+            String needed = java.util.Arrays.stream(
+                            System.getProperty("java.class.path").split(java.io.File.pathSeparator))
+                    .filter(entry -> !entry.endsWith(".jar")
+                            || entry.matches(".*(picocli|logback|slf4j-api|logstash|jackson|micrometer"
+                                    + "|HdrHistogram|LatencyUtils|commons-|hash4j|freemarker|xchart)[^/]*\\.jar"))
                     .collect(java.util.stream.Collectors.joining(java.io.File.pathSeparator));
-            String program = java.nio.file.Path.of(System.getProperty("java.home"), "bin", "java").toString();
-            Process process = new ProcessBuilder("sh", "-c", "ulimit -n 80; exec \"$@\"", "sh", program, "-XX:-MaxFDLimit", "-cp",
-                    needed, "puffinbarrow.cli.Main", "load", "run", scenario.toString())
-                    .redirectErrorStream(true).start();
+            String program = java.nio.file.Path.of(System.getProperty("java.home"), "bin", "java")
+                    .toString();
+            Process process = new ProcessBuilder(
+                            "sh",
+                            "-c",
+                            "ulimit -n 80; exec \"$@\"",
+                            "sh",
+                            program,
+                            "-XX:-MaxFDLimit",
+                            "-cp",
+                            needed,
+                            "puffinbarrow.cli.Main",
+                            "load",
+                            "run",
+                            scenario.toString())
+                    .redirectErrorStream(true)
+                    .start();
             String said = new String(process.getInputStream().readAllBytes());
             assertEquals(0, process.waitFor(), said);
             assertTrue(said.contains("connections at most by the system's handles"), said);
@@ -205,7 +240,8 @@
             Result three = run(target.address(), "rate 600\nlength 2s\nseed 5\nsenders 3\n");
             assertEquals(one.intended, three.intended);
             assertEquals(one.steps.get(0).intended, three.steps.get(0).intended);
-            assertEquals(three.intended, three.all.count(Result.Outcome.IN_BUDGET) + three.all.count(Result.Outcome.LATE));
+            assertEquals(
+                    three.intended, three.all.count(Result.Outcome.IN_BUDGET) + three.all.count(Result.Outcome.LATE));
         }
         try (Delays target = target(draw -> 800e6)) {
             Result bound = run(target.address(), "rate 200\nlength 1s\nin-flight 30\nsenders 3\n");
@@ -215,7 +251,8 @@
     }
 
     @Test
-    void aRunLeavesAFolderThatOthersCanRead(@org.junit.jupiter.api.io.TempDir java.nio.file.Path folder) throws Exception {
+    void aRunLeavesAFolderThatOthersCanRead(@org.junit.jupiter.api.io.TempDir java.nio.file.Path folder)
+            throws Exception {
         try (Delays target = target(TWO_MS)) {
             Scenario scenario = scenario(target.address(), "rate 200\nlength 3s\n");
             Result result;
@@ -226,14 +263,15 @@
             String page = java.nio.file.Files.readString(folder.resolve("page.html"));
             assertEquals(5, page.split("data:image/png;base64,", -1).length - 1);
             assertTrue(page.contains("<td>" + result.intended + "</td>"));
-            var reader = new org.HdrHistogram.HistogramLogReader(folder.resolve("latency.hlog").toFile());
+            var reader = new org.HdrHistogram.HistogramLogReader(
+                    folder.resolve("latency.hlog").toFile());
             long count = 0;
             while (reader.hasNext()) {
                 count += ((org.HdrHistogram.Histogram) reader.nextIntervalHistogram()).getTotalCount();
             }
             assertEquals(result.all.latency.getTotalCount(), count);
-            assertTrue(java.nio.file.Files.readString(folder.resolve("summary.json")).contains("\"intended\" : "
-                    + result.intended));
+            assertTrue(java.nio.file.Files.readString(folder.resolve("summary.json"))
+                    .contains("\"intended\" : " + result.intended));
         }
     }
 }
--- a/src/test/java/puffinbarrow/load/TraceTest.java
+++ b/src/test/java/puffinbarrow/load/TraceTest.java
@@ -50,16 +50,21 @@
     }
 
     private static String clf(String time, String path) {
-        return "10.0.0.1 - - [06/Apr/2026:08:00:" + time + " +0200] \"GET " + path + " HTTP/1.1\" 200 12 \"-\" \"a \\\"b\\\"\"\n";
+        return "10.0.0.1 - - [06/Apr/2026:08:00:" + time + " +0200] \"GET " + path
+                + " HTTP/1.1\" 200 12 \"-\" \"a \\\"b\\\"\"\n";
     }
 
     @Test
     void aLogWrittenInTheOrderOfAnswersIsSentInTheOrderOfStarts() throws IOException {
-        Path log = file("access.log", clf("00", "/basket/1") + clf("02", "/x") + clf("00", "/basket/2") + clf("01", "/y"));
+        Path log =
+                file("access.log", clf("00", "/basket/1") + clf("02", "/x") + clf("00", "/basket/2") + clf("01", "/y"));
         List<Flow> flows = flows(log, "");
         // Two of one second fill it evenly.
-        assertEquals(List.of(250L, 750L, 1500L, 2500L).stream().map(ms -> ms - 250).toList(), starts(flows));
-        assertEquals(List.of("/basket/1", "/basket/2", "/y", "/x"), flows.stream().map(f -> f.ask().path()).toList());
+        assertEquals(
+                List.of(250L, 750L, 1500L, 2500L).stream().map(ms -> ms - 250).toList(), starts(flows));
+        assertEquals(
+                List.of("/basket/1", "/basket/2", "/y", "/x"),
+                flows.stream().map(f -> f.ask().path()).toList());
         assertEquals(List.of(0, 0, 1, 1), flows.stream().map(Flow::group).toList());
     }
 
@@ -75,7 +80,8 @@
         assertEquals(297, all(flows).size());
         assertEquals(4, flows.malformed());
         assertEquals(301, flows.lines());
-        assertTrue(flows.shown().get(0).toString().startsWith(log + ":8: not a line of the Common Log Format, expected"),
+        assertTrue(
+                flows.shown().get(0).toString().startsWith(log + ":8: not a line of the Common Log Format, expected"),
                 flows.shown().toString());
         assertTrue(flows.shown().get(3).toString().contains("over 65536 bytes"));
         Trace.TooManyMalformed stopped = assertThrows(Trace.TooManyMalformed.class, () -> flows(log, ""));
@@ -85,8 +91,10 @@
     @Test
     void columnsHaveTheNamesAndUnitsThatAreSaid() throws IOException {
         Path csv = file("t.csv", "started,verb,url,who\n1500,GET,/basket/7,42\n1000,POST,\"/a,b\",shop\n2000,GET\n");
-        List<Flow> flows = flows(csv, "trace-malformed 50%\ncolumn time started ms\ncolumn method verb\ncolumn path url\n"
-                + "column key who\n");
+        List<Flow> flows = flows(
+                csv,
+                "trace-malformed 50%\ncolumn time started ms\ncolumn method verb\ncolumn path url\n"
+                        + "column key who\n");
         assertEquals(List.of(0L, 500L), starts(flows));
         assertEquals(new Flow.Ask("POST", "/a,b", 0, "shop"), flows.get(0).ask());
         assertEquals(42, flows.get(1).key());
@@ -95,14 +103,19 @@
 
     @Test
     void jsonLinesAndHarTellTheSameRequests() throws IOException {
-        Path json = file("t.json", "{\"time\":\"2026-04-06T08:00:00.250Z\",\"method\":\"GET\",\"path\":\"/basket\",\"tags\":[1]}\n"
-                + "{\"time\":\"2026-04-06T10:00:01+02:00\",\"method\":\"PUT\",\"path\":\"/y\",\"body\":10}\n");
-        String entry = "{\"startedDateTime\":\"%s\",\"time\":3,\"request\":{\"method\":\"%s\",\"url\":\"http://shop%s\",\"headers\":"
-                + "[{\"name\":\"a\"}],\"bodySize\":%d},\"response\":{\"status\":200}}";
-        Path har = file("t.har", "{ \"log\": {\"version\":\"1.2\",\"pages\":[{\"id\":1}],\"entries\":["
-                + String.format(entry, "2026-04-06T08:00:01Z", "PUT", "/y", 10) + ","
-                + String.format(entry, "2026-04-06T08:00:00.250Z", "GET", "/basket", 0)
-                + ",{\"startedDateTime\":\"2026-04-06T08:00:00Z\"}]}}");
+        Path json = file(
+                "t.json",
+                "{\"time\":\"2026-04-06T08:00:00.250Z\",\"method\":\"GET\",\"path\":\"/basket\",\"tags\":[1]}\n"
+                        + "{\"time\":\"2026-04-06T10:00:01+02:00\",\"method\":\"PUT\",\"path\":\"/y\",\"body\":10}\n");
+        String entry =
+                "{\"startedDateTime\":\"%s\",\"time\":3,\"request\":{\"method\":\"%s\",\"url\":\"http://shop%s\",\"headers\":"
+                        + "[{\"name\":\"a\"}],\"bodySize\":%d},\"response\":{\"status\":200}}";
+        Path har = file(
+                "t.har",
+                "{ \"log\": {\"version\":\"1.2\",\"pages\":[{\"id\":1}],\"entries\":["
+                        + String.format(entry, "2026-04-06T08:00:01Z", "PUT", "/y", 10) + ","
+                        + String.format(entry, "2026-04-06T08:00:00.250Z", "GET", "/basket", 0)
+                        + ",{\"startedDateTime\":\"2026-04-06T08:00:00Z\"}]}}");
         List<Flow> lines = flows(json, "");
         assertEquals(List.of(0L, 750L), starts(lines));
         assertEquals(10, lines.get(1).ask().bodyBytes());
@@ -135,8 +148,9 @@
 
     @Test
     void whatARunSentIsSentAgainExactly() throws IOException {
-        String drawn = "target 127.0.0.1:1\ntarget 127.0.0.1:2 weight 3\nrate 400\nlength 3s\nslices 8 uneven 1 to 3 keys 5\n"
-                + "hot 1 keys 30% at 1s for 1s\n";
+        String drawn =
+                "target 127.0.0.1:1\ntarget 127.0.0.1:2 weight 3\nrate 400\nlength 3s\nslices 8 uneven 1 to 3 keys 5\n"
+                        + "hot 1 keys 30% at 1s for 1s\n";
         Scenario scenario = scenario(drawn);
         Path record = folder.resolve("sent.json.gz");
         List<Flow> first = all(new SentLog(new Arrivals(scenario), scenario, record));
@@ -145,7 +159,8 @@
         for (int i = 0; i < first.size(); i++) {
             Flow a = first.get(i);
             Flow b = again.get(i);
-            assertEquals(new Flow(a.number(), a.startNs(), a.group(), a.target(), a.key(), a.workNs(), null),
+            assertEquals(
+                    new Flow(a.number(), a.startNs(), a.group(), a.target(), a.key(), a.workNs(), null),
                     new Flow(b.number(), b.startNs(), b.group(), b.target(), b.key(), b.workNs(), null));
         }
         Path twice = folder.resolve("again.json");
--- a/src/test/java/puffinbarrow/memory/RecallTest.java
+++ b/src/test/java/puffinbarrow/memory/RecallTest.java
@@ -34,7 +34,9 @@
     private double confidence(Recall kind, String server, Event.Entry... list) {
         return puffinbarrow.memory.Recall.of(image, List.of(list), NOW, words).stream()
                 .filter(e -> e.kind() == kind && e.server().equals(server))
-                .mapToDouble(Event.Recalled::confidence).findFirst().orElse(0);
+                .mapToDouble(Event.Recalled::confidence)
+                .findFirst()
+                .orElse(0);
     }
 
     @Test
@@ -83,18 +85,30 @@
     @Test
     void notesMakeFactsOfWhatWasHeardAndGoOnAfterARestart() {
         Notes notes = new Notes(1);
-        notes.heard(NOW, List.of(new Event.ServerList(Event.ListKind.WHOLE, List.of(listed("a", 5), listed("b", 5))),
-                new Event.SliceCharge(3, true)));
-        notes.heard(NOW + 1, List.of(new Event.ServerList(Event.ListKind.PATCH, List.of(
-                new Event.Entry("a", 0, 0, 0, Event.Listed.GONE, 1, 5)))));
+        notes.heard(
+                NOW,
+                List.of(
+                        new Event.ServerList(Event.ListKind.WHOLE, List.of(listed("a", 5), listed("b", 5))),
+                        new Event.SliceCharge(3, true)));
+        notes.heard(
+                NOW + 1,
+                List.of(new Event.ServerList(
+                        Event.ListKind.PATCH, List.of(new Event.Entry("a", 0, 0, 0, Event.Listed.GONE, 1, 5)))));
         notes.ordered(List.of(new Order.SetLine(3, "b", 1), new Order.SetLine(3, "a", 0)));
         notes.changed(NOW + 2, 0, false, List.of()).forEach(image::put);
         Notes later = new Notes(2);
         later.resume(image);
-        later.heard(NOW + 10, List.of(new Event.ServerList(Event.ListKind.WHOLE, List.of(listed("a", 9), listed("b", 5)))));
+        later.heard(
+                NOW + 10, List.of(new Event.ServerList(Event.ListKind.WHOLE, List.of(listed("a", 9), listed("b", 5)))));
         later.heard(NOW + 11, List.of(new Event.ServerList(Event.ListKind.PATCH, List.of(listed("a", 11)))));
-        later.changed(NOW + 12, 0, true, List.of(new Event.Recalled(Recall.HOLD_NS, "b", 6, 1),
-                new Event.Recalled(Recall.SHED, "", 0.5, 1))).forEach(image::put);
+        later.changed(
+                        NOW + 12,
+                        0,
+                        true,
+                        List.of(
+                                new Event.Recalled(Recall.HOLD_NS, "b", 6, 1),
+                                new Event.Recalled(Recall.SHED, "", 0.5, 1)))
+                .forEach(image::put);
         Facts.OfServer a = (Facts.OfServer) image.get("server a");
         Facts.OfServer b = (Facts.OfServer) image.get("server b");
         assertEquals(List.of(5L, 9L, 11L), a.starts());
--- a/src/test/java/puffinbarrow/memory/SimDisk.java
+++ b/src/test/java/puffinbarrow/memory/SimDisk.java
@@ -26,6 +26,7 @@
     private TreeMap<String, Content> lastingNames = new TreeMap<>();
     /** Steps until the power goes: each byte written, each force, rename and delete is one. */
     long stepsLeft = Long.MAX_VALUE;
+
     long steps;
     private boolean locked;
 
--- a/src/test/java/puffinbarrow/memory/StoreTest.java
+++ b/src/test/java/puffinbarrow/memory/StoreTest.java
@@ -47,12 +47,14 @@
         SimDisk disk = new SimDisk();
         Facts.OfSelf self = new Facts.OfSelf(5, 6, 7, true, List.of(1, 2), 0.5, 0.4, 0.75, true);
         try (Store store = Store.open(disk, CAP, new ArrayList<>())) {
-            store.commit(List.of(server("a:1", 5), self, new Facts.OfSlice(3, 5, List.of(new Facts.Line("a:1", 1)), 2, 9)),
+            store.commit(
+                    List.of(server("a:1", 5), self, new Facts.OfSlice(3, 5, List.of(new Facts.Line("a:1", 1)), 2, 9)),
                     List.of());
             store.commit(List.of(server("b:1", 6)), List.of("slice 3"));
         }
         Store.Opened found = Store.read(disk);
-        assertEquals(List.of(self, server("a:1", 5), server("b:1", 6)), found.image().all());
+        assertEquals(
+                List.of(self, server("a:1", 5), server("b:1", 6)), found.image().all());
         assertEquals(2, found.sequence());
     }
 
@@ -86,7 +88,9 @@
             }
             cuts++;
         }
-        assertTrue(cuts > 3000 && whole.list().stream().anyMatch(n -> n.equals("snapshot-4")), whole.list().toString());
+        assertTrue(
+                cuts > 3000 && whole.list().stream().anyMatch(n -> n.equals("snapshot-4")),
+                whole.list().toString());
     }
 
     private static void life(SimDisk disk, long[] acknowledged) throws IOException {
@@ -129,14 +133,21 @@
     @Test
     void behindAHoleInTheJournalNothingIsBelieved() throws IOException {
         SimDisk disk = written(5);
-        String journal = disk.list().stream().filter(n -> n.startsWith("journal")).findFirst().orElseThrow();
+        String journal = disk.list().stream()
+                .filter(n -> n.startsWith("journal"))
+                .findFirst()
+                .orElseThrow();
         byte[] good = disk.bytes(journal);
         ByteBuffer in = ByteBuffer.wrap(good).position(Codec.FILE_HEADER);
         int first = Codec.BATCH_HEADER + in.getInt(Codec.FILE_HEADER);
         int second = Codec.BATCH_HEADER + in.getInt(Codec.FILE_HEADER + first);
         byte[] hole = new byte[good.length - second];
         System.arraycopy(good, 0, hole, 0, Codec.FILE_HEADER + first);
-        System.arraycopy(good, Codec.FILE_HEADER + first + second, hole, Codec.FILE_HEADER + first,
+        System.arraycopy(
+                good,
+                Codec.FILE_HEADER + first + second,
+                hole,
+                Codec.FILE_HEADER + first,
                 hole.length - Codec.FILE_HEADER - first);
         disk.put(journal, hole);
         Store.Opened found = Store.read(disk);
@@ -210,8 +221,7 @@
         List<String> words = new ArrayList<>();
         try (Store store = Store.open(new RealDisk(folder), CAP, words)) {
             store.commit(commit(1), List.of());
-            IOException second = assertThrows(IOException.class,
-                    () -> Store.open(new RealDisk(folder), CAP, words));
+            IOException second = assertThrows(IOException.class, () -> Store.open(new RealDisk(folder), CAP, words));
             assertTrue(second.getMessage().contains("another coordinator"));
             assertEquals(1, Inspect.look(folder).commit());
         }
@@ -261,9 +271,15 @@
 
     @Test
     void aProcessKilledWhileItWritesIsFoundWholeAtEveryStart(@TempDir Path folder) throws Exception {
-        List<String> child = List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-XX:TieredStopAtLevel=1", "-cp", System.getProperty("java.class.path"), "puffinbarrow.cli.Main",
-                "bench", "memory-writer", folder.toString());
+        List<String> child = List.of(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-XX:TieredStopAtLevel=1",
+                "-cp",
+                System.getProperty("java.class.path"),
+                "puffinbarrow.cli.Main",
+                "bench",
+                "memory-writer",
+                folder.toString());
         Kills.Outcome outcome = Kills.run(child, folder, 12, 3);
         assertEquals(List.of(), outcome.evidence());
         assertEquals(12, outcome.whole() + outcome.ignored());
--- a/src/test/java/puffinbarrow/net/HttpParserTest.java
+++ b/src/test/java/puffinbarrow/net/HttpParserTest.java
@@ -24,7 +24,9 @@
         String text = "POST /flow HTTP/1.1\r\nHost: a\r\nContent-Length: 3\r\n\r\nabc"
                 + "GET /x HTTP/1.1\nx-key:  7 \n\n"
                 + "POST /c HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n3;e=1\r\nabc\r\n2\r\nde\r\n0\r\nt: 1\r\n\r\n";
-        List<String> wanted = List.of("POST|/flow|{host=a, content-length=3}|abc", "GET|/x|{x-key=7}|",
+        List<String> wanted = List.of(
+                "POST|/flow|{host=a, content-length=3}|abc",
+                "GET|/x|{x-key=7}|",
                 "POST|/c|{transfer-encoding=chunked}|abcde");
         for (int cut = 0; cut <= text.length(); cut++) {
             List<String> read = new ArrayList<>();
@@ -47,15 +49,21 @@
 
     @Test
     void whatIsNoHttpOrTooLargeIsRefused() {
-        for (String wrong : List.of("nonsense\r\n", "GET /\r\n", "GET / HTTP/2\r\n", "GET / HTTP/1.1\r\n: x\r\n",
-                "GET / HTTP/1.1\r\ncontent-length: -1\r\n\r\n", "GET / HTTP/1.1\r\ncontent-length: 101\r\n\r\n",
+        for (String wrong : List.of(
+                "nonsense\r\n",
+                "GET /\r\n",
+                "GET / HTTP/2\r\n",
+                "GET / HTTP/1.1\r\n: x\r\n",
+                "GET / HTTP/1.1\r\ncontent-length: -1\r\n\r\n",
+                "GET / HTTP/1.1\r\ncontent-length: 101\r\n\r\n",
                 "GET / HTTP/1.1\r\ncontent-length: 1\r\ncontent-length: 2\r\n\r\n",
                 "GET / HTTP/1.1\r\ntransfer-encoding: chunked\r\ncontent-length: 2\r\n\r\n",
                 "GET / HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\nffffffff\r\n",
-                "GET / HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n1\r\nab\r\n", "GET / HTTP/1.1\r\na: \0\r\n",
+                "GET / HTTP/1.1\r\ntransfer-encoding: chunked\r\n\r\n1\r\nab\r\n",
+                "GET / HTTP/1.1\r\na: \0\r\n",
                 "GET /" + "x".repeat(9000))) {
-            assertThrows(HttpParser.Malformed.class,
-                    () -> new HttpParser(true, 100, m -> { }).feed(bytes(wrong)), wrong);
+            assertThrows(
+                    HttpParser.Malformed.class, () -> new HttpParser(true, 100, m -> {}).feed(bytes(wrong)), wrong);
         }
     }
 }
--- a/src/test/java/puffinbarrow/platform/OtherCustomerTest.java
+++ b/src/test/java/puffinbarrow/platform/OtherCustomerTest.java
@@ -20,22 +20,29 @@
 
     /** Odd but legal: one group or two, one zone, a name with a space, tenants, a grace of one second, no retries. */
     private static Configuration configuration(String groups, int proxies, int backlog) throws Exception {
-        return Configuration.read(("{\"name\":\"c-7\",\"listen\":\"127.0.0.1:1\",\"discovery\":\"127.0.0.1:2\",\"seed\":\"zz\","
-                + "\"limits\":{\"cores\":0.25,\"memory_mb\":64,\"sockets\":40},\"registry\":{\"address\":\"127.0.0.1:3\"},"
-                + "\"known\":{\"generation\":0,\"reset\":true,\"instances\":[" + backend("x/1", "SERVING") + "," + backend("x/2", "SERVING")
-                + "]},\"settings\":{\"Zones\":[\"Süd Ost\"],\"Models\":[\"huge\"],\"Discovery\":\"ask\",\"RequestClasses\":[" + groups
-                + "],\"Projects\":[{\"Name\":\"t 1\",\"Fraction\":1}],\"Rules\":{\"StopSendingWithinNs\":1000000000,\"WarmWithinNs\":1,"
-                + "\"StartCapacity\":1,\"FallMultiple\":9},\"Domain\":{\"Ranges\":3,\"ProxyCount\":" + proxies + ",\"Backlog\":" + backlog
-                + ",\"EgressPerS\":50,\"Overhead\":0,\"ReportEveryNs\":700000000,\"ThrottleBy\":\"fraction\"}}}")
-                .getBytes(StandardCharsets.UTF_8), CLOCK);
+        return Configuration.read(
+                ("{\"name\":\"c-7\",\"listen\":\"127.0.0.1:1\",\"discovery\":\"127.0.0.1:2\",\"seed\":\"zz\","
+                                + "\"limits\":{\"cores\":0.25,\"memory_mb\":64,\"sockets\":40},\"registry\":{\"address\":\"127.0.0.1:3\"},"
+                                + "\"known\":{\"generation\":0,\"reset\":true,\"instances\":["
+                                + backend("x/1", "SERVING") + "," + backend("x/2", "SERVING")
+                                + "]},\"settings\":{\"Zones\":[\"Süd Ost\"],\"Models\":[\"huge\"],\"Discovery\":\"ask\",\"RequestClasses\":["
+                                + groups
+                                + "],\"Projects\":[{\"Name\":\"t 1\",\"Fraction\":1}],\"Rules\":{\"StopSendingWithinNs\":1000000000,\"WarmWithinNs\":1,"
+                                + "\"StartCapacity\":1,\"FallMultiple\":9},\"Domain\":{\"Ranges\":3,\"ProxyCount\":"
+                                + proxies + ",\"Backlog\":" + backlog
+                                + ",\"EgressPerS\":50,\"Overhead\":0,\"ReportEveryNs\":700000000,\"ThrottleBy\":\"fraction\"}}}")
+                        .getBytes(StandardCharsets.UTF_8),
+                CLOCK);
     }
 
     private static String group(String name, int budgetMs, double utility) {
-        return "{\"Name\":\"" + name + "\",\"AimNs\":" + budgetMs + "000000,\"Importance\":" + utility + ",\"Semantics\":\"once\"}";
+        return "{\"Name\":\"" + name + "\",\"AimNs\":" + budgetMs + "000000,\"Importance\":" + utility
+                + ",\"Semantics\":\"once\"}";
     }
 
     private static String backend(String id, String state) {
-        return "{\"instanceId\":\"" + id + "\",\"hostPort\":\"127.0.0.1:9\",\"zone\":\"Süd Ost\",\"machineType\":\"huge\",\"cell\":0,"
+        return "{\"instanceId\":\"" + id
+                + "\",\"hostPort\":\"127.0.0.1:9\",\"zone\":\"Süd Ost\",\"machineType\":\"huge\",\"cell\":0,"
                 + "\"lifecycle\":\"" + state + "\",\"weight\":250,\"startedAtMs\":0}";
     }
 
@@ -47,7 +54,8 @@
         for (long tick = 0; tick <= seconds * 4; tick++) {
             List<Event> events = new ArrayList<>();
             if (tick == 0) {
-                events.add(new Event.ServerList(Event.ListKind.STALE_COPY, config.known().list().entries()));
+                events.add(new Event.ServerList(
+                        Event.ListKind.STALE_COPY, config.known().list().entries()));
                 events.add(words.joined(Map.of("id", "0", "site", "Süd Ost", "rps", "5", "new", "1")));
                 for (int slice = 0; slice < 3; slice++) {
                     events.add(new Event.SliceCharge(slice, true));
@@ -69,35 +77,63 @@
     }
 
     private static List<String> sums(String target, int count, int fail, double mean) {
-        return List.of("upstream_stats", "site", "Süd Ost", "target", target, "count", String.valueOf(count), "fail",
-                String.valueOf(fail), "mean", String.valueOf(mean), "over", "700", "util", "");
+        return List.of(
+                "upstream_stats",
+                "site",
+                "Süd Ost",
+                "target",
+                target,
+                "count",
+                String.valueOf(count),
+                "fail",
+                String.valueOf(fail),
+                "mean",
+                String.valueOf(mean),
+                "over",
+                "700",
+                "util",
+                "");
     }
 
     @Test
     void wordsOfTheSettingsAreTakenAndThoseOfOthersRefused() throws Exception {
-        Translation words = new Translation(configuration(group("only one", 40, 7), 2, 100).names(), CLOCK);
-        assertEquals(new Event.SliceDemand(2, 0, 4, 0, SECOND), words.report(List.of("range_stats", "range", "2", "lane", "only one",
-                "count", "4", "fail", "0", "over", "1000")));
-        for (List<String> other : List.of(List.of("range", "3", "lane", "only one"), List.of("range", "2", "lane", "lookup"))) {
+        Translation words =
+                new Translation(configuration(group("only one", 40, 7), 2, 100).names(), CLOCK);
+        assertEquals(
+                new Event.SliceDemand(2, 0, 4, 0, SECOND),
+                words.report(List.of(
+                        "range_stats", "range", "2", "lane", "only one", "count", "4", "fail", "0", "over", "1000")));
+        for (List<String> other :
+                List.of(List.of("range", "3", "lane", "only one"), List.of("range", "2", "lane", "lookup"))) {
             List<String> report = new ArrayList<>(List.of("range_stats"));
             report.addAll(other);
             report.addAll(List.of("count", "4", "fail", "0", "over", "1000"));
             assertThrows(ProtocolException.class, () -> words.report(report));
         }
-        assertThrows(ProtocolException.class, () -> words.joined(Map.of("id", "2", "site", "Süd Ost", "rps", "5", "new", "1")));
-        assertThrows(ProtocolException.class, () -> words.joined(Map.of("id", "0", "site", "a", "rps", "5", "new", "1")));
+        assertThrows(
+                ProtocolException.class,
+                () -> words.joined(Map.of("id", "2", "site", "Süd Ost", "rps", "5", "new", "1")));
+        assertThrows(
+                ProtocolException.class, () -> words.joined(Map.of("id", "0", "site", "a", "rps", "5", "new", "1")));
     }
 
     @Test
     void eachSliceGetsALineOnTheCustomersBackendsAndItsOneGroupIsNeverTriedOnNorShed() throws Exception {
-        List<String> said = orders(configuration(group("only one", 40, 7), 1, 1000), 8,
+        List<String> said = orders(
+                configuration(group("only one", 40, 7), 1, 1000),
+                8,
                 List.of(sums("x/1", 50, 30, 39), sums("x/2", 50, 30, 39)));
         for (int slice = 0; slice < 3; slice++) {
             String line = "share," + slice + ",x/";
             assertTrue(said.stream().anyMatch(order -> order.startsWith(line)), said.toString());
         }
         // All drop flows: strain, so nothing is tried again; the only group is the most useful one and stays whole.
-        assertEquals("admit,*,only one,1.0,0", said.stream().filter(order -> order.startsWith("admit")).reduce((a, b) -> b).orElse(""));
+        assertEquals(
+                "admit,*,only one,1.0,0",
+                said.stream()
+                        .filter(order -> order.startsWith("admit"))
+                        .reduce((a, b) -> b)
+                        .orElse(""));
     }
 
     @Test
@@ -126,14 +162,23 @@
         Configuration config = configuration(group("only one", 40, 7), 1, 1000);
         Logic logic = new Logic(config.settings(), config.seed());
         Translation words = new Translation(config.names(), CLOCK);
-        logic.handle(0, List.of(new Event.ServerList(Event.ListKind.STALE_COPY, config.known().list().entries()),
-                new Event.ProxyJoined(0, true, 5, 0), new Event.SliceCharge(1, true)));
-        Event leaves = words.listing(Configuration.json(("{\"generation\":1,\"reset\":false,\"instances\":["
-                + backend("x/1", "DRAINING") + "]}").getBytes(StandardCharsets.UTF_8))).list();
+        logic.handle(
+                0,
+                List.of(
+                        new Event.ServerList(
+                                Event.ListKind.STALE_COPY, config.known().list().entries()),
+                        new Event.ProxyJoined(0, true, 5, 0),
+                        new Event.SliceCharge(1, true)));
+        Event leaves = words.listing(Configuration.json(
+                        ("{\"generation\":1,\"reset\":false,\"instances\":[" + backend("x/1", "DRAINING") + "]}")
+                                .getBytes(StandardCharsets.UTF_8)))
+                .list();
         List<String> said = new ArrayList<>();
         for (long at = SECOND; at < 2 * SECOND; at += SECOND / 4) {
-            logic.handle(at, at == SECOND ? List.of(leaves, new Event.InForce(0, 1, 1)) : List.of()).stream().map(words::order)
-                    .filter(order -> order != null).forEach(said::add);
+            logic.handle(at, at == SECOND ? List.of(leaves, new Event.InForce(0, 1, 1)) : List.of()).stream()
+                    .map(words::order)
+                    .filter(order -> order != null)
+                    .forEach(said::add);
         }
         assertTrue(said.contains("withdraw,x/1"), said.toString());
     }
--- a/src/test/java/puffinbarrow/platform/ProcessTest.java
+++ b/src/test/java/puffinbarrow/platform/ProcessTest.java
@@ -34,8 +34,11 @@
 
     private void launch(String before, String classes) throws IOException {
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
-        ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", before + " exec '" + java
-                + "' -XX:+UseSerialGC -XX:TieredStopAtLevel=1 -cp '" + classes + "' puffinbarrow.cli.Main serve");
+        ProcessBuilder builder = new ProcessBuilder(
+                "/bin/sh",
+                "-c",
+                before + " exec '" + java + "' -XX:+UseSerialGC -XX:TieredStopAtLevel=1 -cp '" + classes
+                        + "' puffinbarrow.cli.Main serve");
         builder.environment().put("RELAY_CONFIG", folder.resolve("config.json").toString());
         process = builder.redirectErrorStream(true).start();
         said = process.inputReader(StandardCharsets.UTF_8);
@@ -53,7 +56,11 @@
     }
 
     private void signal(String name) throws Exception {
-        assertEquals(0, new ProcessBuilder("kill", "-" + name, String.valueOf(process.pid())).start().waitFor());
+        assertEquals(
+                0,
+                new ProcessBuilder("kill", "-" + name, String.valueOf(process.pid()))
+                        .start()
+                        .waitFor());
     }
 
     /** A pipe in the place of the configuration: the process stands at its start until the pipe is written. */
@@ -130,9 +137,17 @@
         configure(relay);
         // As in service: one archive, open from the start. From a folder each class would want a descriptor of its own.
         Path archive = folder.resolve("classes.jar");
-        String classes = Path.of(Main.class.getProtectionDomain().getCodeSource().getLocation().toURI()).toString();
-        assertEquals(0, ToolProvider.findFirst("jar").orElseThrow().run(System.out, System.err, "-cf", archive.toString(), "-C",
-                classes, "."));
+        String classes = Path.of(Main.class
+                        .getProtectionDomain()
+                        .getCodeSource()
+                        .getLocation()
+                        .toURI())
+                .toString();
+        assertEquals(
+                0,
+                ToolProvider.findFirst("jar")
+                        .orElseThrow()
+                        .run(System.out, System.err, "-cf", archive.toString(), "-C", classes, "."));
         launch("ulimit -n 160;", archive + ":" + System.getProperty("java.class.path"));
         InetSocketAddress at = ready();
         List<Socket> strangers = new ArrayList<>();
--- a/src/test/java/puffinbarrow/platform/RaceTest.java
+++ b/src/test/java/puffinbarrow/platform/RaceTest.java
@@ -26,7 +26,8 @@
 @Timeout(120)
 class RaceTest extends ServiceFixture {
     private static final String PROXY = "event: attach\ndata: id=8&site=b&rps=2&new=0\n\n";
-    private static final String SLICE = "event: owner\ndata: range=1&flag=1\n\nevent: entry\ndata: range=1&target=s1&rps=1\n\n";
+    private static final String SLICE =
+            "event: owner\ndata: range=1&flag=1\n\nevent: entry\ndata: range=1&target=s1&rps=1\n\n";
     private static final Event JOINED = new Event.ProxyJoined(8, false, 2, 1);
 
     /** Any piece of news makes a batch, and a batch makes the next orders. */
@@ -77,7 +78,9 @@
         relay.answers.addAll(List.of("x", taken(1), taken(1)));
         start(List.of(new Order.Mask("s1", true), new Order.SetLine(1, "s9", 1), new Order.Mask("s2", true)));
         await(() -> counters.value("calls.taken") == 2);
-        assertTrue(relay.asked().get(2).endsWith("changes=withdraw,s2"), relay.asked().get(2));
+        assertTrue(
+                relay.asked().get(2).endsWith("changes=withdraw,s2"),
+                relay.asked().get(2));
         assertEquals(1, counters.value("orders.refused"));
     }
 
@@ -120,7 +123,8 @@
         hears(new Event.SliceCharge(1, true));
         call.send(reply(taken(1)));
         await(() -> relay.asked().size() == 2);
-        assertTrue(relay.asked().get(1).endsWith("share,1,s2,1.0"), relay.asked().get(1));
+        assertTrue(
+                relay.asked().get(1).endsWith("share,1,s2,1.0"), relay.asked().get(1));
     }
 
     @Test
@@ -191,7 +195,8 @@
                 each.connect(full.getLocalSocketAddress());
                 waiting.add(each);
             }
-            Files.writeString(folder.resolve("config.json"), configuration((InetSocketAddress) full.getLocalSocketAddress()));
+            Files.writeString(
+                    folder.resolve("config.json"), configuration((InetSocketAddress) full.getLocalSocketAddress()));
             service.reload();
             await(() -> counters.value("reloads") == 2);
             configure(relay);
@@ -223,7 +228,8 @@
     void settingsThatChangedWithTheAddressesAreSaidToWaitForARestart() throws Exception {
         start(List.of());
         Server moved = new Server();
-        Files.writeString(folder.resolve("config.json"),
+        Files.writeString(
+                folder.resolve("config.json"),
                 configuration(moved.listener.address()).replace("\"Ranges\":4", "\"Ranges\":5"));
         service.reload();
         await(() -> moved.streams() == 1);
@@ -249,14 +255,15 @@
         hears(told(Event.ListKind.WHOLE, "s1", Event.Listed.READY));
         hears(told(Event.ListKind.WHOLE, "s2", Event.Listed.READY));
         await(() -> discovery.asked().size() == 3);
-        assertTrue(discovery.asked().get(2).contains("from=3&"), discovery.asked().get(2));
+        assertTrue(
+                discovery.asked().get(2).contains("from=3&"), discovery.asked().get(2));
     }
 
     @Test
     void changesAgainstALowerGenerationAreNoBasisAndTheWholeListIsAskedFor() throws Exception {
         discovery.answers.clear();
-        discovery.answers.addAll(List.of(list(9, true, "s1", "SERVING"), list(3, false, "s2", "SERVING"),
-                list(3, true, "s3", "SERVING"), ""));
+        discovery.answers.addAll(List.of(
+                list(9, true, "s1", "SERVING"), list(3, false, "s2", "SERVING"), list(3, true, "s3", "SERVING"), ""));
         start(List.of(new Order.Follow(true)));
         hears(told(Event.ListKind.WHOLE, "s1", Event.Listed.READY));
         hears(told(Event.ListKind.WHOLE, "s3", Event.Listed.READY));
@@ -266,7 +273,8 @@
     @Test
     void aWholeListThatAnOlderFetchBringsLateIsAskedForAnew() throws Exception {
         discovery.answers.clear();
-        discovery.answers.addAll(List.of("hold", list(9, true, "s1", "SERVING"), "hold", list(9, true, "s4", "SERVING"), ""));
+        discovery.answers.addAll(
+                List.of("hold", list(9, true, "s1", "SERVING"), "hold", list(9, true, "s4", "SERVING"), ""));
         start(List.of(new Order.FetchList()));
         Link fetch = discovery.taken();
         order(new Order.Follow(true));
@@ -279,8 +287,11 @@
     @Test
     void aBackendDeletedAndListedAgainUnderItsIdIsToldAsBoth() throws Exception {
         discovery.answers.clear();
-        discovery.answers.addAll(List.of(list(9, true, "s1", "SERVING"), list(10, false, "s1", "DELETED"),
-                list(11, false, "s1", "SERVING"), ""));
+        discovery.answers.addAll(List.of(
+                list(9, true, "s1", "SERVING"),
+                list(10, false, "s1", "DELETED"),
+                list(11, false, "s1", "SERVING"),
+                ""));
         start(List.of(new Order.Follow(true)));
         hears(told(Event.ListKind.PATCH, "s1", Event.Listed.GONE));
         hears(told(Event.ListKind.PATCH, "s1", Event.Listed.READY));
@@ -294,7 +305,8 @@
         discovery.answers.addAll(List.of(list(9, true, "s1", "SERVING"), "x", list(10, false, "s1", "DRAINING"), ""));
         start(List.of(new Order.Follow(true)));
         hears(told(Event.ListKind.PATCH, "s1", Event.Listed.DRAINING));
-        assertTrue(discovery.asked().get(1).contains("from=9&"), discovery.asked().get(1));
+        assertTrue(
+                discovery.asked().get(1).contains("from=9&"), discovery.asked().get(1));
         assertEquals(0, counters.value("discovery.failed"));
     }
 
@@ -353,7 +365,9 @@
     void aSignOfLifeIsAnsweredOnlyOnceTheDecisionsHaveSeenWhatIsKnown() throws Exception {
         start(List.of(new Order.Log("first decision")));
         assertTrue(connect(message("hb")).getInputStream().read() >= 0);
-        List<String> lines = logged().stream().map(line -> line.substring(line.indexOf(' ') + 1)).toList();
+        List<String> lines = logged().stream()
+                .map(line -> line.substring(line.indexOf(' ') + 1))
+                .toList();
         assertEquals(0, lines.indexOf("decision first decision"), lines.toString());
         assertTrue(lines.get(1).startsWith("ready "), lines.toString());
     }
@@ -377,7 +391,9 @@
                 break;
             }
         }
-        collector.getOutputStream().write(message("range_stats", "range", "2", "lane", "x", "count", "1", "fail", "0", "over", "1000"));
+        collector
+                .getOutputStream()
+                .write(message("range_stats", "range", "2", "lane", "x", "count", "1", "fail", "0", "over", "1000"));
         await(() -> counters.value("inbox.overflows") > 0);
         flooded.countDown();
         hears(new Event.SliceDemand(2, 0, 1, 0, 1_000_000_000));
--- a/src/test/java/puffinbarrow/platform/ServiceFixture.java
+++ b/src/test/java/puffinbarrow/platform/ServiceFixture.java
@@ -35,8 +35,9 @@
 
 /** A coordinator in service among a tiny relay, a tiny discovery and whoever connects. */
 abstract class ServiceFixture {
-    static final String ENTRY = "{\"instanceId\":\"s1\",\"hostPort\":\"127.0.0.1:9\",\"zone\":\"a\",\"machineType\":\"m\","
-            + "\"cell\":3,\"lifecycle\":\"SERVING\",\"weight\":1.5,\"startedAtMs\":0}";
+    static final String ENTRY =
+            "{\"instanceId\":\"s1\",\"hostPort\":\"127.0.0.1:9\",\"zone\":\"a\",\"machineType\":\"m\","
+                    + "\"cell\":3,\"lifecycle\":\"SERVING\",\"weight\":1.5,\"startedAtMs\":0}";
 
     /**
      * Answers every request by the next of its answers, the last one for ever; "" says nothing, "x" breaks off, "hold"
@@ -50,8 +51,9 @@
         volatile String snapshot = "";
         /** Whether who asks for news hears nothing, not even a head. */
         volatile boolean mute;
-        final Net.Listener listener = net.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 1 << 20,
-                channel -> new Link.Receiver() {
+
+        final Net.Listener listener = net.listen(
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 1 << 20, channel -> new Link.Receiver() {
                     private Link link;
                     private final HttpParser parser = new HttpParser(true, 1 << 20, this::request);
 
@@ -68,7 +70,8 @@
                             return;
                         }
                         synchronized (asked) {
-                            asked.add(message.second() + URLDecoder.decode(new String(message.body()), StandardCharsets.UTF_8));
+                            asked.add(message.second()
+                                    + URLDecoder.decode(new String(message.body()), StandardCharsets.UTF_8));
                         }
                         String answer = answers.size() > 1 ? answers.poll() : answers.peek();
                         if ("x".equals(answer)) {
@@ -129,11 +132,13 @@
     }
 
     static String taken(int count) {
-        return "<?xml version=\"1.0\"?>\n<Response><items><item><ok_count>" + count + "</ok_count></item></items></Response>";
+        return "<?xml version=\"1.0\"?>\n<Response><items><item><ok_count>" + count
+                + "</ok_count></item></items></Response>";
     }
 
     @TempDir
     Path folder;
+
     Net net;
     Server relay;
     Server discovery;
@@ -168,7 +173,8 @@
 
     String configuration(InetSocketAddress relayNow) {
         return "{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\""
-                + Net.text(discovery.listener.address()) + "\",\"seed\":\"ff\",\"limits\":{\"sockets\":256},\"registry\":{\"address\":\""
+                + Net.text(discovery.listener.address())
+                + "\",\"seed\":\"ff\",\"limits\":{\"sockets\":256},\"registry\":{\"address\":\""
                 + Net.text(relayNow) + "\"},\"known\":{\"generation\":5,\"reset\":true,\"instances\":[" + ENTRY
                 + "]},\"settings\":{\"Zones\":[\"a\",\"b\"],\"Models\":[\"m\"],\"Discovery\":\"ask\",\"RequestClasses\":[{\"Name\":\"x\","
                 + "\"AimNs\":1,\"Importance\":1}],\"Domain\":{\"Ranges\":4,\"ProxyCount\":9,\"Backlog\":100,\"EgressPerS\":100}}}";
@@ -177,14 +183,17 @@
     void start(List<Order> first) throws IOException {
         configure(relay);
         toOrder.add(first);
-        service = new Service(folder.resolve("config.json"), (settings, seed) -> (now, events) -> {
-            if (failing) {
-                throw new IllegalStateException("played");
-            }
-            heard.addAll(events);
-            List<Order> next = toOrder.poll();
-            return next == null ? List.of() : next;
-        }, counters);
+        service = new Service(
+                folder.resolve("config.json"),
+                (settings, seed) -> (now, events) -> {
+                    if (failing) {
+                        throw new IllegalStateException("played");
+                    }
+                    heard.addAll(events);
+                    List<Order> next = toOrder.poll();
+                    return next == null ? List.of() : next;
+                },
+                counters);
         Thread thread = new Thread(service::run);
         thread.setDaemon(true);
         thread.start();
@@ -199,7 +208,11 @@
         StringBuilder all = new StringBuilder();
         for (String event : events) {
             int at = event.indexOf(' ');
-            all.append("event: ").append(event, 0, at).append("\ndata: ").append(event.substring(at + 1)).append("\n\n");
+            all.append("event: ")
+                    .append(event, 0, at)
+                    .append("\ndata: ")
+                    .append(event.substring(at + 1))
+                    .append("\n\n");
         }
         stream.send(ascii(chunk(all.toString())));
     }
@@ -237,7 +250,8 @@
     /** All that is written until the end, which a reset brings too. */
     static String untilClosed(Socket socket) {
         StringBuilder all = new StringBuilder();
-        try (socket; InputStream in = socket.getInputStream()) {
+        try (socket;
+                InputStream in = socket.getInputStream()) {
             for (int b = in.read(); b >= 0; b = in.read()) {
                 all.append((char) b);
             }
--- a/src/test/java/puffinbarrow/platform/ServiceTest.java
+++ b/src/test/java/puffinbarrow/platform/ServiceTest.java
@@ -19,14 +19,29 @@
     @Test
     void ordersOfABatchAreOneCallMadeAgainUntilItIsTaken() throws Exception {
         relay.answers.clear();
-        relay.answers.addAll(List.of("x", "<Response><Errors><Code>BUSY</Code></Errors></Response>", taken(77), "", taken(1),
-                taken(2), taken(1)));
-        start(List.of(new Order.SetLine(3, "s1", 1), new Order.SetLine(2, "s9", 0.03), new Order.Mask("s1", true),
+        relay.answers.addAll(List.of(
+                "x",
+                "<Response><Errors><Code>BUSY</Code></Errors></Response>",
+                taken(77),
+                "",
+                taken(1),
+                taken(2),
+                taken(1)));
+        start(List.of(
+                new Order.SetLine(3, "s1", 1),
+                new Order.SetLine(2, "s9", 0.03),
+                new Order.Mask("s1", true),
                 new Order.SetLevel(Order.ALL_TABLES, 1, 0.9, Order.Retry.ON_PROOF)));
         String whole = "/api/Action=CommitChanges&changes=share,3,s1,1.0;share,2,s9,0.03;withdraw,s1;admit,*,x,0.9,1";
         // Broken, busy, a count that can't be and silence: again. Then one taken: the second is left out.
-        await(() -> relay.asked().equals(List.of(whole, whole, whole, whole, whole,
-                "/api/Action=CommitChanges&changes=withdraw,s1;admit,*,x,0.9,1")));
+        await(() -> relay.asked()
+                .equals(List.of(
+                        whole,
+                        whole,
+                        whole,
+                        whole,
+                        whole,
+                        "/api/Action=CommitChanges&changes=withdraw,s1;admit,*,x,0.9,1")));
         await(() -> counters.value("orders.refused") == 1);
     }
 
@@ -55,7 +70,9 @@
         await(() -> counters.value("calls.taken") == 1);
         relay.news.get(0).close();
         await(() -> relay.asked().size() > 1);
-        assertTrue(relay.asked().get(1).endsWith("changes=mark,41,1"), relay.asked().get(1));
+        assertTrue(
+                relay.asked().get(1).endsWith("changes=mark,41,1"),
+                relay.asked().get(1));
     }
 
     @Test
@@ -73,7 +90,9 @@
         service.reload();
         hears(new Event.SliceCharge(2, true));
         moved.news.get(0).send(ascii(chunk("event: done\ndata: id=8&seq=5&ms=1.5\n\n")));
-        assertEquals(new Event.InForce(8, 5, 1_500_000), heard.poll(20, TimeUnit.SECONDS),
+        assertEquals(
+                new Event.InForce(8, 5, 1_500_000),
+                heard.poll(20, TimeUnit.SECONDS),
                 "a proxy that stayed is not told as left");
         // Breaks off: the news is asked for again, and a proxy gone meanwhile is told.
         moved.snapshot = "event: owner\ndata: range=1&flag=1\n\nevent: entry\ndata: range=1&target=s1&rps=1\n\n";
@@ -86,17 +105,21 @@
     @Test
     void aWatchThatFailsIsToldAndAskedForAnewWhenDecided() throws Exception {
         discovery.answers.clear();
-        discovery.answers.addAll(List.of("{\"generation\":9,\"reset\":true,\"instances\":[" + ENTRY + "]}", "hold", "x",
-                ""));
+        discovery.answers.addAll(
+                List.of("{\"generation\":9,\"reset\":true,\"instances\":[" + ENTRY + "]}", "hold", "x", ""));
         start(List.of(new Order.Follow(true)));
-        hears(new Event.ServerList(Event.ListKind.WHOLE,
-                List.of(new Event.Entry("s1", 0, 0, 3, Event.Listed.READY, 1.5, 0))));
+        hears(new Event.ServerList(
+                Event.ListKind.WHOLE, List.of(new Event.Entry("s1", 0, 0, 3, Event.Listed.READY, 1.5, 0))));
         toOrder.add(List.of(new Order.Follow(true)));
         discovery.taken().send(reply("{\"generation\":"));
         hears(new Event.ServerList(Event.ListKind.BROKEN, List.of()));
         await(() -> discovery.asked().size() >= 3);
-        assertTrue(discovery.asked().get(0).endsWith("from=5&hold_ms=0"), discovery.asked().get(0));
-        assertTrue(discovery.asked().get(2).contains("from=9&hold_ms=0"), discovery.asked().get(2));
+        assertTrue(
+                discovery.asked().get(0).endsWith("from=5&hold_ms=0"),
+                discovery.asked().get(0));
+        assertTrue(
+                discovery.asked().get(2).contains("from=9&hold_ms=0"),
+                discovery.asked().get(2));
     }
 
     @Test
@@ -106,7 +129,8 @@
         service.reload();
         await(() -> counters.value("reloads.refused") == 1);
         toOrder.add(List.of(new Order.Mask("s1", true)));
-        connect(message("telemetry", "site", "a")).getOutputStream()
+        connect(message("telemetry", "site", "a"))
+                .getOutputStream()
                 .write(message("range_stats", "range", "1", "lane", "x", "count", "1", "fail", "0", "over", "1000"));
         await(() -> relay.asked().size() == 1);
     }
@@ -127,9 +151,16 @@
     void strangersAreTurnedAwayAndSignsOfLifeAnswered() throws Exception {
         start(List.of());
         List<Socket> strangers = new ArrayList<>();
-        for (byte[] says : List.of("GET / HTTP/1.1\r\n\r\n".getBytes(), new byte[0], new byte[] {0, 1, 2}, "*2\r\n$3\r\nab".getBytes(),
-                "*1\r\n$999999999\r\n".getBytes(), message("telemetry", "site", "nowhere"), message("telemetry"),
-                message("attach", "id", "1", "site", "a", "rps", "1", "new", "1"), message("share", "4", "s1", "1"),
+        for (byte[] says : List.of(
+                "GET / HTTP/1.1\r\n\r\n".getBytes(),
+                new byte[0],
+                new byte[] {0, 1, 2},
+                "*2\r\n$3\r\nab".getBytes(),
+                "*1\r\n$999999999\r\n".getBytes(),
+                message("telemetry", "site", "nowhere"),
+                message("telemetry"),
+                message("attach", "id", "1", "site", "a", "rps", "1", "new", "1"),
+                message("share", "4", "s1", "1"),
                 message("range_stats", "range", "1", "lane", "x", "count", "1", "fail", "0", "over", "1000"))) {
             strangers.add(connect(says));
         }
@@ -150,7 +181,9 @@
             silent.add(connect(new byte[0]));
         }
         Socket collector = connect(message("telemetry", "site", "b"));
-        collector.getOutputStream().write(message("range_stats", "range", "1", "lane", "x", "count", "4", "fail", "9", "over", "1000"));
+        collector
+                .getOutputStream()
+                .write(message("range_stats", "range", "1", "lane", "x", "count", "4", "fail", "9", "over", "1000"));
         hears(new Event.SliceDemand(1, 0, 4, 9, 1_000_000_000));
         for (Socket each : silent) {
             assertFalse(untilClosed(each).equals("open"));
@@ -163,15 +196,59 @@
         start(List.of());
         Socket collector = connect(message("telemetry", "site", "a"));
         OutputStream out = collector.getOutputStream();
-        out.write(message("upstream_stats", "site", "b", "target", "s1", "count", "4", "fail", "1", "mean", "41.5", "over",
-                "1000.0", "util", "cpu_share:0.61,busy_reqs:7"));
-        hears(new Event.ServerSums("s1", 1, 1_000_000_000, 41_500_000, 1, 4,
+        out.write(message(
+                "upstream_stats",
+                "site",
+                "b",
+                "target",
+                "s1",
+                "count",
+                "4",
+                "fail",
+                "1",
+                "mean",
+                "41.5",
+                "over",
+                "1000.0",
+                "util",
+                "cpu_share:0.61,busy_reqs:7"));
+        hears(new Event.ServerSums(
+                "s1",
+                1,
+                1_000_000_000,
+                41_500_000,
+                1,
+                4,
                 java.util.Map.of(Event.Measure.BUSY, 0.61, Event.Measure.HELD, 7.0)));
-        String[][] spoilt = {{"count", "-4"}, {"count", "many"}, {"fail", "5"}, {"mean", "NaN"}, {"over", "0"}, {"site", "z"},
-            {"target", ""}, {"util", "cpu_share:x"}, {"util", "nonsense"}};
+        String[][] spoilt = {
+            {"count", "-4"},
+            {"count", "many"},
+            {"fail", "5"},
+            {"mean", "NaN"},
+            {"over", "0"},
+            {"site", "z"},
+            {"target", ""},
+            {"util", "cpu_share:x"},
+            {"util", "nonsense"}
+        };
         for (String[] change : spoilt) {
-            String[] report = {"upstream_stats", "site", "b", "target", "s1", "count", "4", "fail", "1", "mean", "41.5", "over", "1000",
-                "util", "cpu_share:0.61"};
+            String[] report = {
+                "upstream_stats",
+                "site",
+                "b",
+                "target",
+                "s1",
+                "count",
+                "4",
+                "fail",
+                "1",
+                "mean",
+                "41.5",
+                "over",
+                "1000",
+                "util",
+                "cpu_share:0.61"
+            };
             report[List.of(report).indexOf(change[0]) + 1] = change[1];
             out.write(message(report));
         }
--- a/src/test/java/puffinbarrow/proto/FrameTest.java
+++ b/src/test/java/puffinbarrow/proto/FrameTest.java
@@ -17,25 +17,55 @@
 
 class FrameTest {
     static final List<Frame> ALL = List.of(
-            new Frame.Hello(1, 0, Frame.Role.PROXY, 41, 2, 99, true, 6.5), new Frame.Welcome(0, 1, 7),
-            new Frame.Refusal(Frame.Refused.NUMBER_TAKEN, "číslo 41"), new Frame.Bye(), new Frame.Ping(5),
+            new Frame.Hello(1, 0, Frame.Role.PROXY, 41, 2, 99, true, 6.5),
+            new Frame.Welcome(0, 1, 7),
+            new Frame.Refusal(Frame.Refused.NUMBER_TAKEN, "číslo 41"),
+            new Frame.Bye(),
+            new Frame.Ping(5),
             new Frame.Pong(6),
-            new Frame.Orders(12, 34, 1, List.of(new Order.SetLine(3, "10.0.0.1:80", 0.75),
-                    new Order.ClearTable(4), new Order.Bind(1, 2, 3), new Order.Mask("b:1", true),
-                    new Order.Mark(65535, true),
-                    new Order.SetLevel(Order.ALL_TABLES, 2, 0.4, Order.Retry.ON_PROOF))),
+            new Frame.Orders(
+                    12,
+                    34,
+                    1,
+                    List.of(
+                            new Order.SetLine(3, "10.0.0.1:80", 0.75),
+                            new Order.ClearTable(4),
+                            new Order.Bind(1, 2, 3),
+                            new Order.Mask("b:1", true),
+                            new Order.Mark(65535, true),
+                            new Order.SetLevel(Order.ALL_TABLES, 2, 0.4, Order.Retry.ON_PROOF))),
             new Frame.Applied(12, 1_000_000),
-            new Frame.Sums(1, 8, 1_000_000_000L, List.of(new Frame.Met("a:1", 14, 1, 99,
-                    Map.of(Event.Measure.BUSY, 0.62, Event.Measure.DELIVERED_PER_S, 140.0)),
-                    new Frame.Met("a:2", 1, 1, 0, Map.of()))),
+            new Frame.Sums(
+                    1,
+                    8,
+                    1_000_000_000L,
+                    List.of(
+                            new Frame.Met(
+                                    "a:1",
+                                    14,
+                                    1,
+                                    99,
+                                    Map.of(Event.Measure.BUSY, 0.62, Event.Measure.DELIVERED_PER_S, 140.0)),
+                            new Frame.Met("a:2", 1, 1, 0, Map.of()))),
             new Frame.Demand(8, 1_000_000_000L, List.of(new Frame.Came(3, 1, 9, 2), new Frame.Came(-1, 0, 1, 0))),
-            new Frame.ServerList(Event.ListKind.PATCH, 41, List.of(
-                    new Event.Entry("a:1", 1, 0, 3, Event.Listed.DRAINING, 1.5, 6_100_000_000L))),
-            new Frame.Follow(true), new Frame.Fetch(), new Frame.Charge(9, true),
-            new Frame.Stored(9, List.of(new Frame.Line("a:1", 1))), new Frame.ReadSlice(-1), new Frame.Owner(9, 2),
-            new Frame.Orders(1, 2, 0, List.of(new Order.ClearTable(4)), List.of(new Frame.Term(4, 77))), new Frame.Owner(9, 2, 5),
-            new Frame.Stale(3, 8), new Frame.Watch(), new Frame.Synced(), new Frame.Written(6, true),
-            new Frame.MemberRecord(5, 4, 1, -9, 77, true, false, true, 2), new Frame.VoiceRecord(5, 4, 9, -1, 3, 12),
+            new Frame.ServerList(
+                    Event.ListKind.PATCH,
+                    41,
+                    List.of(new Event.Entry("a:1", 1, 0, 3, Event.Listed.DRAINING, 1.5, 6_100_000_000L))),
+            new Frame.Follow(true),
+            new Frame.Fetch(),
+            new Frame.Charge(9, true),
+            new Frame.Stored(9, List.of(new Frame.Line("a:1", 1))),
+            new Frame.ReadSlice(-1),
+            new Frame.Owner(9, 2),
+            new Frame.Orders(1, 2, 0, List.of(new Order.ClearTable(4)), List.of(new Frame.Term(4, 77))),
+            new Frame.Owner(9, 2, 5),
+            new Frame.Stale(3, 8),
+            new Frame.Watch(),
+            new Frame.Synced(),
+            new Frame.Written(6, true),
+            new Frame.MemberRecord(5, 4, 1, -9, 77, true, false, true, 2),
+            new Frame.VoiceRecord(5, 4, 9, -1, 3, 12),
             new Frame.Peer(1, "hi 7"));
 
     private static ByteBuffer all() {
@@ -45,7 +75,8 @@
     }
 
     private static Cause refused(ByteBuffer bytes, int limit) {
-        return assertThrows(FrameException.class, () -> new FrameReader(limit, f -> { }).feed(bytes)).why();
+        return assertThrows(FrameException.class, () -> new FrameReader(limit, f -> {}).feed(bytes))
+                .why();
     }
 
     @Test
@@ -65,7 +96,7 @@
     void byteByByteIsTheSame() {
         List<Frame> read = new ArrayList<>();
         FrameReader reader = new FrameReader(FrameReader.USUAL_LIMIT, read::add);
-        for (ByteBuffer bytes = all(); bytes.hasRemaining();) {
+        for (ByteBuffer bytes = all(); bytes.hasRemaining(); ) {
             reader.feed(ByteBuffer.wrap(new byte[] {bytes.get()}));
         }
         assertEquals(ALL, read);
@@ -139,11 +170,15 @@
         for (int cut = 1; cut < 20; cut++) {
             assertEquals(Cause.MALFORMED, refused(odd(ALL.get(8), Types.SUMS, 0, cut), 1 << 12), "cut " + cut);
         }
-        ByteBuffer many = odd(new Frame.Orders(1, 1, 0, List.of()), Types.ORDERS, 0, 4,
-                (byte) 0x7f, (byte) 0xff, (byte) 0xff, (byte) 0xff);
+        ByteBuffer many = odd(
+                new Frame.Orders(1, 1, 0, List.of()), Types.ORDERS, 0, 4, (byte) 0x7f, (byte) 0xff, (byte) 0xff, (byte)
+                        0xff);
         assertEquals(Cause.MALFORMED, refused(many, 1 << 12));
-        assertEquals(Cause.MALFORMED, refused(FrameWriter.one(new Frame.Orders(1, 1, 0,
-                List.of(new Order.SetLine(1, "a:1", Double.NaN)))), 1 << 12));
+        assertEquals(
+                Cause.MALFORMED,
+                refused(
+                        FrameWriter.one(new Frame.Orders(1, 1, 0, List.of(new Order.SetLine(1, "a:1", Double.NaN)))),
+                        1 << 12));
         assertEquals(Cause.MALFORMED, refused(FrameWriter.one(new Frame.Peer(1, "x".repeat(257))), 1 << 12));
     }
 
@@ -153,7 +188,8 @@
         FrameReader reader = new FrameReader(1 << 12, read::add);
         reader.feed(FrameWriter.one(new Frame.Stored(1, List.of(new Frame.Line("10.0.0.1:80", 1)))));
         reader.feed(FrameWriter.one(new Frame.Stored(2, List.of(new Frame.Line("10.0.0.1:80", 1)))));
-        assertSame(((Frame.Stored) read.get(0)).lines().get(0).server(),
+        assertSame(
+                ((Frame.Stored) read.get(0)).lines().get(0).server(),
                 ((Frame.Stored) read.get(1)).lines().get(0).server());
     }
 }
