--- a/src/test/java/puffinbarrow/replay/ReplayTest.java
+++ b/src/test/java/puffinbarrow/replay/ReplayTest.java
@@ -42,11 +42,20 @@
         }
         StringBuilder first = new StringBuilder(born).append(pool).append("]],[\"Registry\",0,1,\"stale_copy\",0]");
         for (int i = 0; i < SLICES; i++) {
-            first.append(",[\"Leased\",0,").append(i).append(",true],[\"StandingLine\",0,\"")
-                    .append(server(i % SERVERS)).append("\",").append(i).append(",1.0]");
+            first.append(",[\"Leased\",0,")
+                    .append(i)
+                    .append(",true],[\"StandingLine\",0,\"")
+                    .append(server(i % SERVERS))
+                    .append("\",")
+                    .append(i)
+                    .append(",1.0]");
         }
         for (int i = 0; i < PROXIES; i++) {
-            first.append(",[\"Connected\",0,true,6.5,").append(i).append(",").append(i % 2).append("]");
+            first.append(",[\"Connected\",0,true,6.5,")
+                    .append(i)
+                    .append(",")
+                    .append(i % 2)
+                    .append("]");
         }
         batches.add(batch(0, first.toString()));
         for (int tick = 1; tick < 80; tick++) {
@@ -54,26 +63,39 @@
             if (tick % 4 == 0) {
                 for (int i = 0; i < SERVERS; i++) {
                     boolean fails = i == 2 && tick > 12 && tick < 40;
-                    events.append(String.format(Locale.ROOT, ",[\"Observed\",0,%d,1000000000,%d,\"%s\",%d,%d,"
-                            + "{\"cpu_share\":0.%d,\"served_ps\":14.5}]", i % 2, 200_000_000 + tick * 1234L,
-                            server(i), fails ? 15 : 0, 20 + tick % 3, 41 + i));
+                    events.append(String.format(
+                            Locale.ROOT,
+                            ",[\"Observed\",0,%d,1000000000,%d,\"%s\",%d,%d,"
+                                    + "{\"cpu_share\":0.%d,\"served_ps\":14.5}]",
+                            i % 2,
+                            200_000_000 + tick * 1234L,
+                            server(i),
+                            fails ? 15 : 0,
+                            20 + tick % 3,
+                            41 + i));
                 }
                 for (int i = 0; i < SLICES; i++) {
-                    events.append(",[\"RangeLoad\",0,").append(i).append(",").append(i % 2).append(",")
-                            .append(3 + (i * 7 + tick) % 9).append(",0,1000000000]");
+                    events.append(",[\"RangeLoad\",0,")
+                            .append(i)
+                            .append(",")
+                            .append(i % 2)
+                            .append(",")
+                            .append(3 + (i * 7 + tick) % 9)
+                            .append(",0,1000000000]");
                 }
             }
-            events.append(switch (tick) {
-                case 2 -> ",[\"Registry\",0,2,\"broken\",0]";
-                case 30 -> list("gone", 4, 0);
-                case 33 -> ",[\"Health\",0,250000000,\"" + server(4) + "\",3,null]";
-                case 35 -> ",[\"Health\",0,250000000,\"" + server(4) + "\",4,null]";
-                case 45 -> list("ready", 4, 7_000_000_000L);
-                case 50 -> list("draining", 1, 0);
-                case 55 -> ",[\"Left\",0,3]";
-                case 60 -> ",[\"Connected\",0,false,6.5,3,1]";
-                default -> "";
-            });
+            events.append(
+                    switch (tick) {
+                        case 2 -> ",[\"Registry\",0,2,\"broken\",0]";
+                        case 30 -> list("gone", 4, 0);
+                        case 33 -> ",[\"Health\",0,250000000,\"" + server(4) + "\",3,null]";
+                        case 35 -> ",[\"Health\",0,250000000,\"" + server(4) + "\",4,null]";
+                        case 45 -> list("ready", 4, 7_000_000_000L);
+                        case 50 -> list("draining", 1, 0);
+                        case 55 -> ",[\"Left\",0,3]";
+                        case 60 -> ",[\"Connected\",0,false,6.5,3,1]";
+                        default -> "";
+                    });
             batches.add(batch(tick, events.toString()));
         }
         return batches;
@@ -95,8 +117,15 @@
         for (String batch : batches()) {
             ByteArrayOutputStream out = new ByteArrayOutputStream();
             host.run(new ByteArrayInputStream(batch.getBytes(StandardCharsets.UTF_8)), out);
-            text.append(">> process 0, ").append(batch.length()).append(" bytes\n").append(batch).append('\n')
-                    .append("<< process 0, ").append(out.size()).append(" bytes\n").append(out);
+            text.append(">> process 0, ")
+                    .append(batch.length())
+                    .append(" bytes\n")
+                    .append(batch)
+                    .append('\n')
+                    .append("<< process 0, ")
+                    .append(out.size())
+                    .append(" bytes\n")
+                    .append(out);
         }
         return Files.writeString(folder.resolve("day.tap"), text);
     }
@@ -115,7 +144,8 @@
         Controller.Factory lame = (settings, seed) -> {
             Logic logic = new Logic(settings, seed);
             return (now, events) -> logic.handle(now, events).stream()
-                    .filter(o -> !(o instanceof Order.Mask m && m.server().equals(server(1)))).toList();
+                    .filter(o -> !(o instanceof Order.Mask m && m.server().equals(server(1))))
+                    .toList();
         };
         Replay.Result result = Replay.play(tap, lame);
         assertTrue(result.difference().contains("recorded Mask 0 " + server(1)), result.difference());
@@ -124,8 +154,8 @@
     @Test
     void aFileThatIsNoRecordIsRefusedWithItsLine(@TempDir Path folder) throws IOException {
         Path file = Files.writeString(folder.resolve("no.tap"), "hello\n");
-        IOException refused = org.junit.jupiter.api.Assertions.assertThrows(IOException.class,
-                () -> Replay.play(file, Logic::new));
+        IOException refused =
+                org.junit.jupiter.api.Assertions.assertThrows(IOException.class, () -> Replay.play(file, Logic::new));
         assertTrue(refused.getMessage().startsWith("line 1: found 'hello'"));
     }
 }
--- a/src/test/java/puffinbarrow/resp/RespTest.java
+++ b/src/test/java/puffinbarrow/resp/RespTest.java
@@ -24,16 +24,28 @@
             RespReader reader = new RespReader(1000, read::add);
             reader.feed(both.duplicate().position(0).limit(cut));
             reader.feed(both.duplicate().position(cut).limit(both.capacity()));
-            assertEquals(List.of(List.of("telemetry", "site", "hall-ä"), List.of("x", "", "\r\n")), read, "cut at " + cut);
+            assertEquals(
+                    List.of(List.of("telemetry", "site", "hall-ä"), List.of("x", "", "\r\n")), read, "cut at " + cut);
         }
     }
 
     @Test
     void whatIsNoArrayOfStringsOrOverItsBoundsIsRefused() {
-        for (String wrong : List.of("GET / HTTP/1.1\r\n", "+PING\r\n", "*1\r\n:5\r\n", "*-1\r\n", "*\r\n", "*1\r\n$-1\r\n",
-                "*99999999\r\n", "*1\r\n$2000000000\r\n", "*1\r\n$101\r\n", "*1\r\n$2\r\nabc\r\n", "*1111111111111111111111",
-                "*3\r\n$40\r\n" + "x".repeat(40) + "\r\n$40\r\n" + "x".repeat(40) + "\r\n$9\r\n", "\0\0\0")) {
-            assertThrows(RespException.class, () -> new RespReader(100, m -> { }).feed(bytes(wrong)), wrong);
+        for (String wrong : List.of(
+                "GET / HTTP/1.1\r\n",
+                "+PING\r\n",
+                "*1\r\n:5\r\n",
+                "*-1\r\n",
+                "*\r\n",
+                "*1\r\n$-1\r\n",
+                "*99999999\r\n",
+                "*1\r\n$2000000000\r\n",
+                "*1\r\n$101\r\n",
+                "*1\r\n$2\r\nabc\r\n",
+                "*1111111111111111111111",
+                "*3\r\n$40\r\n" + "x".repeat(40) + "\r\n$40\r\n" + "x".repeat(40) + "\r\n$9\r\n",
+                "\0\0\0")) {
+            assertThrows(RespException.class, () -> new RespReader(100, m -> {}).feed(bytes(wrong)), wrong);
         }
     }
 
