--- a/src/main/java/puffinbarrow/Logic.java
+++ b/src/main/java/puffinbarrow/Logic.java
@@ -1,7 +1,17 @@
 package puffinbarrow;
 
 import java.nio.ByteBuffer;
-import java.util.*;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.Comparator;
+import java.util.EnumSet;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.TreeSet;
 import java.util.function.ToDoubleFunction;
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
@@ -16,281 +26,409 @@
 import puffinbarrow.control.Settings;
 
 /**
- * All decisions of one coordinator. A host makes one Logic for each coordinator start, from its settings and
- * seed, and calls handle(now, events) with all that came in at one time; it carries out the orders returned,
- * in their order. The interface is the package puffinbarrow.control. Each call reads the events, then, when a
- * tick is due or something urgent came, mends the tables (mend), balances (balance) and sends (push).
- * What each table should be stands in Slice.want, what was ordered in Slice.sent; push sends the difference.
+ * Decides for one coordinator which servers each slice's flows go to, which servers are masked and how much of each
+ * traffic group the proxies admit.
+ *
+ * <p>The host creates one instance per coordinator start and calls {@link #handle} from one thread at a time; an
+ * instance does no input or output, reads no clock and is deterministic for a given seed. Each call applies the events,
+ * then, if a tick is due or an event requires it, repairs the tables ({@link #repairAll}), balances load
+ * ({@link #balance}) and pushes the changes to the proxies ({@link #push}).
+ *
+ * <p>A slice's table is a set of weighted lines, one per server. A <em>primary</em> line carries the slice's flows; a
+ * <em>standby</em> line has a small weight and takes over when the primary's server is masked. {@link Slice#desired}
+ * holds the lines a slice should have and {@link Slice#sent} the lines ordered so far; a push sends the difference.
  */
 public final class Logic implements Controller {
     private static final long MS = 1_000_000L;
     private static final long SECOND = 1_000_000_000L;
 
-    // ---- A server's standing: the table of transitions, read by step().
+    /** Four decisions a second: short against the shortest grace period and the delivery time of a message. */
+    private static final long TICK_PERIOD_NS = 250 * MS;
 
-    /** ILL, OUT and RETURNING are masked; OUT and RETURNING also lose their lines. */
-    private enum State {
+    /** Rounds of sums to wait for after a start before slices are moved: until then load is not known. */
+    private static final int START_ROUNDS = 3;
+
+    /** The first hold outlasts a short disturbance and the sums still in transit. */
+    private static final long MIN_HOLD_NS = 6 * SECOND;
+    /** Holds double while trials fail, up to the time a disturbance of about half a minute needs. */
+    private static final long MAX_HOLD_NS = 24 * SECOND;
+
+    private static final long MIN_FOLLOW_BACKOFF_NS = SECOND / 2;
+    private static final long MAX_FOLLOW_BACKOFF_NS = 4 * SECOND;
+    /** The server list is requested again if no answer at all arrives within this time. */
+    private static final long FOLLOW_TIMEOUT_NS = 5 * SECOND;
+
+    /** A load report older than this many rounds of sums is discarded. */
+    private static final int REPORT_TTL_ROUNDS = 4;
+    /** How long a move counts as load not yet visible in reports, in seconds. */
+    private static final int PENDING_LOAD_SECONDS = 4;
+    /** Window over which a slice's demand is summed: averages out noise, yet follows changing demand. */
+    private static final int DEMAND_SECONDS = 6;
+    /** Buckets of one second in the sliding sums; at least the longest window read from them. */
+    private static final int SUM_BUCKETS = 8;
+
+    /** Level that admits everything where levels are rates, in flows per second. */
+    private static final double UNLIMITED_RATE = 1e6;
+    /** Each group of traffic is reduced to at least this share, so that none is cut off completely. */
+    private static final double MIN_ADMITTED_SHARE = 0.2;
+    /** The most that is shed from one group before the next one is reduced; 1 - MIN_ADMITTED_SHARE. */
+    private static final double MAX_SHED_PER_GROUP = 0.8;
+
+    // ---- Health of a server: the state machine run by transition().
+
+    /**
+     * Health of a server. ILL, OUT and RETURNING are masked; OUT and RETURNING also lose their lines. The names appear
+     * in the decision log.
+     */
+    private enum Health {
+        /** No sign of trouble. */
         WELL,
+        /** One bad round of sums, or remembered as flapping; gets new slices last. */
         SUSPECT,
+        /** Masked until its hold ends. */
         ILL,
+        /** Unmasked after a hold, on the standby lines it still has; the next sums decide. */
         TRIAL,
+        /** Draining, gone from the list or no longer answering probes. */
         OUT,
+        /** Restarted under the same id: masked until no line of an owned slice names it any more. */
         RETURNING
     }
 
-    private enum Input {
+    /** What changes a server's health. The names appear in the decision log. */
+    private enum HealthInput {
+        /** A round of sums with few drops and ordinary latency. */
         GOOD,
+        /** A round of sums with too many drops or slow answers. */
         BAD,
+        /** A round of sums in which most attempts were dropped. */
         AWFUL,
+        /** Its hold has ended. */
         HOLD_OVER,
+        /** Draining or gone. */
         LEAVES,
+        /** Listed with a new start time. */
         RESTARTS,
+        /** Listed again with the start time it had. */
         RELISTED,
+        /** No line of an owned slice names it any more. */
         EMPTIED,
+        /** Too few other servers are left, so it has to serve whatever its health. */
         NEEDED,
+        /** Remembered as flapping from before a restart of the coordinator. */
         RECALLED
     }
 
-    private enum Effect {
+    /** What a transition does to the server's hold time. */
+    private enum HoldChange {
         NONE,
-        HOLD,
+        /** Starts a hold of twice the previous length, within bounds. */
+        EXTEND,
+        /** Resets the length, so that the next hold is the shortest. */
         CLEAR
     }
 
-    private record Row(Set<State> states, Input input, State next, Effect effect) {}
-
-    private static final Set<State> ANY = EnumSet.allOf(State.class);
-    private static final List<Row> TABLE = List.of(
-            new Row(EnumSet.of(State.WELL), Input.BAD, State.SUSPECT, Effect.NONE),
-            new Row(EnumSet.of(State.WELL), Input.RECALLED, State.SUSPECT, Effect.NONE),
-            new Row(EnumSet.of(State.SUSPECT, State.TRIAL), Input.BAD, State.ILL, Effect.HOLD),
-            new Row(EnumSet.of(State.WELL, State.SUSPECT, State.TRIAL), Input.AWFUL, State.ILL, Effect.HOLD),
-            new Row(EnumSet.of(State.SUSPECT), Input.GOOD, State.WELL, Effect.NONE),
-            new Row(EnumSet.of(State.TRIAL), Input.GOOD, State.WELL, Effect.CLEAR),
-            new Row(EnumSet.of(State.ILL), Input.HOLD_OVER, State.TRIAL, Effect.NONE),
-            new Row(EnumSet.of(State.ILL), Input.NEEDED, State.TRIAL, Effect.NONE),
-            new Row(ANY, Input.LEAVES, State.OUT, Effect.NONE),
-            new Row(ANY, Input.RESTARTS, State.RETURNING, Effect.NONE),
-            new Row(EnumSet.of(State.OUT), Input.RELISTED, State.WELL, Effect.CLEAR),
-            new Row(EnumSet.of(State.RETURNING), Input.EMPTIED, State.WELL, Effect.CLEAR),
-            new Row(EnumSet.of(State.RETURNING), Input.NEEDED, State.WELL, Effect.CLEAR));
-
-    private void step(Server server, Input input) {
-        for (Row row : TABLE) {
-            if (row.states.contains(server.state) && row.input == input) {
-                if (server.state != row.next) {
-                    log(server.id + " " + server.state + " " + input + " -> " + row.next);
+    private record Transition(Set<Health> from, HealthInput input, Health next, HoldChange holdChange) {}
+
+    private static final Set<Health> ANY = EnumSet.allOf(Health.class);
+    private static final List<Transition> TRANSITIONS = List.of(
+            new Transition(EnumSet.of(Health.WELL), HealthInput.BAD, Health.SUSPECT, HoldChange.NONE),
+            new Transition(EnumSet.of(Health.WELL), HealthInput.RECALLED, Health.SUSPECT, HoldChange.NONE),
+            new Transition(EnumSet.of(Health.SUSPECT, Health.TRIAL), HealthInput.BAD, Health.ILL, HoldChange.EXTEND),
+            new Transition(
+                    EnumSet.of(Health.WELL, Health.SUSPECT, Health.TRIAL),
+                    HealthInput.AWFUL,
+                    Health.ILL,
+                    HoldChange.EXTEND),
+            new Transition(EnumSet.of(Health.SUSPECT), HealthInput.GOOD, Health.WELL, HoldChange.NONE),
+            new Transition(EnumSet.of(Health.TRIAL), HealthInput.GOOD, Health.WELL, HoldChange.CLEAR),
+            new Transition(EnumSet.of(Health.ILL), HealthInput.HOLD_OVER, Health.TRIAL, HoldChange.NONE),
+            new Transition(EnumSet.of(Health.ILL), HealthInput.NEEDED, Health.TRIAL, HoldChange.NONE),
+            new Transition(ANY, HealthInput.LEAVES, Health.OUT, HoldChange.NONE),
+            new Transition(ANY, HealthInput.RESTARTS, Health.RETURNING, HoldChange.NONE),
+            new Transition(EnumSet.of(Health.OUT), HealthInput.RELISTED, Health.WELL, HoldChange.CLEAR),
+            new Transition(EnumSet.of(Health.RETURNING), HealthInput.EMPTIED, Health.WELL, HoldChange.CLEAR),
+            new Transition(EnumSet.of(Health.RETURNING), HealthInput.NEEDED, Health.WELL, HoldChange.CLEAR));
+
+    /** Applies the first matching transition; an input that the server's state has no transition for is ignored. */
+    private void transition(Server server, HealthInput input) {
+        for (Transition transition : TRANSITIONS) {
+            if (transition.from.contains(server.health) && transition.input == input) {
+                if (server.health != transition.next) {
+                    log(server.id + " " + server.health + " " + input + " -> " + transition.next);
                 }
-                server.state = row.next;
-                // The first hold outlasts a short trouble and the sums still on the way; it doubles while
-                // trials fail, up to what a rough half minute of trouble needs.
-                if (row.effect == Effect.HOLD) {
-                    server.holdNs = Math.min(24 * SECOND, Math.max(6 * SECOND, server.holdNs * 2));
-                    server.holdUntil = now + server.holdNs;
+                server.health = transition.next;
+                if (transition.holdChange == HoldChange.EXTEND) {
+                    server.holdNs = Math.min(MAX_HOLD_NS, Math.max(MIN_HOLD_NS, server.holdNs * 2));
+                    server.holdUntilNs = nowNs + server.holdNs;
                 }
-                server.holdNs = row.effect == Effect.CLEAR ? 0 : server.holdNs;
-                server.forgetRound();
-                dirty = true;
+                server.holdNs = transition.holdChange == HoldChange.CLEAR ? 0 : server.holdNs;
+                server.resetTotals();
+                decisionDue = true;
                 return;
             }
         }
     }
 
-    // ---- What is known.
+    // ---- State.
 
     private static final class Server {
         final String id;
+        /** Listed capacity relative to the other servers; above 0. */
         double size = 1;
-        long started;
+        /** Listed start time; 0: not known, taken for long ago. */
+        long startedNs;
+        /** Listed as ready, or delisted but kept in use ({@link #unlisted}). */
         boolean ready;
-        /** 0: listed. Else the list has dropped it, though it may live: 1 and the probes it has missed. */
+        /** 0 while listed. Once delisted but kept in use, 1 plus the number of probes missed since. */
         int unlisted;
 
-        State state = State.OUT;
+        Health health = Health.OUT;
+        /** Length of the latest hold; 0 once a trial has succeeded. */
         long holdNs;
-        long holdUntil;
-        /** Since when its mask has bound us: told that it left, or a proxy joined that lacks the mask. */
-        long bindsSince;
-
-        double tries, dropped, tookNs;
-        boolean pressed;
-        double report = Double.NaN;
-        long reportAt;
-        /** Whether sums ever named it. */
-        boolean heard;
-        /** Load placed here (or taken off) that no report shows yet, relative to the fleet's mean. */
-        final Ring shift = new Ring(8, SECOND);
-        /** Own placed load, worked out anew before each decision. */
-        double count, demand, spareDemand, score;
+
+        long holdUntilNs;
+        /** Start of the grace period for its mask: it left, or a proxy joined that does not have the mask. */
+        long maskRequiredSinceNs;
+
+        /** Attempts since the totals were last reset. */
+        double attempts;
+        /** Dropped attempts among {@link #attempts}. */
+        double dropped;
+        /** Total time of the delivered attempts among {@link #attempts}. */
+        double deliveredNs;
+        /** Drops or lags well more than the median server: gives up one slice at the next decision. */
+        boolean overloaded;
+        /** Smoothed load from its reports, per unit of size; NaN: none or too old. */
+        double reportedLoad = Double.NaN;
+
+        long reportedAtNs;
+        /** Whether any sums have named it since the start. */
+        boolean seenInSums;
+        /** Load moved here (negative: away) that no report shows yet, relative to the fleet's mean. */
+        final SlidingSum pendingLoad = new SlidingSum(SUM_BUCKETS, SECOND);
+        /** Owned slices carried, in parts where a slice has several lines. Recomputed before each decision. */
+        double sliceCount;
+        /** Demand of owned slices carried, flows per {@link #DEMAND_SECONDS}. Recomputed before each decision. */
+        double demand;
+        /** Demand of the owned slices that have a standby line here. Recomputed before each decision. */
+        double standbyDemand;
+        /** Load from slices and reports, lower is better; the mean is around 1. Recomputed before each decision. */
+        double score;
 
         Server(String id) {
             this.id = id;
         }
 
         boolean masked() {
-            return state == State.ILL || leaving();
+            return health == Health.ILL || leaving();
         }
 
+        /** Whether its lines are to be removed. */
         boolean leaving() {
-            return state == State.OUT || state == State.RETURNING;
+            return health == Health.OUT || health == Health.RETURNING;
         }
 
         boolean usable() {
             return ready && !masked();
         }
 
-        void forgetRound() {
-            tries = dropped = tookNs = 0;
+        void resetTotals() {
+            attempts = dropped = deliveredNs = 0;
         }
     }
 
     private static final class Slice {
         final int number;
-        boolean mine;
-        final TreeMap<String, Double> want = new TreeMap<>();
+        /** Whether this coordinator decides for the slice. */
+        boolean owned;
+        /** Weight by server id that the slice should have. */
+        final TreeMap<String, Double> desired = new TreeMap<>();
+        /** Weight by server id that has been ordered, or stood when the slice was given to this coordinator. */
         final TreeMap<String, Double> sent = new TreeMap<>();
-        final Ring heard = new Ring(8, SECOND);
-        /** At the latest push. */
+
+        final SlidingSum recentFlows = new SlidingSum(SUM_BUCKETS, SECOND);
+        /** One of the URGENCY constants, as of the latest push. */
         int urgency;
 
+        /** Flows in the latest {@link #DEMAND_SECONDS}, at least a twentieth of the mean; 0 while not owned. */
         double demand;
-        long movedAt = Long.MIN_VALUE / 2;
-        long settledAt;
+
+        long movedAtNs = Long.MIN_VALUE / 2;
+        /** When desired and sent lines were last found equal. */
+        long settledAtNs;
 
         Slice(int number) {
             this.number = number;
         }
     }
 
-    private record Turn(int mark, long sentAt, double linesEach, TreeSet<Integer> waiting) {}
+    /**
+     * A batch of orders sent to all proxies that not every proxy has acknowledged yet.
+     *
+     * @param mark number that the acknowledgements name
+     * @param linesPerProxy size of the message to each proxy, its overhead included, in lines
+     * @param unacknowledged proxies that have not acknowledged it
+     */
+    private record Push(int mark, long sentAtNs, double linesPerProxy, TreeSet<Integer> unacknowledged) {}
 
-    private final Settings set;
+    private final Settings settings;
     private final long seed;
-    private long drawn;
-    private long now;
-    private List<Order> out;
+    /** Random numbers drawn so far. */
+    private long draws;
+
+    private long nowNs;
+    /** Orders of the current call. */
+    private List<Order> orders;
+
     private final TreeMap<String, Server> servers = new TreeMap<>();
     private final Slice[] slices;
-    private final TreeSet<Integer> joined = new TreeSet<>();
-    private final TreeSet<String> maskSent = new TreeSet<>();
-    /** Servers whose mask, or that they have none, is to be stated again. */
-    private final TreeSet<String> masksDue = new TreeSet<>(), everMasked = new TreeSet<>();
+    private final TreeSet<Integer> joinedProxies = new TreeSet<>();
+    /** Servers whose mask has been ordered and not lifted. */
+    private final TreeSet<String> sentMasks = new TreeSet<>();
+    /** Servers whose mask, or the absence of one, is to be ordered again. */
+    private final TreeSet<String> masksToRestate = new TreeSet<>();
+
+    private final TreeSet<String> everMasked = new TreeSet<>();
+
+    /** Unacknowledged pushes, oldest first. */
+    private final ArrayDeque<Push> pushes = new ArrayDeque<>();
+    /** Times of the pushes within the span over which messages are counted. */
+    private final ArrayDeque<Long> pushTimesNs = new ArrayDeque<>();
 
-    private final ArrayDeque<Turn> turns = new ArrayDeque<>();
-    private final ArrayDeque<Long> turnTimes = new ArrayDeque<>();
     private boolean levelsDue = true;
-    private boolean dirty, newSums, newRound;
+    /** Whether to decide in this call without waiting for the tick. */
+    private boolean decisionDue;
+    /** Whether sums have arrived since health was last judged. */
+    private boolean newSums;
+    /** Whether a round of sums has begun since the primaries were last adjusted. */
+    private boolean newRound;
+
+    /** Number of the latest push, 0 to 65535. */
     private int mark;
-    private long tickAt = Long.MIN_VALUE, cycleAt = Long.MIN_VALUE;
-    private long lastTurn = Long.MIN_VALUE / 2, roundAt = lastTurn;
+
+    private long nextTickNs = Long.MIN_VALUE;
+    private long nextBalanceNs = Long.MIN_VALUE;
+    private long lastPushNs = Long.MIN_VALUE / 2;
+    private long lastRoundNs = lastPushNs;
+    /** Rounds of sums since the start. */
     private int rounds;
-    private long followAt;
+
+    private long nextFollowNs;
     private long followBackoffNs;
-    private long robin;
+    /** Counter of the round robin among equally loaded servers. */
+    private long roundRobin;
 
+    /** Starts with no knowledge beyond the settings; {@code seed} determines all random choices. */
     public Logic(Settings settings, long seed) {
-        this.set = settings;
+        this.settings = settings;
         this.seed = seed;
-        followAt = settings.listOnRequest() ? Long.MIN_VALUE : Long.MAX_VALUE;
+        nextFollowNs = settings.listOnRequest() ? Long.MIN_VALUE : Long.MAX_VALUE;
         slices = new Slice[Math.max(0, settings.slices())];
         for (int i = 0; i < slices.length; i++) {
             slices[i] = new Slice(i);
         }
-        robin = (long) (chance() * 1000);
+        roundRobin = (long) (random() * 1000);
     }
 
-    private double chance() {
+    /** Returns the next number of the seeded sequence, in [0, 1). */
+    private double random() {
         CRC32 crc = new CRC32();
-        crc.update(ByteBuffer.allocate(16).putLong(seed).putLong(drawn++).array());
+        crc.update(ByteBuffer.allocate(16).putLong(seed).putLong(draws++).array());
         return crc.getValue() / 4294967296.0;
     }
 
     private void log(String text) {
-        out.add(new Order.Log(text));
+        orders.add(new Order.Log(text));
     }
 
     @Override
     public List<Order> handle(long nowNs, List<Event> events) {
-        now = nowNs;
-        out = new ArrayList<>();
-        events.forEach(this::learn);
+        this.nowNs = nowNs;
+        orders = new ArrayList<>();
+        events.forEach(this::apply);
         if (newSums) {
-            judge();
+            judgeHealth();
         }
-        follow();
-        if (now >= tickAt || dirty) {
+        followIfDue();
+        if (this.nowNs >= nextTickNs || decisionDue) {
             decide();
         }
-        if (now >= tickAt) {
-            // Four looks a second: well under the shortest grace and the way of a message.
-            tickAt = now + 250 * MS;
-            out.add(new Order.WakeAt(tickAt, 0));
+        if (this.nowNs >= nextTickNs) {
+            nextTickNs = this.nowNs + TICK_PERIOD_NS;
+            orders.add(new Order.WakeAt(nextTickNs, 0));
         }
-        return out;
+        return orders;
     }
 
-    // ---- Learning.
+    // ---- Events.
 
-    private void learn(Event event) {
+    private void apply(Event event) {
         if (event instanceof Event.ServerList e) {
-            learnList(e);
+            applyList(e);
         } else if (event instanceof Event.ServerSums e) {
-            learnSums(e);
+            applySums(e);
         } else if (event instanceof Event.SliceDemand e) {
-            slice(e.slice()).heard.add(now, e.flows());
+            slice(e.slice()).recentFlows.add(nowNs, e.flows());
         } else if (event instanceof Event.SliceCharge e) {
-            learnCharge(e);
+            applyCharge(e);
         } else if (event instanceof Event.StoredLine e) {
             if (e.weight() > 0) {
-                slice(e.slice()).want.put(e.server(), e.weight());
+                slice(e.slice()).desired.put(e.server(), e.weight());
                 slice(e.slice()).sent.put(e.server(), e.weight());
                 servers.computeIfAbsent(e.server(), Server::new);
             }
         } else if (event instanceof Event.ProxyJoined e) {
-            joined.add(e.proxy());
-            // A proxy that was here before may hold masks of a stream or a life of ours that is forgotten:
-            // a stale mask could leave it bare, so all masks are stated again, the lifted ones too.
-            levelsDue = dirty = true;
-            servers.values().stream().filter(v -> maskSent.contains(v.id)).forEach(v -> v.bindsSince = now);
-            masksDue.addAll(e.fresh() ? maskSent : rounds < 3 ? servers.keySet() : everMasked);
+            joinedProxies.add(e.proxy());
+            // A proxy that was connected before may hold masks from an earlier connection or an earlier run of this
+            // coordinator that are no longer known here. A stale mask could leave one of its slices without a usable
+            // server, so all masks are stated again, lifted ones included.
+            levelsDue = decisionDue = true;
+            servers.values().stream()
+                    .filter(server -> sentMasks.contains(server.id))
+                    .forEach(server -> server.maskRequiredSinceNs = nowNs);
+            masksToRestate.addAll(e.fresh() ? sentMasks : rounds < START_ROUNDS ? servers.keySet() : everMasked);
         } else if (event instanceof Event.ProxyLeft e) {
-            joined.remove(e.proxy());
-            acknowledged(e.proxy(), -1);
+            joinedProxies.remove(e.proxy());
+            acknowledge(e.proxy(), -1);
         } else if (event instanceof Event.Probed e) {
-            learnProbe(e);
+            applyProbe(e);
         } else if (event instanceof Event.Recalled e) {
-            recall(e);
+            applyRecalled(e);
         } else if (event instanceof Event.InForce e) {
-            acknowledged(e.proxy(), e.mark());
+            acknowledge(e.proxy(), e.mark());
         }
     }
 
     /**
-     * Guards the first rounds after a restart, when nothing is heard yet: a server that flapped is suspect
-     * until its sums are good, holds go on doubling, a fleet that shed seconds ago is not let in whole. It
-     * harms where the fleet has changed meanwhile: a sound server gets orphans last for a round or two.
+     * Restores what an earlier run of this coordinator learned, for the first rounds after a restart when no sums have
+     * arrived: a server that flapped is suspect until its sums are good, holds go on doubling, and a fleet that was
+     * shedding load is not admitted in full at once. If the fleet has changed meanwhile, a sound server gets orphaned
+     * slices last for a round or two.
      */
-    private void recall(Event.Recalled e) {
-        Server server = servers.get(e.server());
-        double sure = e.value() * e.confidence();
-        // As likely as not is enough to be careful, not to believe that it goes on.
-        boolean likely = e.confidence() >= 0.5;
-        switch (e.kind()) {
+    private void applyRecalled(Event.Recalled recalled) {
+        Server server = servers.get(recalled.server());
+        double discounted = recalled.value() * recalled.confidence();
+        // An even chance is enough for caution, but not to assume that the condition persists.
+        boolean likely = recalled.confidence() >= 0.5;
+        switch (recalled.kind()) {
             case FLAPPING -> {
                 if (server != null && likely) {
-                    step(server, Input.RECALLED);
+                    transition(server, HealthInput.RECALLED);
                 }
             }
             case HOLD_NS -> {
                 if (server != null) {
-                    server.holdNs = Math.max(server.holdNs, (long) sure);
+                    server.holdNs = Math.max(server.holdNs, (long) discounted);
                 }
             }
-            case CALM_LOAD -> calmLoad = likely ? Math.max(calmLoad, e.value()) : calmLoad;
-            case CALM_WHOLE -> calmWhole = likely ? Math.max(calmWhole, e.value()) : calmWhole;
-            case SHED -> shed =
-                    Math.max(shed, Math.min(sure, 0.8 * (set.groups().size() - 1)));
-            case STRAINED -> strained |= likely;
+            case CALM_LOAD -> calmLoad = likely ? Math.max(calmLoad, recalled.value()) : calmLoad;
+            case CALM_WHOLE -> calmLoadWholeFleet =
+                    likely ? Math.max(calmLoadWholeFleet, recalled.value()) : calmLoadWholeFleet;
+            case SHED -> shedGroups = Math.max(
+                    shedGroups,
+                    Math.min(discounted, MAX_SHED_PER_GROUP * (settings.groups().size() - 1)));
+            case STRAINED -> fleetOverloaded |= likely;
         }
         levelsDue = true;
     }
@@ -299,45 +437,48 @@
     public List<Event.Recalled> known() {
         List<Event.Recalled> known = new ArrayList<>(List.of(
                 new Event.Recalled(Event.Recall.CALM_LOAD, "", calmLoad, 1),
-                new Event.Recalled(Event.Recall.CALM_WHOLE, "", calmWhole, 1),
-                new Event.Recalled(Event.Recall.SHED, "", shed, 1),
-                new Event.Recalled(Event.Recall.STRAINED, "", strained ? 1 : 0, 1)));
+                new Event.Recalled(Event.Recall.CALM_WHOLE, "", calmLoadWholeFleet, 1),
+                new Event.Recalled(Event.Recall.SHED, "", shedGroups, 1),
+                new Event.Recalled(Event.Recall.STRAINED, "", fleetOverloaded ? 1 : 0, 1)));
         servers.values().stream()
-                .filter(v -> v.holdNs > 0)
-                .forEach(v -> known.add(new Event.Recalled(Event.Recall.HOLD_NS, v.id, v.holdNs, 1)));
+                .filter(server -> server.holdNs > 0)
+                .forEach(server -> known.add(new Event.Recalled(Event.Recall.HOLD_NS, server.id, server.holdNs, 1)));
         return known;
     }
 
-    /** The slice of that number; one that isn't known gets a blank that is thrown away. */
+    /** Returns the slice with the given number, or a throw-away one if the number is out of range. */
     private Slice slice(int number) {
         return number >= 0 && number < slices.length ? slices[number] : new Slice(number);
     }
 
-    private void learnList(Event.ServerList list) {
+    private void applyList(Event.ServerList list) {
         if (list.kind() == Event.ListKind.BROKEN) {
-            // Back off up to a few seconds, spread by chance, so that a struggling list is not hammered.
-            followBackoffNs = Math.min(4 * SECOND, Math.max(SECOND / 2, followBackoffNs * 2));
-            followAt = now + (long) (followBackoffNs * (0.75 + chance() / 2));
+            // Exponential back-off with random spread, so that a struggling registry is not overwhelmed.
+            followBackoffNs = Math.min(MAX_FOLLOW_BACKOFF_NS, Math.max(MIN_FOLLOW_BACKOFF_NS, followBackoffNs * 2));
+            nextFollowNs = nowNs + (long) (followBackoffNs * (0.75 + random() / 2));
             return;
         }
-        if (list.kind() != Event.ListKind.STALE_COPY && set.listOnRequest()) {
+        if (list.kind() != Event.ListKind.STALE_COPY && settings.listOnRequest()) {
             followBackoffNs = 0;
-            followAt = Long.MAX_VALUE;
+            nextFollowNs = Long.MAX_VALUE;
         }
-        list.entries().forEach(this::learnEntry);
+        list.entries().forEach(this::applyEntry);
         if (list.kind() != Event.ListKind.PATCH) {
-            Set<String> named = list.entries().stream().map(Event.Entry::server).collect(Collectors.toSet());
-            servers.values().stream().filter(v -> !named.contains(v.id)).forEach(this::dropped);
+            Set<String> listed =
+                    list.entries().stream().map(Event.Entry::server).collect(Collectors.toSet());
+            servers.values().stream()
+                    .filter(server -> !listed.contains(server.id))
+                    .forEach(this::delist);
         }
-        dirty = true;
+        decisionDue = true;
     }
 
-    private void learnEntry(Event.Entry entry) {
+    private void applyEntry(Event.Entry entry) {
         boolean known = servers.containsKey(entry.server());
         Server server = servers.computeIfAbsent(entry.server(), Server::new);
-        long formerStart = server.started;
+        long previousStartNs = server.startedNs;
         if (entry.listed() == Listed.GONE) {
-            dropped(server);
+            delist(server);
             return;
         } else if (entry.listed() == Listed.DRAINING) {
             leave(server);
@@ -346,30 +487,30 @@
         server.ready = true;
         server.unlisted = 0;
         server.size = entry.size() > 0 ? entry.size() : 1;
-        server.started = entry.startedNs();
+        server.startedNs = entry.startedNs();
         if (!known) {
-            server.state = State.WELL;
-        } else if (formerStart != server.started) {
-            step(server, Input.RESTARTS);
+            server.health = Health.WELL;
+        } else if (previousStartNs != server.startedNs) {
+            transition(server, HealthInput.RESTARTS);
         } else {
-            // Listed again with the start it had: it was never down, so it is as warm as it was.
-            step(server, Input.RELISTED);
+            // The start time is unchanged: the server was never down, so its caches are as warm as before.
+            transition(server, HealthInput.RELISTED);
         }
     }
 
     private void leave(Server server) {
-        server.bindsSince = server.ready ? now : server.bindsSince;
+        server.maskRequiredSinceNs = server.ready ? nowNs : server.maskRequiredSinceNs;
         server.ready = false;
-        step(server, Input.LEAVES);
+        transition(server, HealthInput.LEAVES);
     }
 
     /**
-     * Guards against a list that calls living servers gone, where the rules let such a server stay in tables:
-     * it stays until it misses two probes (one may fall into a pause), or without probes until it looks ill.
-     * Should it have died, flows fail there for the probes' time, or for a round or two of sums.
+     * Handles a server that is gone from the list. Lists may drop servers that are alive; where the settings allow it,
+     * such a server stays in the tables until it misses two probes (one may coincide with a pause), or, without
+     * probes, until it looks ill. If it has really died, flows sent to it fail for that long.
      */
-    private void dropped(Server server) {
-        if (!set.droppedStayOpen() || !server.ready) {
+    private void delist(Server server) {
+        if (!settings.droppedStayOpen() || !server.ready) {
             leave(server);
         } else if (server.unlisted == 0) {
             server.unlisted = 1;
@@ -378,12 +519,12 @@
     }
 
     private void probe(Server server) {
-        if (set.probes()) {
-            out.add(new Order.Probe(server.id));
+        if (settings.probes()) {
+            orders.add(new Order.Probe(server.id));
         }
     }
 
-    private void learnProbe(Event.Probed probed) {
+    private void applyProbe(Event.Probed probed) {
         Server server = servers.get(probed.server());
         if (server == null || server.unlisted == 0 || probed.answered()) {
             return;
@@ -394,10 +535,10 @@
         }
     }
 
-    private void learnSums(Event.ServerSums sums) {
-        // Lines of one round come together; half a period tells rounds apart.
-        if (now - roundAt > set.roundNs() / 2) {
-            roundAt = now;
+    private void applySums(Event.ServerSums sums) {
+        // The sums of one round arrive together; a gap of half a period separates two rounds.
+        if (nowNs - lastRoundNs > settings.roundNs() / 2) {
+            lastRoundNs = nowNs;
             rounds++;
             newRound = true;
         }
@@ -406,596 +547,671 @@
         if (server == null) {
             return;
         }
-        server.heard = true;
-        server.tries += sums.tries();
+        server.seenInSums = true;
+        server.attempts += sums.tries();
         server.dropped += sums.dropped();
-        server.tookNs += (double) sums.tookNs() * Math.max(0, sums.tries() - sums.dropped());
-        coresKnown |= sums.report().containsKey(Measure.BUSY);
-        double report = reported(sums.report(), server.size);
-        if (!Double.isNaN(report)) {
-            // Half old, half new: a single report is noisy and may be of a moment.
-            boolean stale = Double.isNaN(server.report) || now - server.reportAt > 4 * set.roundNs();
-            server.report = stale ? report : (server.report + report) / 2;
-            server.reportAt = now;
+        server.deliveredNs += (double) sums.tookNs() * Math.max(0, sums.tries() - sums.dropped());
+        cpuReported |= sums.report().containsKey(Measure.BUSY);
+        double load = reportedLoad(sums.report(), server.size);
+        if (!Double.isNaN(load)) {
+            // Averaged with the previous value: a single report is noisy and covers only a moment.
+            boolean stale = Double.isNaN(server.reportedLoad)
+                    || nowNs - server.reportedAtNs > REPORT_TTL_ROUNDS * settings.roundNs();
+            server.reportedLoad = stale ? load : (server.reportedLoad + load) / 2;
+            server.reportedAtNs = nowNs;
         }
     }
 
-    private static double reported(Map<Measure, Double> report, double size) {
+    /** Returns the first load measure that the report has, or NaN. */
+    private static double reportedLoad(Map<Measure, Double> report, double size) {
         for (Measure measure : EnumSet.of(Measure.BUSY, Measure.HELD, Measure.WAITING, Measure.DELIVERED_PER_S)) {
             if (report.containsKey(measure)) {
-                // Cores busy are a share of the server's own already; counts are put per listed size.
+                // BUSY is already a share of the server's own cores; counts are divided by its listed size.
                 return report.get(measure) / (measure == Measure.BUSY ? 1 : size);
             }
         }
         return Double.NaN;
     }
 
-    private void learnCharge(Event.SliceCharge charge) {
+    private void applyCharge(Event.SliceCharge charge) {
         Slice slice = slice(charge.slice());
-        slice.mine = charge.given();
-        slice.want.clear();
+        slice.owned = charge.given();
+        slice.desired.clear();
         slice.sent.clear();
         levelsDue |= charge.given();
-        masksDue.addAll(maskSent);
-        dirty = true;
+        masksToRestate.addAll(sentMasks);
+        decisionDue = true;
     }
 
-    /** A proxy has all up to this mark; one that left (-1) is waited for no more. */
-    private void acknowledged(int proxy, int upTo) {
-        boolean known = upTo < 0 || turns.stream().anyMatch(t -> t.mark == upTo);
-        turns.stream().takeWhile(t -> known && t.mark != upTo).forEach(t -> t.waiting.remove(proxy));
-        turns.stream().filter(t -> t.mark == upTo).forEach(t -> t.waiting.remove(proxy));
-        turns.removeIf(t -> t.waiting.isEmpty());
+    /** Records that a proxy has all pushes up to a mark; -1: it left, so no push waits for it any longer. */
+    private void acknowledge(int proxy, int upTo) {
+        boolean known = upTo < 0 || pushes.stream().anyMatch(push -> push.mark == upTo);
+        pushes.stream()
+                .takeWhile(push -> known && push.mark != upTo)
+                .forEach(push -> push.unacknowledged.remove(proxy));
+        pushes.stream().filter(push -> push.mark == upTo).forEach(push -> push.unacknowledged.remove(proxy));
+        pushes.removeIf(push -> push.unacknowledged.isEmpty());
     }
 
-    private void follow() {
-        if (now >= followAt) {
-            out.add(new Order.Follow(true));
-            // Asked again if no answer comes at all.
-            followAt = now + 5 * SECOND;
+    private void followIfDue() {
+        if (nowNs >= nextFollowNs) {
+            orders.add(new Order.Follow(true));
+            nextFollowNs = nowNs + FOLLOW_TIMEOUT_NS;
         }
     }
 
-    // ---- Health: judged by failure share and time taken over rounds of sums.
+    // ---- Health: judged by drop share and latency over rounds of sums.
 
-    private void judge() {
+    private void judgeHealth() {
         newSums = false;
-        List<Server> heard =
-                servers.values().stream().filter(v -> v.ready && v.tries >= 5).toList();
-        double usualShare = median(heard.stream().map(v -> v.dropped / v.tries));
-        double usualTime =
-                median(heard.stream().filter(v -> v.tries > v.dropped).map(v -> v.tookNs / (v.tries - v.dropped)));
-        // Guards cold servers against tries again: where a third of all tries is dropped, those with proof go
-        // on to whoever has room, and push over the next one.
-        double lost = heard.stream().mapToDouble(v -> v.dropped).sum();
-        boolean many = lost > 0.3 * heard.stream().mapToDouble(v -> v.tries).sum();
-        levelsDue |= many != crowded;
-        crowded = many;
-        double shortest = set.groups().stream()
+        List<Server> measured = servers.values().stream()
+                .filter(server -> server.ready && server.attempts >= 5)
+                .toList();
+        double medianDropShare = median(measured.stream().map(server -> server.dropped / server.attempts));
+        double medianLatencyNs = median(measured.stream()
+                .filter(server -> server.attempts > server.dropped)
+                .map(server -> server.deliveredNs / (server.attempts - server.dropped)));
+        // Protects cold servers from retries: where 30% of all attempts are dropped, those with proof that they never
+        // ran would go on to whichever server has capacity left, and overload that one next.
+        double dropped = measured.stream().mapToDouble(server -> server.dropped).sum();
+        boolean manyDropped = dropped
+                > 0.3 * measured.stream().mapToDouble(server -> server.attempts).sum();
+        levelsDue |= manyDropped != retriesSuspended;
+        retriesSuspended = manyDropped;
+        double shortestBudgetNs = settings.groups().stream()
                 .mapToDouble(Settings.Group::budgetNs)
                 .min()
                 .orElse(SECOND);
         List<Server> bad = new ArrayList<>();
         for (Server server : servers.values()) {
-            // Fewer tries say nothing, unless nearly all fail; a trial gets few, so fewer must do.
-            boolean sure = server.dropped >= 4 && server.dropped > 0.8 * server.tries;
-            if (!server.ready || server.masked() || server.tries < (server.state == State.TRIAL ? 3 : 8) && !sure) {
+            // Fewer attempts are inconclusive unless nearly all fail. A server on trial gets few, so fewer suffice.
+            boolean nearlyAllFail = server.dropped >= 4 && server.dropped > 0.8 * server.attempts;
+            if (!server.ready
+                    || server.masked()
+                    || server.attempts < (server.health == Health.TRIAL ? 3 : 8) && !nearlyAllFail) {
                 continue;
             }
-            double share = server.dropped / server.tries;
-            double delivered = server.tries - server.dropped;
-            double slowness = delivered < 3 || usualTime <= 0 ? 1 : server.tookNs / delivered / usualTime;
-            // Bad lines lie well above what an overloaded but sound server shows; good lines well below.
-            // Guards against taking load for illness: more than its part of own slices explains slow and late
-            // answers, and a mask would only hand the load to the next one.
-            // Under strain every server may drop most; an ill one then shows by reporting little or nothing.
-            // The sums are of some seconds ago, when what was moved off since was still here.
-            double carried = relative(server, server.demand) - server.shift.over(now, 4) / Math.max(0.01, ownPart);
-            boolean explained = carried > 1.4 || strained && warmth(server) >= 1 && server.report > 0.6 * usualReport;
-            // Half of what makes a line bad: the server is pressed, and gives up a slice this round.
-            // Slow counts only where it hurts: against the latency budget, not just the middle server.
-            double late = delivered < 3 ? 0 : server.tookNs / delivered / shortest;
-            server.pressed = share > 0.15 + usualShare && server.dropped > 1 || slowness > 2 && late > 0.4;
-            boolean worse = share > 0.3 + usualShare || slowness > 3 && late > 0.8;
-            boolean good = !worse && share < 0.1 + usualShare && slowness < 2 && server.tries >= 6;
+            double dropShare = server.dropped / server.attempts;
+            double delivered = server.attempts - server.dropped;
+            double slowness =
+                    delivered < 3 || medianLatencyNs <= 0 ? 1 : server.deliveredNs / delivered / medianLatencyNs;
+            // Load must not be mistaken for illness. A server that carries more than its part of the owned slices has
+            // slow and late answers for that reason, and a mask would only pass the load on to the next server. While
+            // the fleet is overloaded every server may drop most flows; an ill one then shows by reporting little load
+            // or none. The sums are some seconds old, so load moved away since then is added back.
+            double carried = relativeLoad(server, server.demand)
+                    - server.pendingLoad.over(nowNs, PENDING_LOAD_SECONDS) / Math.max(0.01, ownedShare);
+            boolean explained = carried > 1.4
+                    || fleetOverloaded && warmth(server) >= 1 && server.reportedLoad > 0.6 * meanReportedLoad;
+            // Half of the thresholds for "bad" make a server overloaded. Latency counts only where it hurts: measured
+            // against the latency budget, not just against the median server.
+            double budgetUsed = delivered < 3 ? 0 : server.deliveredNs / delivered / shortestBudgetNs;
+            server.overloaded =
+                    dropShare > 0.15 + medianDropShare && server.dropped > 1 || slowness > 2 && budgetUsed > 0.4;
+            // The thresholds for "bad" lie well above what an overloaded but sound server shows, those for "good"
+            // well below.
+            boolean worse = dropShare > 0.3 + medianDropShare || slowness > 3 && budgetUsed > 0.8;
+            boolean good = !worse && dropShare < 0.1 + medianDropShare && slowness < 2 && server.attempts >= 6;
             if (worse && !explained) {
                 bad.add(server);
-            } else if (worse || good || server.state != State.TRIAL) {
-                server.forgetRound();
+            } else if (worse || good || server.health != Health.TRIAL) {
+                server.resetTotals();
             }
             if (good) {
-                step(server, Input.GOOD);
+                transition(server, HealthInput.GOOD);
             }
         }
-        strain(usualShare, usualTime);
-        // Guards against a bad view: where most look ill it is the view, the load or ourselves, and masking
-        // would push the rest over. Not more than a third may be masked as ill at a time.
-        long ready = servers.values().stream().filter(s -> s.ready).count();
+        updateOverload(medianDropShare, medianLatencyNs);
+        // Where most servers look ill, the cause is more likely this coordinator's view, the load or the coordinator
+        // itself, and masking would overload the remaining servers. At most a third is masked as ill at a time.
+        long ready = servers.values().stream().filter(server -> server.ready).count();
         long ill = servers.values().stream()
-                .filter(s -> s.ready && s.state == State.ILL)
+                .filter(server -> server.ready && server.health == Health.ILL)
                 .count();
-        long warm =
-                servers.values().stream().filter(s -> s.ready && warmth(s) >= 1).count();
-        boolean doubt = bad.size() + ill > ready * 0.4;
+        long warm = servers.values().stream()
+                .filter(server -> server.ready && warmth(server) >= 1)
+                .count();
+        boolean viewDoubtful = bad.size() + ill > ready * 0.4;
         for (Server server : bad) {
-            boolean awful = server.dropped / server.tries > 0.6;
-            if (warmth(server) < 1 || !doubt && ill < ready / 3 && 2 * ill < warm) {
-                step(server, awful ? Input.AWFUL : Input.BAD);
-                if (server.state == State.ILL && server.unlisted > 0) {
+            boolean awful = server.dropped / server.attempts > 0.6;
+            if (warmth(server) < 1 || !viewDoubtful && ill < ready / 3 && 2 * ill < warm) {
+                transition(server, awful ? HealthInput.AWFUL : HealthInput.BAD);
+                if (server.health == Health.ILL && server.unlisted > 0) {
                     leave(server);
                 }
-                ill += server.state == State.ILL ? 1 : 0;
+                ill += server.health == Health.ILL ? 1 : 0;
             }
-            server.forgetRound();
+            server.resetTotals();
         }
     }
 
-    // ---- Strain: the whole fleet drops flows, so there is more than it can do.
+    // ---- Overload: the median server drops flows, so demand exceeds the capacity of the fleet.
 
-    private boolean strained, coresKnown, crowded;
-    private double shed, lastStrain;
+    /** Whether the fleet as a whole is overloaded: nothing is retried, and groups may be shed. */
+    private boolean fleetOverloaded;
+    /** Whether any report has named the share of cores busy. */
+    private boolean cpuReported;
+    /** Whether so many attempts are dropped that nothing is retried. */
+    private boolean retriesSuspended;
+    /** How much is shed, in traffic groups: 0.5 is half of the flows of the first group to be reduced. */
+    private double shedGroups;
+    /** Drop share plus share of the latency budget used, of the median server, when last judged. */
+    private double previousSeverity;
 
     /**
-     * Guards against the spiral of tries upon tries in real overload, whatever brought it (too much traffic,
-     * too few servers, cold caches): while the middle server drops flows, nothing is tried again and groups
-     * of least utility for their work are let in less, step by step.
+     * Updates whether the fleet is overloaded and how much is shed. Prevents retries from amplifying an overload,
+     * whatever caused it (too much traffic, too few servers, cold caches): while the median server drops flows, nothing
+     * is retried, and the groups with the least utility for their work are admitted less, step by step.
      */
-    private void strain(double usualShare, double usualTime) {
-        boolean was = strained;
-        // One in ten is far above errors in good times; one in thirty is about what they show. Time-outs come
-        // seconds after the queues grew, so answers that take half the budget on the middle server count too.
-        // Guards against shedding what less traffic can't help (lost answers, a group slow by itself): where
-        // servers are full their good answers take a third of the budget, and their cores are not half idle.
-        double late = usualTime
-                / set.groups().stream()
+    private void updateOverload(double medianDropShare, double medianLatencyNs) {
+        boolean wasOverloaded = fleetOverloaded;
+        // A drop share of 0.1 is far above the errors of normal operation; 0.03 is about what those amount to.
+        // Time-outs come seconds after queues have grown, so answers of the median server that take half the budget
+        // count as well. Lost answers or a group that is slow by itself are not helped by less traffic and must not
+        // cause shedding: full servers take a third of the budget even for good answers, and their cores are not half
+        // idle.
+        double budgetUsed = medianLatencyNs
+                / settings.groups().stream()
                         .mapToDouble(Settings.Group::budgetNs)
                         .average()
                         .orElse(SECOND);
-        boolean idle = coresKnown && usualReport < 0.55;
-        boolean more = !idle && (usualShare > 0.1 && late > 0.3 || late > 0.5);
-        boolean less = idle || (usualShare < 0.03 || late < 0.2) && late < 0.35;
-        strained = more || strained && !less;
-        if (!strained && !was && fleetSize > 0) {
-            calmLoad = Math.max(calmLoad, fleetDemand / fleetSize);
-            calmWhole = Math.max(calmWhole, fleetDemand / wholeSize);
-        }
-        double before = shed;
-        int spare = set.groups().size() - 1;
-        // Half a group at first, then a quarter a round, held while things get better, as sums show a step
-        // late. Given back slowly, as the load that brought it may still be there.
-        boolean better = usualShare + late < 0.9 * lastStrain;
-        lastStrain = usualShare + late;
-        double by = more ? better ? 0 : was ? 0.25 : 0.5 : less ? -0.1 : 0;
-        shed = Math.max(0, Math.min(0.8 * spare, shed + by));
-        if (was != strained || shed != before) {
+        boolean idle = cpuReported && meanReportedLoad < 0.55;
+        boolean overloaded = !idle && (medianDropShare > 0.1 && budgetUsed > 0.3 || budgetUsed > 0.5);
+        boolean relaxed = idle || (medianDropShare < 0.03 || budgetUsed < 0.2) && budgetUsed < 0.35;
+        fleetOverloaded = overloaded || fleetOverloaded && !relaxed;
+        if (!fleetOverloaded && !wasOverloaded && fleetCapacity > 0) {
+            calmLoad = Math.max(calmLoad, fleetDemand / fleetCapacity);
+            calmLoadWholeFleet = Math.max(calmLoadWholeFleet, fleetDemand / wholeFleetSize);
+        }
+        double shedBefore = shedGroups;
+        int sheddableGroups = settings.groups().size() - 1;
+        // Half a group at first, then a quarter per round; held while the situation improves, as sums show the effect
+        // of a step late. Restored slowly, as the load that caused it may still be present.
+        boolean improving = medianDropShare + budgetUsed < 0.9 * previousSeverity;
+        previousSeverity = medianDropShare + budgetUsed;
+        double step = overloaded ? improving ? 0 : wasOverloaded ? 0.25 : 0.5 : relaxed ? -0.1 : 0;
+        shedGroups = Math.max(0, Math.min(MAX_SHED_PER_GROUP * sheddableGroups, shedGroups + step));
+        if (wasOverloaded != fleetOverloaded || shedGroups != shedBefore) {
             levelsDue = true;
-            log("strained " + strained + " shed " + shed);
+            log("strained " + fleetOverloaded + " shed " + shedGroups);
         }
     }
 
-    /** The part of a group let in: least utility for its latency budget (which stands for work) first. */
+    /**
+     * Returns the level of a group: the share of its flows that is admitted, or a rate. Groups with the least utility
+     * for their latency budget, which stands in for their work, are reduced first; the last one never is.
+     */
     private double level(int group) {
-        long before = IntStream.range(0, set.groups().size())
-                .filter(i -> value(i) < value(group) || value(i) == value(group) && i < group)
+        long reducedBefore = IntStream.range(0, settings.groups().size())
+                .filter(other -> utilityPerBudget(other) < utilityPerBudget(group)
+                        || utilityPerBudget(other) == utilityPerBudget(group) && other < group)
                 .count();
-        boolean most = before == set.groups().size() - 1;
-        double part = Math.max(0.2, Math.min(1, 1 - (shed - 0.8 * before)));
-        return set.levelIsRate() ? 1e6 : !set.levelsHeeded() || most ? 1 : part;
+        boolean last = reducedBefore == settings.groups().size() - 1;
+        double share = Math.max(MIN_ADMITTED_SHARE, Math.min(1, 1 - (shedGroups - MAX_SHED_PER_GROUP * reducedBefore)));
+        return settings.levelIsRate() ? UNLIMITED_RATE : !settings.levelsHeeded() || last ? 1 : share;
     }
 
-    private double value(int group) {
-        return set.groups().get(group).utility()
-                / Math.max(1, set.groups().get(group).budgetNs());
+    private double utilityPerBudget(int group) {
+        return settings.groups().get(group).utility()
+                / Math.max(1, settings.groups().get(group).budgetNs());
     }
 
+    /** Returns the upper median, or 0 if there are no values. */
     private static double median(Stream<Double> values) {
         List<Double> sorted = values.sorted().toList();
         return sorted.isEmpty() ? 0 : sorted.get(sorted.size() / 2);
     }
 
-    // ---- Scores.
+    // ---- Load scores. The weights put reports above slices and, within slices, demand above their number.
 
-    private double fleetDemand, fleetSize, ownPart, usualReport;
-    /** The most that was listed ready at a time: what the fleet is when it is whole. */
-    private double wholeSize;
+    private static final double SLICES_WEIGHT = 0.3;
+    private static final double REPORT_WEIGHT = 0.7;
+    private static final double COUNT_WEIGHT = 0.2;
+    private static final double DEMAND_WEIGHT = 0.3;
 
-    /** The share of full capacity a server is sure to have: it rises evenly over the warm time or faster. */
+    private static final Comparator<Server> BY_SCORE = Comparator.comparingDouble(server -> server.score);
+
+    /** Demand of all owned slices, flows per {@link #DEMAND_SECONDS}; the number of slices while none has flows. */
+    private double fleetDemand;
+    /** Capacity of the usable servers at their present warmth. */
+    private double fleetCapacity;
+    /** Owned slices among all slices, 0 to 1. */
+    private double ownedShare;
+    /** Mean reported load of the usable servers; above 0. */
+    private double meanReportedLoad;
+    /** The largest total size that was ready at one time: that of the fleet when it is whole. */
+    private double wholeFleetSize;
+
+    /**
+     * Returns the share of its full capacity that a server can be relied on to have. A server is allowed to warm up
+     * faster than this line, which rises evenly from the cold share over the warm-up time.
+     */
     private double warmth(Server server) {
-        long age = now - server.started;
-        if (server.started == 0 || age >= set.warmNs()) {
+        long ageNs = nowNs - server.startedNs;
+        if (server.startedNs == 0 || ageNs >= settings.warmNs()) {
             return 1;
         }
-        return set.coldShare() + (1 - set.coldShare()) * Math.max(0, age) / set.warmNs();
+        return settings.coldShare() + (1 - settings.coldShare()) * Math.max(0, ageNs) / settings.warmNs();
     }
 
-    private double room(Server server) {
+    private double capacity(Server server) {
         return server.size * warmth(server);
     }
 
-    /** Whether the slice has a full line on the server; less than half of its heaviest line is a spare. */
-    private static boolean full(Slice slice, String id) {
-        Double weight = slice.want.get(id);
-        return weight != null && weight > top(slice) / 2;
+    /** Whether the slice has a primary line to the server: one of more than half the weight of its heaviest line. */
+    private static boolean isPrimary(Slice slice, String id) {
+        Double weight = slice.desired.get(id);
+        return weight != null && weight > maxWeight(slice) / 2;
     }
 
-    private static double top(Slice slice) {
-        double top = 0;
-        for (double weight : slice.want.values()) {
-            top = Math.max(top, weight);
+    private static double maxWeight(Slice slice) {
+        double max = 0;
+        for (double weight : slice.desired.values()) {
+            max = Math.max(max, weight);
         }
-        return top;
+        return max;
     }
 
-    private static double each(Slice slice) {
+    private static double demandPerPrimary(Slice slice) {
         return slice.demand
                 / Math.max(
                         1,
-                        slice.want.keySet().stream()
-                                .filter(id -> full(slice, id))
+                        slice.desired.keySet().stream()
+                                .filter(id -> isPrimary(slice, id))
                                 .count());
     }
 
-    private void weigh() {
+    /** Recomputes demand, capacity and the score of each server. */
+    private void updateScores() {
         fleetDemand = 0;
-        fleetSize = 0;
-        int mine = 0;
-        int loud = 0;
+        fleetCapacity = 0;
+        int owned = 0;
+        int withFlows = 0;
         for (Slice slice : slices) {
-            // Six seconds of sums: long enough for noise, short enough for demand that moves on.
-            slice.demand = slice.mine ? slice.heard.over(now, 6) : 0;
+            slice.demand = slice.owned ? slice.recentFlows.over(nowNs, DEMAND_SECONDS) : 0;
             fleetDemand += slice.demand;
-            mine += slice.mine ? 1 : 0;
-            loud += slice.demand > 0 ? 1 : 0;
+            owned += slice.owned ? 1 : 0;
+            withFlows += slice.demand > 0 ? 1 : 0;
         }
-        ownPart = slices.length == 0 ? 1 : (double) mine / slices.length;
-        double usual = loud == 0 ? 1 : fleetDemand / loud;
-        if (loud == 0) {
-            fleetDemand = mine;
+        ownedShare = slices.length == 0 ? 1 : (double) owned / slices.length;
+        double meanDemand = withFlows == 0 ? 1 : fleetDemand / withFlows;
+        if (withFlows == 0) {
+            fleetDemand = owned;
         }
-        wholeSize = Math.max(
-                wholeSize,
+        wholeFleetSize = Math.max(
+                wholeFleetSize,
                 servers.values().stream()
-                        .filter(v -> v.ready)
-                        .mapToDouble(v -> v.size)
+                        .filter(server -> server.ready)
+                        .mapToDouble(server -> server.size)
                         .sum());
         for (Server server : servers.values()) {
-            server.count = server.demand = server.spareDemand = 0;
-            server.report = now - server.reportAt > 4 * set.roundNs() ? Double.NaN : server.report;
-            fleetSize += server.usable() ? room(server) : 0;
+            server.sliceCount = server.demand = server.standbyDemand = 0;
+            server.reportedLoad = nowNs - server.reportedAtNs > REPORT_TTL_ROUNDS * settings.roundNs()
+                    ? Double.NaN
+                    : server.reportedLoad;
+            fleetCapacity += server.usable() ? capacity(server) : 0;
         }
-        usualReport = Math.max(
+        meanReportedLoad = Math.max(
                 1e-9,
                 servers.values().stream()
                         .filter(Server::usable)
-                        .mapToDouble(v -> v.report)
-                        .filter(v -> !Double.isNaN(v))
+                        .mapToDouble(server -> server.reportedLoad)
+                        .filter(load -> !Double.isNaN(load))
                         .average()
                         .orElse(1));
         for (Slice slice : slices) {
-            if (slice.mine) {
-                slice.demand = loud == 0 ? usual : Math.max(slice.demand, usual / 20);
-                place(slice);
+            if (slice.owned) {
+                slice.demand = withFlows == 0 ? meanDemand : Math.max(slice.demand, meanDemand / 20);
+                addLoad(slice);
             }
         }
         for (Server server : servers.values()) {
-            double report = Double.isNaN(server.report) ? idle(server) ? 0 : 1 : server.report / usualReport;
-            double count = server.count / room(server) * fleetSize / Math.max(1, mine);
-            server.score = SLICE_PART * (COUNT_PART * count + DEMAND_PART * relative(server, server.demand))
-                    + REPORT_PART * Math.max(0, report + server.shift.over(now, 4));
+            double report = Double.isNaN(server.reportedLoad)
+                    ? seemsUnused(server) ? 0 : 1
+                    : server.reportedLoad / meanReportedLoad;
+            double count = server.sliceCount / capacity(server) * fleetCapacity / Math.max(1, owned);
+            server.score = SLICES_WEIGHT * (COUNT_WEIGHT * count + DEMAND_WEIGHT * relativeLoad(server, server.demand))
+                    + REPORT_WEIGHT * Math.max(0, report + server.pendingLoad.over(nowNs, PENDING_LOAD_SECONDS));
         }
     }
 
     /**
-     * Guards fresh servers that nobody sends to, and that so never report: taken for as loaded as the mean
-     * they were left idle by all coordinators alike. Lines of sums get lost, so one that carries a slice of
-     * ours is none. It harms where others load it and all its lines are lost so far: it looks idle.
+     * Whether a server without a report is to be taken for idle rather than for as loaded as the mean. A fresh server
+     * that gets no flows never reports, and taken for the mean it would be left idle by all coordinators alike. A
+     * server that carries an owned slice is not idle, since its sums may be lost. A server that is loaded by other
+     * coordinators only and whose sums have all been lost so far wrongly looks idle.
      */
-    private boolean idle(Server server) {
-        return rounds >= 3 && server.count < 0.5 && !server.heard;
+    private boolean seemsUnused(Server server) {
+        return rounds >= START_ROUNDS && server.sliceCount < 0.5 && !server.seenInSums;
     }
 
-    // The design's weights: slices against report, and within slices count against demand.
-    private static final double SLICE_PART = 0.3;
-    private static final double REPORT_PART = 0.7;
-    private static final double COUNT_PART = 0.2;
-    private static final double DEMAND_PART = 0.3;
-
-    /** Demand on a server against the fleet's mean, both for the capacity there is. */
-    private double relative(Server server, double demand) {
-        return fleetDemand <= 0 ? 0 : demand / room(server) * fleetSize / fleetDemand;
+    /** Returns demand on a server relative to the fleet's mean, both per capacity. */
+    private double relativeLoad(Server server, double demand) {
+        return fleetDemand <= 0 ? 0 : demand / capacity(server) * fleetCapacity / fleetDemand;
     }
 
-    /** Counts a slice's load on the servers that carry it under the masks that stand. */
-    private void place(Slice slice) {
-        double sum = slice.want.entrySet().stream()
-                .filter(v -> !servers.get(v.getKey()).masked())
+    /** Adds a slice's load to the servers that carry it under the present masks. */
+    private void addLoad(Slice slice) {
+        double usableWeight = slice.desired.entrySet().stream()
+                .filter(line -> !servers.get(line.getKey()).masked())
                 .mapToDouble(Map.Entry::getValue)
                 .sum();
-        for (Map.Entry<String, Double> line : slice.want.entrySet()) {
+        for (Map.Entry<String, Double> line : slice.desired.entrySet()) {
             Server server = servers.get(line.getKey());
             if (!server.masked()) {
-                double part = line.getValue() / sum;
-                server.count += part;
-                server.demand += part * slice.demand;
-                server.spareDemand += full(slice, line.getKey()) ? 0 : slice.demand;
+                double share = line.getValue() / usableWeight;
+                server.sliceCount += share;
+                server.demand += share * slice.demand;
+                server.standbyDemand += isPrimary(slice, line.getKey()) ? 0 : slice.demand;
             }
         }
     }
 
-    /** What a slice adds to a server's score: its slice load, and what the next reports will show of it. */
-    private double sliceLoad(Slice slice, Server server) {
-        double demand = relative(server, each(slice));
-        return SLICE_PART
-                        * (COUNT_PART / room(server) * fleetSize / Math.max(1, ownPart * slices.length)
-                                + DEMAND_PART * demand)
-                + REPORT_PART * ownPart * demand;
+    /** Returns what a slice adds to a server's score: by its count and demand, and by the reports to come. */
+    private double scoreOf(Slice slice, Server server) {
+        double demand = relativeLoad(server, demandPerPrimary(slice));
+        return SLICES_WEIGHT
+                        * (COUNT_WEIGHT / capacity(server) * fleetCapacity / Math.max(1, ownedShare * slices.length)
+                                + DEMAND_WEIGHT * demand)
+                + REPORT_WEIGHT * ownedShare * demand;
     }
 
-    private long moves;
+    /** Moves so far. */
+    private long moveCount;
 
-    private void moved(Slice slice, Server from, Server to) {
-        slice.movedAt = now;
-        moves++;
-        // The view of placed load is updated at once; reports will take some seconds to show it.
+    /** Updates the load of both servers at once, as reports take some seconds to show a move. */
+    private void recordMove(Slice slice, Server from, Server to) {
+        slice.movedAtNs = nowNs;
+        moveCount++;
         if (to != null) {
-            to.shift.add(now, ownPart * relative(to, each(slice)));
-            to.score += sliceLoad(slice, to);
-            to.count++;
-            to.demand += each(slice);
+            to.pendingLoad.add(nowNs, ownedShare * relativeLoad(to, demandPerPrimary(slice)));
+            to.score += scoreOf(slice, to);
+            to.sliceCount++;
+            to.demand += demandPerPrimary(slice);
         }
         if (from != null) {
-            from.shift.add(now, -ownPart * relative(from, each(slice)));
-            from.score -= sliceLoad(slice, from);
-            from.count--;
-            from.demand -= each(slice);
+            from.pendingLoad.add(nowNs, -ownedShare * relativeLoad(from, demandPerPrimary(slice)));
+            from.score -= scoreOf(slice, from);
+            from.sliceCount--;
+            from.demand -= demandPerPrimary(slice);
         }
     }
 
-    /** Own demand a server may be given: its fair part of what there is, and as little as it is cold. */
+    /** Whether a server can take a slice: always if warm, else while its relative load stays within the cold limit. */
     private boolean fits(Server server, Slice slice) {
-        return warmth(server) >= 1 || relative(server, server.demand + each(slice)) <= coldPart();
+        return warmth(server) >= 1 || relativeLoad(server, server.demand + demandPerPrimary(slice)) <= coldLoadLimit();
     }
 
-    private double calmLoad, calmWhole;
+    /** The highest demand per usable capacity seen while the fleet was not overloaded. */
+    private double calmLoad;
+    /** The highest demand per size of the whole fleet seen while the fleet was not overloaded. */
+    private double calmLoadWholeFleet;
 
     /**
-     * A cold server's part of what the warm carry. When the fleet is sent a multiple of the most it bore
-     * calmly, its part shrinks, so that it stays under 0.4 of what would make it fall over, as keys
-     * that it hasn't met cost it more and its speed may be below the listed size.
+     * Returns the highest relative load that a cold server may be given, 0 to 1. When demand is a multiple of the
+     * highest calm load, the limit shrinks so that the server stays below 0.4 of the load that would make it fall over,
+     * as keys it has not seen cost it more and it may be slower than its listed size says.
      */
-    private double coldPart() {
-        // With less than two fifths of the fleet left the load is no calm one, however few flows are dropped:
-        // what the few bore is taken over the whole fleet then. It harms where most was taken out for good.
-        double calm = fleetSize < 0.4 * wholeSize ? calmWhole : calmLoad;
-        double multiple = calm <= 0 ? 1 : fleetDemand / fleetSize / calm;
-        return Math.min(1, set.fallMultiple() / 2.5 / Math.max(1, multiple));
+    private double coldLoadLimit() {
+        // With less than two fifths of the fleet left, the present load is not calm even if few flows are dropped, so
+        // the reference is then taken over the size of the whole fleet. Where most servers were removed for good, this
+        // makes the limit lower than necessary.
+        double calm = fleetCapacity < 0.4 * wholeFleetSize ? calmLoadWholeFleet : calmLoad;
+        double multiple = calm <= 0 ? 1 : fleetDemand / fleetCapacity / calm;
+        return Math.min(1, settings.fallMultiple() / 2.5 / Math.max(1, multiple));
     }
 
-    /** Guards cold servers: one that carries more than its part, however that came, loses slices at once. */
-    private void easeCold() {
+    /** Moves slices off cold servers that carry more than their limit, however that came about. */
+    private void relieveColdServers() {
         for (Server server : servers.values().stream()
-                .filter(v -> v.usable() && warmth(v) < 1)
+                .filter(candidate -> candidate.usable() && warmth(candidate) < 1)
                 .toList()) {
             for (Slice slice : slices) {
-                // A quarter over the part that fits keeps a slice from going back and forth.
-                if (relative(server, server.demand) > 1.25 * coldPart() && slice.mine && full(slice, server.id)) {
+                // A quarter above the limit for accepting a slice, so that slices do not go back and forth.
+                if (relativeLoad(server, server.demand) > 1.25 * coldLoadLimit()
+                        && slice.owned
+                        && isPrimary(slice, server.id)) {
                     Server target = leastLoaded(slice, server.id, false);
-                    // Not all on the one warm server left: twice its part is the most it is given.
-                    if (target != null && warmth(target) >= 1 && relative(target, target.demand + each(slice)) < 2) {
-                        shift(slice, server, target);
+                    // Where few warm servers are left, none is given more than twice the mean.
+                    if (target != null
+                            && warmth(target) >= 1
+                            && relativeLoad(target, target.demand + demandPerPrimary(slice)) < 2) {
+                        move(slice, server, target);
                     }
                 }
             }
         }
     }
 
-    /** The least-loaded server that the slice has no line on, in turn among those within 10% of the least. */
-    private Server leastLoaded(Slice slice, String source, boolean spare) {
-        List<Server> fit = new ArrayList<>();
-        for (int pass = 0; pass < 3 && fit.isEmpty(); pass++) {
-            int at = pass;
+    /**
+     * Chooses a server without a line of the slice: a well one that the slice fits, else any that it fits, else any
+     * usable one. Among those within 10% of the least-loaded the choice goes round robin.
+     *
+     * @param excluded id of a server not to choose, or null
+     * @param standby whether the server is to take a standby line, which only warm servers may
+     * @return the server, or null if there is none
+     */
+    private Server leastLoaded(Slice slice, String excluded, boolean standby) {
+        List<Server> candidates = new ArrayList<>();
+        for (int pass = 0; pass < 3 && candidates.isEmpty(); pass++) {
+            int currentPass = pass;
             servers.values().stream()
-                    .filter(v -> v.usable()
-                            && !slice.want.containsKey(v.id)
-                            && !v.id.equals(source)
-                            && (at > 0 || v.state == State.WELL)
-                            && (spare ? warmth(v) >= 1 : at > 1 || fits(v, slice)))
-                    .forEach(fit::add);
-        }
-        if (fit.isEmpty()) {
+                    .filter(server -> server.usable()
+                            && !slice.desired.containsKey(server.id)
+                            && !server.id.equals(excluded)
+                            && (currentPass > 0 || server.health == Health.WELL)
+                            && (standby ? warmth(server) >= 1 : currentPass > 1 || fits(server, slice)))
+                    .forEach(candidates::add);
+        }
+        if (candidates.isEmpty()) {
             return null;
         }
-        // A spare is chosen as if a third of what it stands by for had come, so that spares spread.
-        ToDoubleFunction<Server> rank = v -> v.score + (spare ? 0.3 * relative(v, v.spareDemand) : 0);
-        double least = fit.stream().mapToDouble(rank).min().orElse(0);
-        fit.removeIf(v -> rank.applyAsDouble(v) > least + 0.1 * Math.abs(least));
-        return fit.get((int) Math.floorMod(robin++, (long) fit.size()));
+        // For a standby line, a third of the demand a server stands by for counts as load, so that these lines spread.
+        ToDoubleFunction<Server> rank =
+                server -> server.score + (standby ? 0.3 * relativeLoad(server, server.standbyDemand) : 0);
+        double least = candidates.stream().mapToDouble(rank).min().orElse(0);
+        candidates.removeIf(server -> rank.applyAsDouble(server) > least + 0.1 * Math.abs(least));
+        return candidates.get((int) Math.floorMod(roundRobin++, (long) candidates.size()));
     }
 
-    // ---- Mending: every slice keeps a full line and a line to fall back on.
+    // ---- Repair: every slice keeps a primary line and a standby line.
 
-    /** A spare's part: enough to keep a connection and some keys warm, too little to cost anything. */
-    private static final double SPARE = 0.03;
+    /** Weight of a standby line: keeps a connection and some keys warm at negligible load. */
+    private static final double STANDBY_WEIGHT = 0.03;
 
-    private static final Comparator<Server> BY_SCORE = Comparator.comparingDouble(v -> v.score);
-
-    private void mendAll() {
-        // Nothing left to pick: what is listed ready must serve, ill or cold. And where most warm servers are
-        // masked as ill, cold ones would get it all and be pushed over, so the ill serve.
-        boolean none = servers.values().stream().noneMatch(Server::usable);
-        List<Server> warm =
-                servers.values().stream().filter(v -> v.ready && warmth(v) >= 1).toList();
-        long ill = warm.stream().filter(v -> v.state == State.ILL).count();
+    private void repairAll() {
+        // If no server is usable, whatever is listed ready must serve, ill or cold. If most warm servers are masked as
+        // ill, the cold ones would get all flows and be overloaded, so the ill ones serve as well.
+        boolean noneUsable = servers.values().stream().noneMatch(Server::usable);
+        List<Server> warm = servers.values().stream()
+                .filter(server -> server.ready && warmth(server) >= 1)
+                .toList();
+        long ill = warm.stream().filter(server -> server.health == Health.ILL).count();
         List<Server> needed = ill > warm.size() / 2 ? warm : List.of();
-        (none ? servers.values() : needed)
+        (noneUsable ? servers.values() : needed)
                 .stream()
-                        .filter(v -> none && v.ready || v.state == State.ILL)
+                        .filter(server -> noneUsable && server.ready || server.health == Health.ILL)
                         .toList()
-                        .forEach(v -> step(v, Input.NEEDED));
-        Arrays.stream(slices).filter(v -> v.mine).forEach(this::mend);
+                        .forEach(server -> transition(server, HealthInput.NEEDED));
+        Arrays.stream(slices).filter(slice -> slice.owned).forEach(this::repair);
     }
 
-    private void mend(Slice slice) {
-        double top = top(slice);
-        boolean bareSoon =
-                slice.want.keySet().stream().allMatch(id -> servers.get(id).leaving());
-        if (bareSoon && servers.values().stream().noneMatch(Server::usable)) {
+    private void repair(Slice slice) {
+        double maxWeight = maxWeight(slice);
+        boolean allLeaving =
+                slice.desired.keySet().stream().allMatch(id -> servers.get(id).leaving());
+        if (allLeaving && servers.values().stream().noneMatch(Server::usable)) {
             return;
         }
-        slice.want.keySet().removeIf(id -> servers.get(id).leaving());
-        List<Server> open = slice.want.keySet().stream()
+        slice.desired.keySet().removeIf(id -> servers.get(id).leaving());
+        List<Server> unmasked = slice.desired.keySet().stream()
                 .map(servers::get)
-                .filter(v -> !v.masked())
+                .filter(server -> !server.masked())
                 .toList();
-        boolean carried = open.stream().anyMatch(v -> slice.want.get(v.id) > top / 2);
-        Server spare = open.stream().min(BY_SCORE).orElse(null);
-        if (!carried) {
-            // Orphan. The spare was the least-loaded server when it was chosen and has carried the slice
-            // since the mask; it keeps it unless it is now above the mean.
-            boolean keep = spare != null && fits(spare, slice) && spare.score <= meanScore() + sliceLoad(slice, spare);
-            Server target = keep ? spare : leastLoaded(slice, null, false);
-            target = target == null ? spare : target;
+        boolean hasPrimary = unmasked.stream().anyMatch(server -> slice.desired.get(server.id) > maxWeight / 2);
+        Server standby = unmasked.stream().min(BY_SCORE).orElse(null);
+        if (!hasPrimary) {
+            // The slice is orphaned. Its standby server was the least-loaded when it was chosen and has carried the
+            // slice since the mask; it becomes the primary unless that would put it above the mean.
+            boolean promote =
+                    standby != null && fits(standby, slice) && standby.score <= meanScore() + scoreOf(slice, standby);
+            Server target = promote ? standby : leastLoaded(slice, null, false);
+            target = target == null ? standby : target;
             if (target != null) {
-                slice.want.replaceAll((id, weight) -> SPARE);
-                slice.want.put(target.id, 1.0);
-                moved(slice, null, target);
+                slice.desired.replaceAll((id, weight) -> STANDBY_WEIGHT);
+                slice.desired.put(target.id, 1.0);
+                recordMove(slice, null, target);
             }
         }
-        if (!set.soleOwner()) {
-            mendSpares(slice);
+        if (!settings.soleOwner()) {
+            repairStandby(slice);
         }
     }
 
     /**
-     * A slice hotter than a part of a server gets more full lines, fewer again when it cools. It halves the
-     * warmth of the keys on each, so the bounds lie well apart and well above an ordinary slice.
+     * Gives a slice with high demand more primaries, and fewer again when demand falls. Each further primary lowers the
+     * cache hit rate on all of them, so the thresholds lie far apart and well above an ordinary slice.
      */
-    private void spread(Slice slice, long usable) {
-        double part = fleetDemand <= 0 ? 0 : ownPart * slice.demand / fleetDemand * usable;
-        List<Server> lines = slice.want.keySet().stream()
-                .filter(id -> full(slice, id))
+    private void adjustPrimaries(Slice slice, long usableServers) {
+        double serversWorth = fleetDemand <= 0 ? 0 : ownedShare * slice.demand / fleetDemand * usableServers;
+        List<Server> primaries = slice.desired.keySet().stream()
+                .filter(id -> isPrimary(slice, id))
                 .map(servers::get)
                 .toList();
-        if (part / lines.size() > 0.5 && lines.size() < 4) {
+        if (serversWorth / primaries.size() > 0.5 && primaries.size() < 4) {
             Server target = leastLoaded(slice, null, false);
             if (target != null && fits(target, slice)) {
-                slice.want.put(target.id, top(slice));
-                moved(slice, null, target);
+                slice.desired.put(target.id, maxWeight(slice));
+                recordMove(slice, null, target);
             }
-        } else if (lines.size() > 1 && part / (lines.size() - 1) < 0.3) {
-            slice.want.remove(lines.stream().max(BY_SCORE).orElseThrow().id);
+        } else if (primaries.size() > 1 && serversWorth / (primaries.size() - 1) < 0.3) {
+            slice.desired.remove(primaries.stream().max(BY_SCORE).orElseThrow().id);
         }
     }
 
-    private void mendSpares(Slice slice) {
-        long usable = slice.want.keySet().stream()
+    /** Keeps two usable lines: adds a standby line if there are fewer, removes one if there are more. */
+    private void repairStandby(Slice slice) {
+        long usable = slice.desired.keySet().stream()
                 .filter(id -> !servers.get(id).masked())
                 .count();
         if (usable < 2) {
-            Server spare = leastLoaded(slice, null, true);
-            if (spare != null) {
-                slice.want.put(spare.id, SPARE * top(slice));
-                spare.spareDemand += slice.demand;
+            Server standby = leastLoaded(slice, null, true);
+            if (standby != null) {
+                slice.desired.put(standby.id, STANDBY_WEIGHT * maxWeight(slice));
+                standby.standbyDemand += slice.demand;
             }
         } else if (usable > 2) {
-            slice.want.keySet().stream()
-                    .filter(id -> !full(slice, id))
+            slice.desired.keySet().stream()
+                    .filter(id -> !isPrimary(slice, id))
                     .map(servers::get)
-                    .filter(v -> v.state == State.WELL)
+                    .filter(server -> server.health == Health.WELL)
                     .max(BY_SCORE)
-                    .ifPresent(v -> slice.want.remove(v.id));
+                    .ifPresent(server -> slice.desired.remove(server.id));
         }
     }
 
     private double meanScore() {
         return servers.values().stream()
                 .filter(Server::usable)
-                .mapToDouble(v -> v.score)
+                .mapToDouble(server -> server.score)
                 .average()
                 .orElse(0);
     }
 
-    // ---- Balancing, once a cycle.
+    // ---- Balancing, once per period.
+
+    private static final long BALANCE_PERIOD_NS = 5 * SECOND;
+    /** How long a slice stays on its server, as each move loses the warm keys there. */
+    private static final long MIN_STAY_NS = 20 * SECOND;
 
-    private static final long CYCLE = 5 * SECOND;
-    private final ArrayDeque<Long> moveTimes = new ArrayDeque<>();
+    private static final long EVEN_OUT_SPAN_NS = 60 * SECOND;
+    private static final int MAX_EVEN_OUT_MOVES_PER_SPAN = 6;
+    /** Times of the moves by evenOut() within the latest span. */
+    private final ArrayDeque<Long> evenOutTimesNs = new ArrayDeque<>();
 
     private void balance() {
-        if (now < cycleAt) {
+        if (nowNs < nextBalanceNs) {
             return;
         }
-        cycleAt = now + CYCLE;
-        // After a start: what stands is left alone until three rounds of sums have come.
-        if (rounds < 3) {
+        nextBalanceNs = nowNs + BALANCE_PERIOD_NS;
+        if (rounds < START_ROUNDS) {
             return;
         }
         List<Server> usable = servers.values().stream().filter(Server::usable).toList();
-        // Looked for anew only once something moved: else each of many targets would cost a look at all.
+        // The source and its movable slices are computed again only after a move; otherwise each of many targets would
+        // cost a scan of all slices.
         Server source = null;
-        List<Slice> offered = List.of();
-        long at = -1;
-        long hold = HOLD;
+        List<Slice> movable = List.of();
+        long movesWhenComputed = -1;
+        long minStayNs = MIN_STAY_NS;
         for (Server server : usable) {
-            if (server.state == State.WELL && relative(server, server.demand) < 0.5) {
-                // Guards a fleet most of which is replaced at once: its slices went to the few that stood,
-                // and would stay while the fresh idle. It harms where strain passes by itself: keys go cold.
-                long before = hold;
-                hold = strained && idle(server) ? CYCLE : HOLD;
-                source = at == moves ? source : usable.stream().max(BY_SCORE).orElseThrow();
-                offered = at == moves && hold == before ? offered : movable(source, hold);
-                at = moves;
-                gain(server, source, offered);
+            if (server.health == Health.WELL && relativeLoad(server, server.demand) < 0.5) {
+                // When most of a fleet is replaced at once, its slices go to the few servers that remain, and would
+                // stay there while fresh ones are idle. Where the overload passes by itself, the shorter stay loses
+                // warm keys for nothing.
+                long previousMinStayNs = minStayNs;
+                minStayNs = fleetOverloaded && seemsUnused(server) ? BALANCE_PERIOD_NS : MIN_STAY_NS;
+                source = movesWhenComputed == moveCount
+                        ? source
+                        : usable.stream().max(BY_SCORE).orElseThrow();
+                movable = movesWhenComputed == moveCount && minStayNs == previousMinStayNs
+                        ? movable
+                        : movableSlices(source, minStayNs);
+                movesWhenComputed = moveCount;
+                fill(server, source, movable);
             }
         }
-        even(usable);
+        evenOut(usable);
     }
 
-    /** A fresh server, or one back from illness, gains a slice a cycle from the most loaded. */
-    private void gain(Server target, Server source, List<Slice> offered) {
-        offered.stream()
-                .filter(v -> fits(target, v) && helps(v, source, target))
-                .max(Comparator.comparingDouble(v -> v.demand))
-                .ifPresent(v -> shift(v, source, target));
+    /** Moves one slice to a server with little load (fresh, or back from illness) from the most loaded one. */
+    private void fill(Server target, Server source, List<Slice> movable) {
+        movable.stream()
+                .filter(slice -> fits(target, slice) && improvesBalance(slice, source, target))
+                .max(Comparator.comparingDouble(slice -> slice.demand))
+                .ifPresent(slice -> move(slice, source, target));
     }
 
     /**
-     * Guards against the spiral of one overloaded server, whatever loads it (an uneven start, a hot slice,
-     * lost speed): one that drops or lags well more than the middle one gives its heaviest helpful slice to
-     * the least loaded, one a round of sums. It costs warm caches and empties a server whose trouble isn't
-     * load.
+     * Moves the heaviest slice whose move helps off an overloaded server, one per round of sums, whatever the cause (an
+     * uneven start, a hot slice, lost speed), so that the overload does not reinforce itself. This costs warm caches,
+     * and empties a server step by step whose trouble is not load.
      */
     private void relieve(Server source) {
-        source.pressed = false;
-        if (rounds < 3) {
+        source.overloaded = false;
+        if (rounds < START_ROUNDS) {
             return;
         }
-        Comparator<Slice> heaviest = Comparator.comparingDouble(v -> -v.demand);
-        for (Slice slice : movable(source, HOLD).stream().sorted(heaviest).toList()) {
+        Comparator<Slice> heaviestFirst = Comparator.comparingDouble(slice -> -slice.demand);
+        for (Slice slice : movableSlices(source, MIN_STAY_NS).stream()
+                .sorted(heaviestFirst)
+                .toList()) {
             Server target = leastLoaded(slice, source.id, false);
-            if (target != null && fits(target, slice) && !target.pressed && helps(slice, source, target)) {
-                shift(slice, source, target);
+            if (target != null && fits(target, slice) && !target.overloaded && improvesBalance(slice, source, target)) {
+                move(slice, source, target);
                 return;
             }
         }
     }
 
-    private void even(List<Server> usable) {
+    /** Moves the lightest movable slice of the servers above the standard deviation, if scores differ much. */
+    private void evenOut(List<Server> usable) {
         double mean = meanScore();
         double deviation = Math.sqrt(usable.stream()
-                .mapToDouble(v -> (v.score - mean) * (v.score - mean))
+                .mapToDouble(server -> (server.score - mean) * (server.score - mean))
                 .average()
                 .orElse(0));
-        while (!moveTimes.isEmpty() && now - moveTimes.peekFirst() > 60 * SECOND) {
-            moveTimes.pollFirst();
+        while (!evenOutTimesNs.isEmpty() && nowNs - evenOutTimesNs.peekFirst() > EVEN_OUT_SPAN_NS) {
+            evenOutTimesNs.pollFirst();
         }
-        if (deviation <= 0.3 * mean || moveTimes.size() >= 6) {
+        if (deviation <= 0.3 * mean || evenOutTimesNs.size() >= MAX_EVEN_OUT_MOVES_PER_SPAN) {
             return;
         }
         Slice lightest = null;
         Server from = null;
         for (Server source : usable) {
             if (source.score > mean + deviation) {
-                for (Slice slice : movable(source, HOLD)) {
+                for (Slice slice : movableSlices(source, MIN_STAY_NS)) {
                     if (lightest == null || slice.demand < lightest.demand) {
                         lightest = slice;
                         from = source;
@@ -1005,247 +1221,294 @@
         }
         if (lightest != null) {
             Server target = leastLoaded(lightest, from.id, false);
-            if (target != null && helps(lightest, from, target)) {
-                shift(lightest, from, target);
-                moveTimes.addLast(now);
+            if (target != null && improvesBalance(lightest, from, target)) {
+                move(lightest, from, target);
+                evenOutTimesNs.addLast(nowNs);
             }
         }
     }
 
-    private boolean helps(Slice slice, Server source, Server target) {
-        return source != target && target.score + sliceLoad(slice, target) < source.score - sliceLoad(slice, source);
+    /** Whether the target stays below the source in score after the move. */
+    private boolean improvesBalance(Slice slice, Server source, Server target) {
+        return source != target && target.score + scoreOf(slice, target) < source.score - scoreOf(slice, source);
     }
 
-    /** How long a slice stays where it came, as each move costs warm keys. */
-    private static final long HOLD = 20 * SECOND;
-
-    private List<Slice> movable(Server source, long hold) {
+    /** Returns the owned slices that have a primary line to the server and were last moved long enough ago. */
+    private List<Slice> movableSlices(Server source, long minStayNs) {
         return Arrays.stream(slices)
-                .filter(v -> v.mine && full(v, source.id) && now - v.movedAt > hold)
+                .filter(slice -> slice.owned && isPrimary(slice, source.id) && nowNs - slice.movedAtNs > minStayNs)
                 .toList();
     }
 
-    private void shift(Slice slice, Server from, Server to) {
-        slice.want.put(to.id, Math.max(1, top(slice)));
-        slice.want.remove(from.id);
-        moved(slice, from, to);
+    private void move(Slice slice, Server from, Server to) {
+        slice.desired.put(to.id, Math.max(1, maxWeight(slice)));
+        slice.desired.remove(from.id);
+        recordMove(slice, from, to);
         log("move " + slice.number + " " + from.id + " -> " + to.id);
     }
 
-    // ---- Deciding and sending.
+    // ---- Deciding and pushing.
 
     private void decide() {
-        dirty = false;
-        lined = null;
+        decisionDue = false;
+        serversWithLines = null;
         for (Server server : servers.values()) {
-            if (server.state == State.ILL && now >= server.holdUntil) {
-                step(server, Input.HOLD_OVER);
-            } else if (server.state == State.RETURNING && server.ready && noLineOn(server.id)) {
-                step(server, Input.EMPTIED);
+            if (server.health == Health.ILL && nowNs >= server.holdUntilNs) {
+                transition(server, HealthInput.HOLD_OVER);
+            } else if (server.health == Health.RETURNING && server.ready && hasNoLine(server.id)) {
+                transition(server, HealthInput.EMPTIED);
             }
         }
-        weigh();
-        mendAll();
-        easeCold();
-        if (newRound && rounds >= 3 && !set.soleOwner()) {
+        updateScores();
+        repairAll();
+        relieveColdServers();
+        if (newRound && rounds >= START_ROUNDS && !settings.soleOwner()) {
             long usable = servers.values().stream().filter(Server::usable).count();
-            Arrays.stream(slices).filter(v -> v.mine).forEach(v -> spread(v, usable));
+            Arrays.stream(slices).filter(slice -> slice.owned).forEach(slice -> adjustPrimaries(slice, usable));
             newRound = false;
         }
-        servers.values().stream().filter(v -> v.pressed && v.usable()).forEach(this::relieve);
+        servers.values().stream()
+                .filter(server -> server.overloaded && server.usable())
+                .forEach(this::relieve);
         balance();
         push();
     }
 
-    /** Servers that sent lines of own slices name, looked for once a decision and a push; null: not yet. */
-    private Set<String> lined;
+    /** Servers that sent lines of owned slices name; computed at most once per decision and push, null: not yet. */
+    private Set<String> serversWithLines;
 
-    private boolean noLineOn(String id) {
-        if (lined == null) {
-            lined = new HashSet<>();
-            Arrays.stream(slices).filter(v -> v.mine).forEach(v -> lined.addAll(v.sent.keySet()));
+    private boolean hasNoLine(String id) {
+        if (serversWithLines == null) {
+            serversWithLines = new HashSet<>();
+            Arrays.stream(slices)
+                    .filter(slice -> slice.owned)
+                    .forEach(slice -> serversWithLines.addAll(slice.sent.keySet()));
         }
-        return !lined.contains(id);
+        return !serversWithLines.contains(id);
     }
 
-    /**
-     * 0: nothing is open to pick, or will be once a server that left is masked; 1: the full line's server is
-     * masked, or is to be; 2: one line is open; 3: it can wait. An ill server's mask waits for the slice.
-     */
+    /** Proxies have no usable line of the slice, or will have none once a server that left is masked. */
+    private static final int URGENCY_UNREACHABLE = 0;
+    /** The primary's server is masked or about to be. */
+    private static final int URGENCY_PRIMARY_MASKED = 1;
+    /** Only one line is usable. */
+    private static final int URGENCY_SINGLE_LINE = 2;
+
+    private static final int URGENCY_LOW = 3;
+
+    /** Returns how urgently a slice's new lines are needed. The mask of an ill server waits for its slices' lines. */
     private int urgency(Slice slice) {
-        double top = slice.sent.values().stream().max(Double::compare).orElse(0.0);
+        double maxWeight = slice.sent.values().stream().max(Double::compare).orElse(0.0);
         List<Server> lines = slice.sent.keySet().stream().map(servers::get).toList();
-        boolean held = lines.stream().allMatch(v -> v.leaving() || maskSent.contains(v.id));
-        boolean headless = lines.stream().anyMatch(v -> v.masked() && slice.sent.get(v.id) > top / 2);
-        boolean blocks = lines.stream().anyMatch(v -> v.leaving() && !maskSent.contains(v.id));
-        long open = lines.stream().filter(v -> !v.masked()).count();
-        return open == 0 && (held || blocks) ? 0 : headless ? 1 : open < 2 ? 2 : 3;
-    }
-
+        boolean allMaskedOrLeaving =
+                lines.stream().allMatch(server -> server.leaving() || sentMasks.contains(server.id));
+        boolean primaryMasked =
+                lines.stream().anyMatch(server -> server.masked() && slice.sent.get(server.id) > maxWeight / 2);
+        boolean delaysMask = lines.stream().anyMatch(server -> server.leaving() && !sentMasks.contains(server.id));
+        long unmasked = lines.stream().filter(server -> !server.masked()).count();
+        return unmasked == 0 && (allMaskedOrLeaving || delaysMask)
+                ? URGENCY_UNREACHABLE
+                : primaryMasked ? URGENCY_PRIMARY_MASKED : unmasked < 2 ? URGENCY_SINGLE_LINE : URGENCY_LOW;
+    }
+
+    /** Sends what has changed, if the queue to the proxies and the limit on messages have room for enough of it. */
     private void push() {
-        Arrays.stream(slices).filter(v -> v.want.equals(v.sent)).forEach(v -> v.settledAt = now);
-        lined = null;
-        List<Slice> late = Arrays.stream(slices)
-                .filter(v -> v.mine && !v.want.equals(v.sent))
+        Arrays.stream(slices)
+                .filter(slice -> slice.desired.equals(slice.sent))
+                .forEach(slice -> slice.settledAtNs = nowNs);
+        serversWithLines = null;
+        List<Slice> changed = Arrays.stream(slices)
+                .filter(slice -> slice.owned && !slice.desired.equals(slice.sent))
                 .toList();
-        late.forEach(v -> v.urgency = urgency(v));
-        List<Slice> due = late.stream()
-                .sorted(Comparator.<Slice>comparingInt(v -> v.urgency)
-                        .thenComparing(v -> v.settledAt)
-                        .thenComparing(v -> v.number))
+        changed.forEach(slice -> slice.urgency = urgency(slice));
+        List<Slice> due = changed.stream()
+                .sorted(Comparator.<Slice>comparingInt(slice -> slice.urgency)
+                        .thenComparing(slice -> slice.settledAtNs)
+                        .thenComparing(slice -> slice.number))
                 .toList();
         List<Server> masks = servers.values().stream()
-                .filter(v -> v.masked() && (masksDue.contains(v.id) || !maskSent.contains(v.id)) && !noLineOn(v.id))
-                .sorted(Comparator.comparing(v -> maskSent.contains(v.id)))
+                .filter(server -> server.masked()
+                        && (masksToRestate.contains(server.id) || !sentMasks.contains(server.id))
+                        && !hasNoLine(server.id))
+                .sorted(Comparator.comparing(server -> sentMasks.contains(server.id)))
                 .toList();
-        TreeSet<String> lifted = new TreeSet<>(maskSent);
-        lifted.addAll(masksDue);
+        TreeSet<String> lifted = new TreeSet<>(sentMasks);
+        lifted.addAll(masksToRestate);
         lifted.removeIf(id -> servers.get(id).masked());
-        // What the rules demand: a server that left, a slice with nothing open. Illness waits for its turn.
-        boolean binding = masks.stream().anyMatch(Server::leaving) || !due.isEmpty() && urgency(due.get(0)) == 0;
-        if (joined.isEmpty() || masks.isEmpty() && due.isEmpty() && lifted.isEmpty() && !levelsDue) {
+        // Only a server that left and a slice without a usable line are subject to a deadline; illness is not.
+        boolean urgent = masks.stream().anyMatch(Server::leaving)
+                || !due.isEmpty() && urgency(due.get(0)) == URGENCY_UNREACHABLE;
+        if (joinedProxies.isEmpty() || masks.isEmpty() && due.isEmpty() && lifted.isEmpty() && !levelsDue) {
             return;
         }
-        // Guards the queue where proxies come by the hundred: a turn reaches all that have joined by then,
-        // known here or not, so it is sized for as many as there are. It harms where some can't reach us for
-        // long: turns are smaller than they need be.
-        int reach = Math.max(joined.size(), set.proxies());
-        // Unacknowledged lines count as queued but for a credit of most of the usual pace, as an answer takes
-        // its time; the credit is bound, so that a channel just become slow stays under its limit too (0.9).
-        // The ordinary fills no more than goes out in a quarter of the grace: a drain queues behind it.
-        double ahead = set.linesPerS() * set.graceNs() / SECOND / 4 / set.queueLimit();
-        double ordinary = Math.min(0.48, ahead);
-        double part = binding ? 0.7 : ordinary;
-        double waiting =
-                turns.stream().mapToDouble(v -> v.linesEach * v.waiting.size()).sum();
-        long age = turns.isEmpty() ? 0 : now - turns.peekFirst().sentAt;
-        double known = (binding ? 0.2 : 0.37) * set.queueLimit();
-        double credit = Math.min(known, 0.8 * set.linesPerS() * age / SECOND);
-        double heads = set.head() + 1 + levelLines;
-        double most = set.queueLimit() * part / reach - heads;
-        double lines = most - Math.max(0, waiting - credit) / reach;
-        // A turn costs its heads: it waits until most of what it needs has room, but never for ever.
-        long bare = due.stream().filter(v -> urgency(v) == 0).count();
-        double worth = binding
-                ? Math.min(masks.size() + bare, 0.4 * most)
-                : Math.min(masks.size() + lifted.size() + 2 * due.size(), 0.6 * most);
-        if (!mayTurn(binding) || lines < worth && !turns.isEmpty()) {
-            dirty |= binding;
+        // While proxies join by the hundred, a push reaches all that have joined by the time it is carried out, known
+        // here or not, so it is sized for the configured number. If some proxies cannot reach this coordinator for a
+        // long time, pushes are smaller than necessary.
+        int proxies = Math.max(joinedProxies.size(), settings.proxies());
+        // Unacknowledged lines count as queued, less a credit of 0.8 of the usual rate since the oldest push, as an
+        // acknowledgement takes time to arrive. The credit is capped, so that even a channel that has just become slow
+        // stays below 0.9 of its limit. Ordinary pushes fill no more than is sent in a quarter of the grace period,
+        // since a drain queues behind them.
+        double quarterGrace = settings.linesPerS() * settings.graceNs() / SECOND / 4 / settings.queueLimit();
+        double ordinaryShare = Math.min(0.48, quarterGrace);
+        double share = urgent ? 0.7 : ordinaryShare;
+        double unacknowledgedLines = pushes.stream()
+                .mapToDouble(push -> push.linesPerProxy * push.unacknowledged.size())
+                .sum();
+        long oldestAgeNs = pushes.isEmpty() ? 0 : nowNs - pushes.peekFirst().sentAtNs;
+        double maxCredit = (urgent ? 0.2 : 0.37) * settings.queueLimit();
+        double credit = Math.min(maxCredit, 0.8 * settings.linesPerS() * oldestAgeNs / SECOND);
+        double overheadLines = settings.head() + 1 + levelLines;
+        double maxLines = settings.queueLimit() * share / proxies - overheadLines;
+        double lines = maxLines - Math.max(0, unacknowledgedLines - credit) / proxies;
+        // Each push costs its overhead, so it waits until there is room for most of what it has to carry; but it does
+        // not wait while no other push is unacknowledged.
+        long unreachable = due.stream()
+                .filter(slice -> urgency(slice) == URGENCY_UNREACHABLE)
+                .count();
+        double worthwhileLines = urgent
+                ? Math.min(masks.size() + unreachable, 0.4 * maxLines)
+                : Math.min(masks.size() + lifted.size() + 2 * due.size(), 0.6 * maxLines);
+        if (!mayPush(urgent) || lines < worthwhileLines && !pushes.isEmpty()) {
+            decisionDue |= urgent;
             return;
         }
-        send(due, masks, lifted, lines, lines - (part - ordinary) * set.queueLimit() / reach);
+        send(due, masks, lifted, lines, lines - (share - ordinaryShare) * settings.queueLimit() / proxies);
     }
 
-    private boolean mayTurn(boolean binding) {
-        // Without a limit on messages four ordinary turns a second; with one, half of what it allows.
-        long gap = set.messagesAllowed() > 0 ? 2 * set.messagesSpanNs() / set.messagesAllowed() : 250 * MS;
-        while (!turnTimes.isEmpty() && now - turnTimes.peekFirst() > set.messagesSpanNs()) {
-            turnTimes.pollFirst();
+    private boolean mayPush(boolean urgent) {
+        // Ordinary pushes: without a limit on messages four a second, with one at half the rate it allows.
+        long gapNs =
+                settings.messagesAllowed() > 0 ? 2 * settings.messagesSpanNs() / settings.messagesAllowed() : 250 * MS;
+        while (!pushTimesNs.isEmpty() && nowNs - pushTimesNs.peekFirst() > settings.messagesSpanNs()) {
+            pushTimesNs.pollFirst();
         }
-        // The other half is kept for drains and orphans, a tenth for the unforeseen.
-        return now - lastTurn >= (binding ? 200 * MS : gap)
-                && (set.messagesAllowed() == 0 || turnTimes.size() < set.messagesAllowed() * (binding ? 0.9 : 0.5));
+        // Of the allowed messages half is kept for drains and orphaned slices, and of that a tenth of all in reserve.
+        return nowNs - lastPushNs >= (urgent ? 200 * MS : gapNs)
+                && (settings.messagesAllowed() == 0
+                        || pushTimesNs.size() < settings.messagesAllowed() * (urgent ? 0.9 : 0.5));
     }
 
+    /** Lines that the latest levels took in a push. */
     private int levelLines;
 
-    private void send(List<Slice> due, List<Server> masks, TreeSet<String> lifted, double lines, double rest) {
-        int before = out.size();
-        double full = before + Math.max(1, lines);
+    /**
+     * Adds one push to the orders.
+     *
+     * @param due changed slices, the most urgent first
+     * @param masks servers to mask
+     * @param lifted servers whose mask is to be lifted, or stated again to be absent
+     * @param lines the most lines the push may have
+     * @param ordinaryLines the most lines to which orders without a deadline may fill the push
+     */
+    private void send(List<Slice> due, List<Server> masks, TreeSet<String> lifted, double lines, double ordinaryLines) {
+        int before = orders.size();
+        double limit = before + Math.max(1, lines);
         if (levelsDue) {
             levelsDue = false;
-            levelLines = setLevels();
-        }
-        // Guards the grace where much of the fleet goes at once: a line for each slice that would be bare,
-        // then the masks that leave none bare, and only then all else, old lines of masked servers too.
-        // The masks keep up to half of the room, and what has none waits for the next turn: after a restart
-        // or a giving all masks are said again, and beyond the turn's size they would overfill the channel.
-        // It harms where more servers leave at once than a turn holds: the last masks come a turn later.
-        double tops = full - Math.min(masks.size(), (full - before) / 2);
-        due.stream().filter(v -> urgency(v) == 0 && out.size() < tops).forEach(this::sendTop);
-        // A mask that stands though its server serves again could hold up the mask of one that left.
+            levelLines = sendLevels();
+        }
+        // Keeps the grace period where much of the fleet leaves at once: first a line for each slice that would be
+        // unreachable, then the masks that leave none unreachable, and only then everything else, such as old lines of
+        // masked servers. Masks are reserved up to half of the room, and what does not fit waits for the next push:
+        // after a restart or a change of ownership all masks are stated again, and beyond the size of the push they
+        // would overfill the channel. Where more servers leave at once than one push holds, the last masks are one
+        // push late.
+        double unreachableLimit = limit - Math.min(masks.size(), (limit - before) / 2);
+        due.stream()
+                .filter(slice -> urgency(slice) == URGENCY_UNREACHABLE && orders.size() < unreachableLimit)
+                .forEach(this::sendPrimary);
+        // The mask of a server that serves again could delay the mask of one that left, so lifting it comes first.
         for (String id : lifted) {
-            if (out.size() < (maskSent.contains(id) ? full : before + rest)) {
-                out.add(new Order.Mask(id, false));
-                maskSent.remove(id);
-                masksDue.remove(id);
+            if (orders.size() < (sentMasks.contains(id) ? limit : before + ordinaryLines)) {
+                orders.add(new Order.Mask(id, false));
+                sentMasks.remove(id);
+                masksToRestate.remove(id);
             }
         }
-        // Guards the grace where much of the fleet goes at once and the channel is full: a mask that would
-        // leave a slice bare waits for its line, but no longer than a sixth of the grace. The rest is for the
-        // turn, the queue and the way. A bare slice's flows would find nobody at a server that left; its line
-        // goes first in the next turn. It harms where a draining server would have served them still.
+        // A mask that would leave a slice unreachable waits for the slice's new line, but where the channel is full no
+        // longer than a sixth of the grace period; the rest is needed for the interval between pushes, the queue and
+        // the delivery. Such a slice's flows would find no server at one that left, and its line goes first in the next
+        // push. Where the server is only draining, it would still have served them.
         for (Server server : masks) {
-            if (out.size() >= full) {
+            if (orders.size() >= limit) {
                 break;
             }
-            if (server.leaving() && now - server.bindsSince > set.graceNs() / 6 || !leavesBare(server.id)) {
-                out.add(new Order.Mask(server.id, true));
-                maskSent.add(server.id);
+            if (server.leaving() && nowNs - server.maskRequiredSinceNs > settings.graceNs() / 6
+                    || !leavesUnreachable(server.id)) {
+                orders.add(new Order.Mask(server.id, true));
+                sentMasks.add(server.id);
                 everMasked.add(server.id);
-                masksDue.remove(server.id);
+                masksToRestate.remove(server.id);
             }
         }
         due.stream()
-                .filter(v -> out.size() < before + rest || out.size() == before && turns.isEmpty())
-                .forEach(v -> sendSlice(v, false));
-        due.stream().filter(v -> out.size() < before + rest).forEach(v -> sendSlice(v, true));
-        if (out.size() > before) {
+                .filter(slice -> orders.size() < before + ordinaryLines || orders.size() == before && pushes.isEmpty())
+                .forEach(slice -> sendSlice(slice, false));
+        due.stream().filter(slice -> orders.size() < before + ordinaryLines).forEach(slice -> sendSlice(slice, true));
+        if (orders.size() > before) {
             mark = (mark + 1) % 65536;
-            // Guards against a turn that nobody answers, which would hold up all that follow: its slices
-            // were taken away meanwhile, or no table has its masks. A turn counts for every proxy, so all are
-            // asked; it harms by a head for each proxy where a turn would have reached none.
-            out.add(new Order.Mark(mark, true));
-            double each = set.head() + out.size() - before + levelLines;
-            turns.addLast(new Turn(mark, now, each, new TreeSet<>(joined)));
-            turnTimes.addLast(now);
-            lastTurn = now;
+            // Every proxy is asked to acknowledge. Otherwise a push whose slices were taken away meanwhile, or whose
+            // masks are in no table, would never be acknowledged and would hold up all that follow. This costs the
+            // overhead for each proxy where a push would have reached none.
+            orders.add(new Order.Mark(mark, true));
+            double linesPerProxy = settings.head() + orders.size() - before + levelLines;
+            pushes.addLast(new Push(mark, nowNs, linesPerProxy, new TreeSet<>(joinedProxies)));
+            pushTimesNs.addLast(nowNs);
+            lastPushNs = nowNs;
         }
     }
 
-    /** The heaviest of the new lines alone: what a slice needs so as not to be bare. */
-    private void sendTop(Slice slice) {
-        slice.want.entrySet().stream()
-                .filter(v -> !servers.get(v.getKey()).masked())
+    /** Sends only the heaviest new line of a slice: enough to make it reachable. */
+    private void sendPrimary(Slice slice) {
+        slice.desired.entrySet().stream()
+                .filter(line -> !servers.get(line.getKey()).masked())
                 .max(Map.Entry.comparingByValue())
-                .ifPresent(v -> sendLine(slice, v.getKey(), v.getValue()));
+                .ifPresent(line -> sendLine(slice, line.getKey(), line.getValue()));
     }
 
-    /** New lines and old ones; old lines of masked servers cost nothing but their place and go last. */
-    private void sendSlice(Slice slice, boolean all) {
-        slice.want.forEach((id, weight) -> sendLine(slice, id, weight));
+    /**
+     * Sends the new lines of a slice and removes old ones. Old lines to masked servers do no harm, so they are removed
+     * only if {@code withMasked} is set, after everything else.
+     */
+    private void sendSlice(Slice slice, boolean withMasked) {
+        slice.desired.forEach((id, weight) -> sendLine(slice, id, weight));
         List.copyOf(slice.sent.keySet()).stream()
-                .filter(id -> !slice.want.containsKey(id) && (all || !maskSent.contains(id)))
+                .filter(id -> !slice.desired.containsKey(id) && (withMasked || !sentMasks.contains(id)))
                 .forEach(id -> sendLine(slice, id, 0));
     }
 
+    /** Sends one line if its weight has changed; weight 0 removes it. */
     private void sendLine(Slice slice, String id, double weight) {
         if (weight != slice.sent.getOrDefault(id, 0.0)) {
-            out.add(new Order.SetLine(slice.number, id, weight));
+            orders.add(new Order.SetLine(slice.number, id, weight));
             slice.sent.put(id, weight);
         }
         slice.sent.remove(id, 0.0);
     }
 
-    private boolean leavesBare(String id) {
+    /** Whether a mask for this server would leave an owned slice without a usable line, though servers are usable. */
+    private boolean leavesUnreachable(String id) {
         return servers.values().stream().anyMatch(Server::usable)
                 && Arrays.stream(slices)
-                        .anyMatch(v -> v.mine
-                                && v.sent.containsKey(id)
-                                && v.sent.keySet().stream().allMatch(s -> s.equals(id) || maskSent.contains(s)));
+                        .anyMatch(slice -> slice.owned
+                                && slice.sent.containsKey(id)
+                                && slice.sent.keySet().stream()
+                                        .allMatch(other -> other.equals(id) || sentMasks.contains(other)));
     }
 
     /**
-     * States the way of trying again, on proof that the first never ran: a repeat then can't take effect
-     * twice, nor double the work of servers that are late already, which is how overload turns into collapse.
+     * Sends level and retry rule of all groups and returns the number of orders. Retries are allowed only on proof that
+     * the first attempt never ran: a repeat then cannot take effect twice, nor double the work of servers that are
+     * already late, which is how overload turns into collapse.
      */
-    private int setLevels() {
-        TreeMap<Double, Integer> levels = new TreeMap<>();
-        for (int i = 0; i < set.groups().size(); i++) {
-            levels.merge(level(i), 1 << i, Integer::sum);
-        }
-        levels.forEach((level, groups) -> out.add(new Order.SetLevel(
-                Order.ALL_TABLES, groups, level, strained || crowded ? Retry.NEVER : Retry.ON_PROOF)));
-        return levels.size();
+    private int sendLevels() {
+        TreeMap<Double, Integer> groupsByLevel = new TreeMap<>();
+        for (int i = 0; i < settings.groups().size(); i++) {
+            groupsByLevel.merge(level(i), 1 << i, Integer::sum);
+        }
+        groupsByLevel.forEach((level, groups) -> orders.add(new Order.SetLevel(
+                Order.ALL_TABLES, groups, level, fleetOverloaded || retriesSuspended ? Retry.NEVER : Retry.ON_PROOF)));
+        return groupsByLevel.size();
     }
 }
