--- a/src/main/java/puffinbarrow/control/Controller.java
+++ b/src/main/java/puffinbarrow/control/Controller.java
@@ -2,17 +2,26 @@
 
 import java.util.List;
 
-/** What a host asks of a coordinator's decisions: all that came in at one time goes in, orders come out. */
+/**
+ * The decisions of one coordinator. The host passes in the events that arrived together and carries out the orders
+ * returned. An instance is called by one thread at a time.
+ */
 public interface Controller {
+    /**
+     * Applies events and returns the orders that follow from them, to be carried out in this order.
+     *
+     * @param nowNs time on the host's clock
+     */
     List<Order> handle(long nowNs, List<Event> events);
 
-    /** What it has learned and would want to hear of again after a restart; asked for now and then. */
+    /** Returns what is worth remembering across a restart, to be given back as events. Called at intervals. */
     default List<Event.Recalled> known() {
         return List.of();
     }
 
-    /** Makes a coordinator that knows nothing but its settings and the seed of its chance. */
+    /** Creates the controller of a coordinator that starts. */
     interface Factory {
+        /** Returns a controller without any state; {@code seed} determines all its random choices. */
         Controller start(Settings settings, long seed);
     }
 }
--- a/src/main/java/puffinbarrow/control/Order.java
+++ b/src/main/java/puffinbarrow/control/Order.java
@@ -1,40 +1,64 @@
 package puffinbarrow.control;
 
-/** What a coordinator can order. Orders take effect in the order given. */
+/** What a coordinator orders. Orders are carried out in the order given. */
 public sealed interface Order {
+    /** Table number that stands for all tables. */
     int ALL_TABLES = 65535;
 
-    /** When a proxy tries another server: never, on proof that the first never ran, or after any failure. */
+    /** When a proxy may retry a flow at another server. */
     enum Retry {
         NEVER,
+        /** Once it is proven that the first attempt never ran. */
         ON_PROOF,
+        /** Once, after any failure. */
         ONCE,
+        /** Twice, after any failures. */
         TWICE
     }
 
+    /** Sets the weight of a server in a table; 0 removes the line. */
     record SetLine(int table, String server, double weight) implements Order {}
 
+    /** Removes all lines of a table. */
     record ClearTable(int table) implements Order {}
 
-    /** Puts a proxy on a table, for the traffic groups in the bit set (0: all). */
+    /** Makes a proxy use a table for the traffic groups in the bit set (0: all). */
     record Bind(int table, int proxy, int groups) implements Order {}
 
+    /** Masks a server in all tables ({@code out}), or lifts its mask. Proxies send nothing new to a masked server. */
     record Mask(String server, boolean out) implements Order {}
 
+    /**
+     * Sets how much of some traffic groups is admitted, and their retries.
+     *
+     * @param groups bit set of traffic groups
+     * @param level share of the flows, 0 to 1, or flows per second if the settings say that levels are rates
+     */
     record SetLevel(int table, int groups, double level, Retry retry) implements Order {}
 
+    /**
+     * Asks for an acknowledgement ({@link Event.InForce}) of all orders up to here.
+     *
+     * @param number 0 to 65535
+     * @param everyProxy whether all proxies are asked, or only those that the orders before it reach
+     */
     record Mark(int number, boolean everyProxy) implements Order {}
 
+    /** Starts or ends following the server list. */
     record Follow(boolean on) implements Order {}
 
+    /** Requests the whole server list once. */
     record FetchList() implements Order {}
 
+    /** Requests a {@link Event.Timer} with this label at this time. */
     record WakeAt(long atNs, long label) implements Order {}
 
+    /** Probes a server; answered by {@link Event.Probed}. */
     record Probe(String server) implements Order {}
 
-    /** A message to one peer, or to all with -1. */
+    /** Sends a message to one other coordinator, or to all if {@code peer} is -1. */
     record Tell(int peer, String text) implements Order {}
 
+    /** Writes a line to the decision log. */
     record Log(String text) implements Order {}
 }
