--- a/src/main/java/puffinbarrow/wire/Facts.java
+++ b/src/main/java/puffinbarrow/wire/Facts.java
@@ -5,35 +5,46 @@
 import java.util.Map;
 import puffinbarrow.control.Settings;
 
-/** Turns the wire's settings into ours; keys that are not known here are passed over. */
+/** Converts the settings of the wire and of the service's configuration to {@link Settings}; ignores unknown keys. */
 public final class Facts {
-    /** What hosts that speak in names need of the settings: each list in the order that numbers count in. */
+    /**
+     * What a host that uses names in place of numbers needs from the settings.
+     *
+     * @param zones names by zone number
+     * @param kinds machine types by number
+     * @param groups traffic groups by number
+     * @param proxies number of proxies
+     * @param slices number of slices
+     */
     public record Names(List<String> zones, List<String> kinds, List<String> groups, int proxies, int slices) {}
 
     private Facts() {}
 
-    public static Names names(Object facts) {
-        Map<?, ?> all = map(facts, "Facts");
+    /** Returns the names in a settings object as {@link Json#any} reads it. */
+    public static Names names(Object settings) {
+        Map<?, ?> all = map(settings, "Facts");
         Map<?, ?> domain = map(all.get("Domain"), "Domain");
         List<String> groups = new ArrayList<>();
-        for (Object each : list(all.get("RequestClasses"), "RequestClasses")) {
-            groups.add(String.valueOf(map(each, "RequestClasses").get("Name")));
+        for (Object group : list(all.get("RequestClasses"), "RequestClasses")) {
+            groups.add(String.valueOf(map(group, "RequestClasses").get("Name")));
         }
-        return new Names(texts(all, "Zones"), texts(all, "Models"), groups, (int) whole(domain, "ProxyCount"), (int)
-                whole(domain, "Ranges"));
+        return new Names(
+                strings(all, "Zones"), strings(all, "Models"), groups, (int) longValue(domain, "ProxyCount"), (int)
+                        longValue(domain, "Ranges"));
     }
 
-    private static List<String> texts(Map<?, ?> from, String key) {
-        return list(from.get(key), key).stream().map(String::valueOf).toList();
+    private static List<String> strings(Map<?, ?> object, String key) {
+        return list(object.get(key), key).stream().map(String::valueOf).toList();
     }
 
-    public static Settings settings(Object facts) {
-        Map<?, ?> all = map(facts, "Facts");
+    /** Returns the settings in a settings object as {@link Json#any} reads it; a missing key counts as 0 or false. */
+    public static Settings settings(Object settings) {
+        Map<?, ?> all = map(settings, "Facts");
         Map<?, ?> domain = map(all.get("Domain"), "Domain");
         Map<?, ?> rules = map(all.get("Rules"), "Rules");
         List<Settings.Group> groups = new ArrayList<>();
-        for (Object each : list(all.get("RequestClasses"), "RequestClasses")) {
-            groups.add(group(map(each, "RequestClasses")));
+        for (Object group : list(all.get("RequestClasses"), "RequestClasses")) {
+            groups.add(group(map(group, "RequestClasses")));
         }
         String throttle = String.valueOf(domain.get("ThrottleBy"));
         return new Settings(
@@ -41,68 +52,68 @@
                 throttle.equals("per_second"),
                 !throttle.equals("off"),
                 groups,
-                (int) whole(domain, "Ranges"),
-                flag(domain, "SoleOwner"),
-                real(domain, "Backlog"),
-                real(domain, "EgressPerS"),
-                real(domain, "Overhead"),
-                (int) whole(domain, "PushesAllowed"),
-                whole(domain, "CountedOverNs"),
-                whole(domain, "ReportEveryNs"),
-                whole(rules, "StopSendingWithinNs"),
-                whole(rules, "WarmWithinNs"),
-                real(rules, "StartCapacity"),
-                real(rules, "FallMultiple"),
-                flag(map(all.get("Ceilings"), "Ceilings"), "Probes"),
-                flag(rules, "DroppedStayOpen"),
-                whole(domain, "Ranges") > 0 ? (int) whole(domain, "ProxyCount") : 0);
+                (int) longValue(domain, "Ranges"),
+                booleanValue(domain, "SoleOwner"),
+                doubleValue(domain, "Backlog"),
+                doubleValue(domain, "EgressPerS"),
+                doubleValue(domain, "Overhead"),
+                (int) longValue(domain, "PushesAllowed"),
+                longValue(domain, "CountedOverNs"),
+                longValue(domain, "ReportEveryNs"),
+                longValue(rules, "StopSendingWithinNs"),
+                longValue(rules, "WarmWithinNs"),
+                doubleValue(rules, "StartCapacity"),
+                doubleValue(rules, "FallMultiple"),
+                booleanValue(map(all.get("Ceilings"), "Ceilings"), "Probes"),
+                booleanValue(rules, "DroppedStayOpen"),
+                longValue(domain, "Ranges") > 0 ? (int) longValue(domain, "ProxyCount") : 0);
     }
 
-    private static Settings.Group group(Map<?, ?> each) {
-        return new Settings.Group(real(each, "Importance"), whole(each, "AimNs"));
+    private static Settings.Group group(Map<?, ?> group) {
+        return new Settings.Group(doubleValue(group, "Importance"), longValue(group, "AimNs"));
     }
 
-    private static double real(Map<?, ?> from, String key) {
-        Object value = from.get(key);
+    private static double doubleValue(Map<?, ?> object, String key) {
+        Object value = object.get(key);
         if (value == null) {
             return 0;
         }
         if (value instanceof Number number) {
             return number.doubleValue();
         }
-        throw new MalformedBatch(key + ": wanted a number, found " + value);
+        throw new MalformedBatch(key + ": expected a number, found " + value);
     }
 
-    private static long whole(Map<?, ?> from, String key) {
-        Object value = from.get(key);
-        return value instanceof Number number ? number.longValue() : (long) real(from, key);
+    private static long longValue(Map<?, ?> object, String key) {
+        Object value = object.get(key);
+        return value instanceof Number number ? number.longValue() : (long) doubleValue(object, key);
     }
 
-    private static boolean flag(Map<?, ?> from, String key) {
-        Object value = from.get(key);
+    private static boolean booleanValue(Map<?, ?> object, String key) {
+        Object value = object.get(key);
         if (value == null || value instanceof Boolean) {
             return Boolean.TRUE.equals(value);
         }
-        throw new MalformedBatch(key + ": wanted true or false, found " + value);
+        throw new MalformedBatch(key + ": expected true or false, found " + value);
     }
 
-    private static Map<?, ?> map(Object value, String what) {
+    private static Map<?, ?> map(Object value, String key) {
         if (value == null) {
             return Map.of();
         }
         if (value instanceof Map<?, ?> map) {
             return map;
         }
-        throw new MalformedBatch(what + ": wanted an object");
+        throw new MalformedBatch(key + ": expected an object");
     }
 
-    private static List<?> list(Object value, String what) {
+    private static List<?> list(Object value, String key) {
         if (value == null) {
             return List.of();
         }
         if (value instanceof List<?> list) {
             return list;
         }
-        throw new MalformedBatch(what + ": wanted an array");
+        throw new MalformedBatch(key + ": expected an array");
     }
 }
--- a/src/main/java/puffinbarrow/wire/Json.java
+++ b/src/main/java/puffinbarrow/wire/Json.java
@@ -10,9 +10,9 @@
 import java.util.Map;
 import puffinbarrow.control.Event;
 
-/** Reads values one after the other, each of the type the wire states. */
+/** Reads JSON values one after the other, each of an expected type; a value of another type is malformed input. */
 public final class Json {
-    /** Values of a load report by the names the settings give them. */
+    /** The measures of a load report by their names on the wire and in the settings. */
     public static final Map<String, Event.Measure> MEASURES = Map.of(
             "cpu_share",
             Event.Measure.BUSY,
@@ -29,89 +29,94 @@
 
     private final JsonParser in;
 
+    /** Reads from the parser's present position. */
     public Json(JsonParser in) {
         this.in = in;
     }
 
-    JsonToken next() throws IOException {
+    JsonToken nextToken() throws IOException {
         return in.nextToken();
     }
 
-    void expect(JsonToken wanted, String what) throws IOException {
-        if (in.nextToken() != wanted) {
-            throw wrong(what, wanted.name());
+    void expect(JsonToken expected, String field) throws IOException {
+        if (in.nextToken() != expected) {
+            throw unexpected(field, expected.name());
         }
     }
 
-    long integer(String what) throws IOException {
-        return integerHere(what, in.nextToken());
+    /** Reads a whole number; null counts as 0, and larger numbers keep their lowest 64 bits. */
+    long readLong(String field) throws IOException {
+        return toLong(field, in.nextToken());
     }
 
-    long integerHere(String what, JsonToken token) throws IOException {
+    long toLong(String field, JsonToken token) throws IOException {
         if (token == JsonToken.VALUE_NULL) {
             return 0;
         }
         if (token != JsonToken.VALUE_NUMBER_INT) {
-            throw wrong(what, "a whole number");
+            throw unexpected(field, "a whole number");
         }
         return in.getBigIntegerValue().longValue();
     }
 
-    int small(String what) throws IOException {
-        return Math.toIntExact(integer(what));
+    /** Reads a whole number that fits an int, else throws ArithmeticException. */
+    int readInt(String field) throws IOException {
+        return Math.toIntExact(readLong(field));
     }
 
-    double number(String what) throws IOException {
+    /** Reads a number; null counts as 0. */
+    double readDouble(String field) throws IOException {
         JsonToken token = in.nextToken();
         if (token == JsonToken.VALUE_NULL) {
             return 0;
         }
         if (!token.isNumeric()) {
-            throw wrong(what, "a number");
+            throw unexpected(field, "a number");
         }
         return in.getDoubleValue();
     }
 
-    boolean bool(String what) throws IOException {
+    boolean readBoolean(String field) throws IOException {
         JsonToken token = in.nextToken();
         if (!token.isBoolean()) {
-            throw wrong(what, "true or false");
+            throw unexpected(field, "true or false");
         }
         return token == JsonToken.VALUE_TRUE;
     }
 
-    String text(String what) throws IOException {
+    String readString(String field) throws IOException {
         if (in.nextToken() != JsonToken.VALUE_STRING) {
-            throw wrong(what, "a string");
+            throw unexpected(field, "a string");
         }
         return in.getText();
     }
 
-    Map<Event.Measure, Double> pairs(String what) throws IOException {
+    /** Reads a load report; null counts as an empty one, and unknown measures are skipped. */
+    Map<Event.Measure, Double> readReport(String field) throws IOException {
         JsonToken token = in.nextToken();
         if (token == JsonToken.VALUE_NULL) {
             return Map.of();
         }
         if (token != JsonToken.START_OBJECT) {
-            throw wrong(what, "an object of numbers");
+            throw unexpected(field, "an object of numbers");
         }
-        Map<Event.Measure, Double> pairs = new EnumMap<>(Event.Measure.class);
+        Map<Event.Measure, Double> report = new EnumMap<>(Event.Measure.class);
         while (in.nextToken() != JsonToken.END_OBJECT) {
             Event.Measure measure = MEASURES.get(in.currentName());
-            double value = number(what);
+            double value = readDouble(field);
             if (measure != null) {
-                pairs.put(measure, value);
+                report.put(measure, value);
             }
         }
-        return pairs;
+        return report;
     }
 
-    /** Any value: an object as a map, an array as a list, and plain values. */
+    /** Reads any value: an object as a map in its order, an array as a list, others as plain values or null. */
     public Object any() throws IOException {
-        return anyHere(in.nextToken());
+        return readAny(in.nextToken());
     }
 
-    private Object anyHere(JsonToken token) throws IOException {
+    private Object readAny(JsonToken token) throws IOException {
         switch (token) {
             case START_OBJECT -> {
                 Map<String, Object> map = new LinkedHashMap<>();
@@ -123,7 +128,7 @@
             case START_ARRAY -> {
                 List<Object> list = new ArrayList<>();
                 for (JsonToken t = in.nextToken(); t != JsonToken.END_ARRAY; t = in.nextToken()) {
-                    list.add(anyHere(t));
+                    list.add(readAny(t));
                 }
                 return list;
             }
@@ -142,21 +147,22 @@
         }
     }
 
-    String name() throws IOException {
+    /** Returns the name of the field whose value comes next. */
+    String fieldName() throws IOException {
         return in.currentName();
     }
 
-    /** Passes over values that a later version of the wire may add at the end of an array. */
-    void endArray() throws IOException {
+    /** Skips to the end of the present array, at whose end later versions of the wire may add values. */
+    void skipRestOfArray() throws IOException {
         for (JsonToken t = in.nextToken(); t != JsonToken.END_ARRAY; t = in.nextToken()) {
             if (t == null) {
-                throw new MalformedBatch("the line ends within an array");
+                throw new MalformedBatch("line ends within an array");
             }
             in.skipChildren();
         }
     }
 
-    private MalformedBatch wrong(String what, String wanted) throws IOException {
-        return new MalformedBatch(what + ": wanted " + wanted + ", found " + in.currentToken());
+    private MalformedBatch unexpected(String field, String expected) throws IOException {
+        return new MalformedBatch(field + ": expected " + expected + ", found " + in.currentToken());
     }
 }
--- a/src/main/java/puffinbarrow/wire/MalformedBatch.java
+++ b/src/main/java/puffinbarrow/wire/MalformedBatch.java
@@ -1,8 +1,11 @@
 package puffinbarrow.wire;
 
-/** Input that is not on the wire's terms; the message says what and in which batch. */
+/** Input or settings that do not follow the wire's format; the message names the field and, for input, the batch. */
 public final class MalformedBatch extends RuntimeException {
-    public MalformedBatch(String what) {
-        super(what);
+    private static final long serialVersionUID = 1;
+
+    /** The message says what was expected and what was found. */
+    public MalformedBatch(String message) {
+        super(message);
     }
 }
--- a/src/main/java/puffinbarrow/wire/OrderWriter.java
+++ b/src/main/java/puffinbarrow/wire/OrderWriter.java
@@ -4,46 +4,46 @@
 import java.io.IOException;
 import puffinbarrow.control.Order;
 
-/** Writes orders under the wire's names. */
-final class Orders {
-    private Orders() {}
+/** Writes orders in the wire's format: an array of the order's name, the coordinator's number and its values. */
+final class OrderWriter {
+    private OrderWriter() {}
 
-    static void write(JsonGenerator out, int who, Order order) throws IOException {
+    static void write(JsonGenerator out, int instance, Order order) throws IOException {
         if (order instanceof Order.SetLine o) {
-            array(out, "Assign", who, o.table(), o.server(), o.weight());
+            writeArray(out, "Assign", instance, o.table(), o.server(), o.weight());
         } else if (order instanceof Order.ClearTable o) {
-            array(out, "DropLines", who, o.table());
+            writeArray(out, "DropLines", instance, o.table());
         } else if (order instanceof Order.Bind o) {
-            array(out, "Install", who, o.table(), o.proxy(), o.groups());
+            writeArray(out, "Install", instance, o.table(), o.proxy(), o.groups());
         } else if (order instanceof Order.Mask o) {
-            array(out, "Mask", who, o.server(), o.out());
+            writeArray(out, "Mask", instance, o.server(), o.out());
         } else if (order instanceof Order.SetLevel o) {
-            array(
+            writeArray(
                     out,
                     "SetLevel",
-                    who,
+                    instance,
                     o.table(),
                     o.groups(),
                     o.level(),
                     o.retry().ordinal());
         } else if (order instanceof Order.Mark o) {
-            array(out, "Nonce", who, o.everyProxy(), o.number());
+            writeArray(out, "Nonce", instance, o.everyProxy(), o.number());
         } else if (order instanceof Order.Follow o) {
-            array(out, "Follow", who, o.on());
+            writeArray(out, "Follow", instance, o.on());
         } else if (order instanceof Order.FetchList) {
-            array(out, "Fetch", who);
+            writeArray(out, "Fetch", instance);
         } else if (order instanceof Order.WakeAt o) {
-            array(out, "After", who, o.atNs(), o.label());
+            writeArray(out, "After", instance, o.atNs(), o.label());
         } else if (order instanceof Order.Probe o) {
-            array(out, "SoundOut", who, o.server());
+            writeArray(out, "SoundOut", instance, o.server());
         } else if (order instanceof Order.Tell o) {
-            array(out, "Share", who, o.peer(), o.text());
+            writeArray(out, "Share", instance, o.peer(), o.text());
         } else if (order instanceof Order.Log o) {
-            array(out, "WriteLog", who, o.text());
+            writeArray(out, "WriteLog", instance, o.text());
         }
     }
 
-    private static void array(JsonGenerator out, String name, Object... values) throws IOException {
+    private static void writeArray(JsonGenerator out, String name, Object... values) throws IOException {
         out.writeStartArray();
         out.writeString(name);
         for (Object value : values) {
--- a/src/main/java/puffinbarrow/wire/WireHost.java
+++ b/src/main/java/puffinbarrow/wire/WireHost.java
@@ -22,17 +22,29 @@
 import puffinbarrow.control.Event;
 import puffinbarrow.control.Order;
 
-/** Hosts many coordinators on the bench's wire: one batch a line in, one reply a line out. */
+/**
+ * Runs coordinators for a simulator, which creates and destroys them by events: reads one batch of events per line of
+ * JSON and answers each with one line of orders. Single-threaded: {@link #run} is called once and returns at the end of
+ * input.
+ */
 public final class WireHost {
     private final Controller.Factory factory;
     private final JsonFactory json = new JsonFactory();
+    /** Running coordinators by their number on the wire. */
     private final Map<Integer, Controller> instances = new LinkedHashMap<>();
+    /** Server lists by number; sent once, then referred to by the lists of many coordinators. */
     private final Map<Integer, List<Event.Entry>> pools = new LinkedHashMap<>();
 
+    /** Creates a host without coordinators; {@code factory} makes one whenever the simulator starts one. */
     public WireHost(Controller.Factory factory) {
         this.factory = factory;
     }
 
+    /**
+     * Answers batches until the end of input.
+     *
+     * @throws MalformedBatch if a line does not follow the wire's format
+     */
     public void run(InputStream from, OutputStream to) throws IOException {
         BufferedReader lines = new BufferedReader(new InputStreamReader(from, StandardCharsets.UTF_8), 1 << 16);
         long count = 0;
@@ -40,8 +52,8 @@
             try {
                 answer(line, to);
             } catch (MalformedBatch | JsonProcessingException | ArithmeticException | NullPointerException e) {
-                String what = e instanceof JsonProcessingException j ? j.getOriginalMessage() : e.getMessage();
-                throw new MalformedBatch("batch " + count + " (from 0): " + what);
+                String problem = e instanceof JsonProcessingException j ? j.getOriginalMessage() : e.getMessage();
+                throw new MalformedBatch("batch " + count + " (counted from 0): " + problem);
             }
             to.flush();
             count++;
@@ -49,36 +61,37 @@
     }
 
     private static final class Batch {
-        long now;
+        long nowNs;
         long seq;
-        boolean timed;
+        boolean hasTime;
+        /** Events by coordinator, in the order in which the coordinators are first named. */
         final Map<Integer, List<Event>> inbox = new LinkedHashMap<>();
     }
 
     private void answer(String line, OutputStream to) throws IOException {
         Batch batch = new Batch();
         JsonGenerator out;
-        // The clock may stand behind the events in the object, so the events are kept until all is read.
+        // The time may come after the events in the object, so the events are kept until the whole batch is read.
         try (JsonParser parser = json.createParser(line)) {
             Json in = new Json(parser);
             in.expect(JsonToken.START_OBJECT, "batch");
-            for (JsonToken t = in.next(); t != JsonToken.END_OBJECT; t = in.next()) {
-                if (t == null) {
-                    throw new MalformedBatch("the line ends within the batch");
+            for (JsonToken token = in.nextToken(); token != JsonToken.END_OBJECT; token = in.nextToken()) {
+                if (token == null) {
+                    throw new MalformedBatch("line ends within the batch");
                 }
-                switch (in.name()) {
+                switch (in.fieldName()) {
                     case "AtTimeNs" -> {
-                        batch.now = in.integer("AtTimeNs");
-                        batch.timed = true;
+                        batch.nowNs = in.readLong("AtTimeNs");
+                        batch.hasTime = true;
                     }
-                    case "seq" -> batch.seq = in.integer("seq");
+                    case "seq" -> batch.seq = in.readLong("seq");
                     case "happened" -> readEvents(in, batch);
                     default -> in.any();
                 }
             }
         }
-        if (!batch.timed) {
-            throw new MalformedBatch("no AtTimeNs");
+        if (!batch.hasTime) {
+            throw new MalformedBatch("AtTimeNs is missing");
         }
         out = json.createGenerator(to, JsonEncoding.UTF8);
         out.disable(JsonGenerator.Feature.AUTO_CLOSE_TARGET);
@@ -86,26 +99,26 @@
         out.writeStartObject();
         out.writeNumberField("seq", batch.seq);
         out.writeArrayFieldStart("out");
-        for (Map.Entry<Integer, List<Event>> each : batch.inbox.entrySet()) {
-            Controller controller = instances.get(each.getKey());
+        for (Map.Entry<Integer, List<Event>> inbox : batch.inbox.entrySet()) {
+            Controller controller = instances.get(inbox.getKey());
             if (controller == null) {
                 continue;
             }
             List<Order> orders;
             try {
-                orders = controller.handle(batch.now, each.getValue());
+                orders = controller.handle(batch.nowNs, inbox.getValue());
             } catch (RuntimeException failure) {
                 StringWriter trace = new StringWriter();
                 failure.printStackTrace(new PrintWriter(trace));
                 out.writeStartArray();
                 out.writeString("InternalError");
-                out.writeNumber(each.getKey());
+                out.writeNumber(inbox.getKey());
                 out.writeString(trace.toString());
                 out.writeEndArray();
                 continue;
             }
             for (Order order : orders) {
-                Orders.write(out, each.getKey(), order);
+                OrderWriter.write(out, inbox.getKey(), order);
             }
         }
         out.writeEndArray();
@@ -116,32 +129,32 @@
 
     private void readEvents(Json in, Batch batch) throws IOException {
         in.expect(JsonToken.START_ARRAY, "happened");
-        for (JsonToken t = in.next(); t != JsonToken.END_ARRAY; t = in.next()) {
-            if (t != JsonToken.START_ARRAY) {
-                throw new MalformedBatch("event: wanted an array, found " + t);
+        for (JsonToken token = in.nextToken(); token != JsonToken.END_ARRAY; token = in.nextToken()) {
+            if (token != JsonToken.START_ARRAY) {
+                throw new MalformedBatch("event: expected an array, found " + token);
             }
             readEvent(in, batch);
-            in.endArray();
+            in.skipRestOfArray();
         }
     }
 
     private void readEvent(Json in, Batch batch) throws IOException {
-        String name = in.text("event name");
+        String name = in.readString("event name");
         if (name.equals("Pool")) {
-            pools.put(in.small("Ref"), readPool(in));
+            pools.put(in.readInt("Ref"), readPool(in));
             return;
         }
-        int who = in.small("Who");
+        int instance = in.readInt("Who");
         switch (name) {
             case "Born" -> {
-                long seed = in.integer("Salt");
-                instances.put(who, factory.start(Facts.settings(in.any()), seed));
-                batch.inbox.put(who, new ArrayList<>());
+                long seed = in.readLong("Salt");
+                instances.put(instance, factory.start(Facts.settings(in.any()), seed));
+                batch.inbox.put(instance, new ArrayList<>());
                 return;
             }
             case "Destroy" -> {
-                instances.remove(who);
-                batch.inbox.remove(who);
+                instances.remove(instance);
+                batch.inbox.remove(instance);
                 return;
             }
             default -> {}
@@ -149,74 +162,74 @@
         Event event =
                 switch (name) {
                     case "Registry" -> {
-                        in.integer("Version");
-                        Event.ListKind kind = kind(in.text("Mode"));
-                        int ref = in.small("Ref");
-                        List<Event.Entry> entries = kind == Event.ListKind.BROKEN ? List.of() : pools.get(ref);
+                        in.readLong("Version");
+                        Event.ListKind kind = listKind(in.readString("Mode"));
+                        int pool = in.readInt("Ref");
+                        List<Event.Entry> entries = kind == Event.ListKind.BROKEN ? List.of() : pools.get(pool);
                         if (entries == null) {
-                            throw new MalformedBatch("Registry: no pool " + ref);
+                            throw new MalformedBatch("Registry: unknown pool " + pool);
                         }
                         yield new Event.ServerList(kind, entries);
                     }
-                    case "Wakeup" -> new Event.Timer(in.integer("Label"));
+                    case "Wakeup" -> new Event.Timer(in.readLong("Label"));
                     case "Health" -> {
-                        long took = in.integer("TookNs");
-                        String server = in.text("Backend");
-                        yield new Event.Probed(server, in.integer("Code") == 1, took, in.pairs("Load"));
+                        long tookNs = in.readLong("TookNs");
+                        String server = in.readString("Backend");
+                        yield new Event.Probed(server, in.readLong("Code") == 1, tookNs, in.readReport("Load"));
                     }
-                    case "Heard" -> new Event.PeerMessage(in.small("Sender"), in.text("Bytes"));
+                    case "Heard" -> new Event.PeerMessage(in.readInt("Sender"), in.readString("Bytes"));
                     case "Connected" -> {
-                        boolean fresh = in.bool("Yes");
-                        double flows = in.number("W");
-                        yield new Event.ProxyJoined(in.small("Agent"), fresh, flows, in.small("Az"));
+                        boolean fresh = in.readBoolean("Yes");
+                        double flowsPerS = in.readDouble("W");
+                        yield new Event.ProxyJoined(in.readInt("Agent"), fresh, flowsPerS, in.readInt("Az"));
                     }
-                    case "Left" -> new Event.ProxyLeft(in.small("Agent"));
+                    case "Left" -> new Event.ProxyLeft(in.readInt("Agent"));
                     case "Observed" -> {
-                        int zone = in.small("Az");
-                        long span = in.integer("WindowNs");
-                        long took = in.integer("TookNs");
-                        String server = in.text("Backend");
-                        long lost = in.integer("Lost");
+                        int zone = in.readInt("Az");
+                        long spanNs = in.readLong("WindowNs");
+                        long tookNs = in.readLong("TookNs");
+                        String server = in.readString("Backend");
+                        long dropped = in.readLong("Lost");
                         yield new Event.ServerSums(
-                                server, zone, span, took, lost, in.integer("Count"), in.pairs("Load"));
+                                server, zone, spanNs, tookNs, dropped, in.readLong("Count"), in.readReport("Load"));
                     }
                     case "Ingress" -> {
-                        int proxy = in.small("Agent");
-                        int group = in.small("Class");
-                        long count = in.integer("Count");
-                        long lost = in.integer("Lost");
-                        yield new Event.ProxyDemand(proxy, group, count, lost, in.integer("WindowNs"));
+                        int proxy = in.readInt("Agent");
+                        int group = in.readInt("Class");
+                        long flows = in.readLong("Count");
+                        long dropped = in.readLong("Lost");
+                        yield new Event.ProxyDemand(proxy, group, flows, dropped, in.readLong("WindowNs"));
                     }
                     case "RangeLoad" -> {
-                        int table = in.small("Tbl");
-                        int group = in.small("Class");
-                        long count = in.integer("Count");
-                        long lost = in.integer("Lost");
-                        yield new Event.SliceDemand(table, group, count, lost, in.integer("WindowNs"));
+                        int slice = in.readInt("Tbl");
+                        int group = in.readInt("Class");
+                        long flows = in.readLong("Count");
+                        long dropped = in.readLong("Lost");
+                        yield new Event.SliceDemand(slice, group, flows, dropped, in.readLong("WindowNs"));
                     }
                     case "Leased" -> {
-                        int table = in.small("Tbl");
-                        yield new Event.SliceCharge(table, in.bool("Yes"));
+                        int slice = in.readInt("Tbl");
+                        yield new Event.SliceCharge(slice, in.readBoolean("Yes"));
                     }
                     case "StandingLine" -> {
-                        String server = in.text("Backend");
-                        int table = in.small("Tbl");
-                        yield new Event.StoredLine(table, server, in.number("W"));
+                        String server = in.readString("Backend");
+                        int slice = in.readInt("Tbl");
+                        yield new Event.StoredLine(slice, server, in.readDouble("W"));
                     }
                     case "InForce" -> {
-                        int proxy = in.small("Agent");
-                        int mark = in.small("Version");
-                        yield new Event.InForce(proxy, mark, in.integer("TookNs"));
+                        int proxy = in.readInt("Agent");
+                        int mark = in.readInt("Version");
+                        yield new Event.InForce(proxy, mark, in.readLong("TookNs"));
                     }
                     default -> throw new MalformedBatch("unknown event " + name);
                 };
-        // Events for an instance that does not run are legal: it was killed while they were on the way.
-        if (instances.containsKey(who)) {
-            batch.inbox.computeIfAbsent(who, w -> new ArrayList<>()).add(event);
+        // Events for a coordinator that is not running are valid: it was destroyed while they were in transit.
+        if (instances.containsKey(instance)) {
+            batch.inbox.computeIfAbsent(instance, w -> new ArrayList<>()).add(event);
         }
     }
 
-    private static Event.ListKind kind(String mode) {
+    private static Event.ListKind listKind(String mode) {
         return switch (mode) {
             case "patch" -> Event.ListKind.PATCH;
             case "whole" -> Event.ListKind.WHOLE;
@@ -226,18 +239,19 @@
         };
     }
 
+    /** Reads the members of a server list. */
     private static List<Event.Entry> readPool(Json in) throws IOException {
         in.expect(JsonToken.START_ARRAY, "Members");
         List<Event.Entry> entries = new ArrayList<>();
-        for (JsonToken t = in.next(); t != JsonToken.END_ARRAY; t = in.next()) {
-            if (t != JsonToken.START_ARRAY) {
-                throw new MalformedBatch("Members: wanted an array, found " + t);
+        for (JsonToken token = in.nextToken(); token != JsonToken.END_ARRAY; token = in.nextToken()) {
+            if (token != JsonToken.START_ARRAY) {
+                throw new MalformedBatch("Members: expected an array, found " + token);
             }
-            String server = in.text("Backend");
-            int zone = in.small("Az");
-            int hardware = in.small("Hw");
-            int cell = in.small("Bay");
-            String mode = in.text("Mode");
+            String server = in.readString("Backend");
+            int zone = in.readInt("Az");
+            int machineType = in.readInt("Hw");
+            int cell = in.readInt("Bay");
+            String mode = in.readString("Mode");
             Event.Listed listed =
                     switch (mode) {
                         case "ready" -> Event.Listed.READY;
@@ -245,9 +259,9 @@
                         case "gone" -> Event.Listed.GONE;
                         default -> throw new MalformedBatch("Members: unknown mode " + mode);
                     };
-            double size = in.number("W");
-            entries.add(new Event.Entry(server, zone, hardware, cell, listed, size, in.integer("BornNs")));
-            in.endArray();
+            double size = in.readDouble("W");
+            entries.add(new Event.Entry(server, zone, machineType, cell, listed, size, in.readLong("BornNs")));
+            in.skipRestOfArray();
         }
         return entries;
     }
