--- a/src/main/java/puffinbarrow/Logic.java
+++ b/src/main/java/puffinbarrow/Logic.java
@@ -498,6 +498,7 @@
         }
     }
 
+    /** Takes a server out of use: it is to be masked within the grace period and loses its lines. */
     private void leave(Server server) {
         server.maskRequiredSinceNs = server.ready ? nowNs : server.maskRequiredSinceNs;
         server.ready = false;
@@ -583,7 +584,11 @@
         decisionDue = true;
     }
 
-    /** Records that a proxy has all pushes up to a mark; -1: it left, so no push waits for it any longer. */
+    /**
+     * Records that a proxy has all pushes up to a mark. An unknown mark acknowledges nothing.
+     *
+     * @param upTo number of the mark, or -1 if the proxy left, so that no push waits for it any longer
+     */
     private void acknowledge(int proxy, int upTo) {
         boolean known = upTo < 0 || pushes.stream().anyMatch(push -> push.mark == upTo);
         pushes.stream()
@@ -602,6 +607,7 @@
 
     // ---- Health: judged by drop share and latency over rounds of sums.
 
+    /** Judges each server against the median of all, then the fleet as a whole. */
     private void judgeHealth() {
         newSums = false;
         List<Server> measured = servers.values().stream()
@@ -643,8 +649,8 @@
                     - server.pendingLoad.over(nowNs, PENDING_LOAD_SECONDS) / Math.max(0.01, ownedShare);
             boolean explained = carried > 1.4
                     || fleetOverloaded && warmth(server) >= 1 && server.reportedLoad > 0.6 * meanReportedLoad;
-            // Half of the thresholds for "bad" make a server overloaded. Latency counts only where it hurts: measured
-            // against the latency budget, not just against the median server.
+            // About half of the thresholds for "bad" make a server overloaded. Latency counts only where it hurts:
+            // measured against the latency budget, not just against the median server.
             double budgetUsed = delivered < 3 ? 0 : server.deliveredNs / delivered / shortestBudgetNs;
             server.overloaded =
                     dropShare > 0.15 + medianDropShare && server.dropped > 1 || slowness > 2 && budgetUsed > 0.4;
@@ -762,8 +768,9 @@
         return sorted.isEmpty() ? 0 : sorted.get(sorted.size() / 2);
     }
 
-    // ---- Load scores. The weights put reports above slices and, within slices, demand above their number.
+    // ---- Load scores.
 
+    // Weights of a score: slices against reports, and within slices their number against their demand.
     private static final double SLICES_WEIGHT = 0.3;
     private static final double REPORT_WEIGHT = 0.7;
     private static final double COUNT_WEIGHT = 0.2;
@@ -783,8 +790,8 @@
     private double wholeFleetSize;
 
     /**
-     * Returns the share of its full capacity that a server can be relied on to have. A server is allowed to warm up
-     * faster than this line, which rises evenly from the cold share over the warm-up time.
+     * Returns the share of its full capacity that a server has at least, 0 to 1: it rises linearly from the cold share
+     * over the warm-up time. The server may in fact warm up faster.
      */
     private double warmth(Server server) {
         long ageNs = nowNs - server.startedNs;
@@ -908,7 +915,7 @@
     }
 
     /** Returns what a slice adds to a server's score: by its count and demand, and by the reports to come. */
-    private double scoreOf(Slice slice, Server server) {
+    private double scoreContribution(Slice slice, Server server) {
         double demand = relativeLoad(server, demandPerPrimary(slice));
         return SLICES_WEIGHT
                         * (COUNT_WEIGHT / capacity(server) * fleetCapacity / Math.max(1, ownedShare * slices.length)
@@ -916,7 +923,7 @@
                 + REPORT_WEIGHT * ownedShare * demand;
     }
 
-    /** Moves so far. */
+    /** Slices moved or given a new primary so far; shows whether anything moved in between. */
     private long moveCount;
 
     /** Updates the load of both servers at once, as reports take some seconds to show a move. */
@@ -925,13 +932,13 @@
         moveCount++;
         if (to != null) {
             to.pendingLoad.add(nowNs, ownedShare * relativeLoad(to, demandPerPrimary(slice)));
-            to.score += scoreOf(slice, to);
+            to.score += scoreContribution(slice, to);
             to.sliceCount++;
             to.demand += demandPerPrimary(slice);
         }
         if (from != null) {
             from.pendingLoad.add(nowNs, -ownedShare * relativeLoad(from, demandPerPrimary(slice)));
-            from.score -= scoreOf(slice, from);
+            from.score -= scoreContribution(slice, from);
             from.sliceCount--;
             from.demand -= demandPerPrimary(slice);
         }
@@ -1019,6 +1026,7 @@
     /** Weight of a standby line: keeps a connection and some keys warm at negligible load. */
     private static final double STANDBY_WEIGHT = 0.03;
 
+    /** Makes servers serve that are needed whatever their health, then repairs the tables of all owned slices. */
     private void repairAll() {
         // If no server is usable, whatever is listed ready must serve, ill or cold. If most warm servers are masked as
         // ill, the cold ones would get all flows and be overloaded, so the ill ones serve as well.
@@ -1036,6 +1044,7 @@
         Arrays.stream(slices).filter(slice -> slice.owned).forEach(this::repair);
     }
 
+    /** Removes lines to servers that left, and gives the slice a primary and a standby line if it lacks one. */
     private void repair(Slice slice) {
         double maxWeight = maxWeight(slice);
         boolean allLeaving =
@@ -1052,9 +1061,10 @@
         Server standby = unmasked.stream().min(BY_SCORE).orElse(null);
         if (!hasPrimary) {
             // The slice is orphaned. Its standby server was the least-loaded when it was chosen and has carried the
-            // slice since the mask; it becomes the primary unless that would put it above the mean.
-            boolean promote =
-                    standby != null && fits(standby, slice) && standby.score <= meanScore() + scoreOf(slice, standby);
+            // slice since the mask; it becomes the primary unless its score without the slice is now above the mean.
+            boolean promote = standby != null
+                    && fits(standby, slice)
+                    && standby.score <= meanScore() + scoreContribution(slice, standby);
             Server target = promote ? standby : leastLoaded(slice, null, false);
             target = target == null ? standby : target;
             if (target != null) {
@@ -1129,6 +1139,7 @@
     /** Times of the moves by evenOut() within the latest span. */
     private final ArrayDeque<Long> evenOutTimesNs = new ArrayDeque<>();
 
+    /** Once per period, fills servers with little load and evens out the rest. */
     private void balance() {
         if (nowNs < nextBalanceNs) {
             return;
@@ -1138,8 +1149,8 @@
             return;
         }
         List<Server> usable = servers.values().stream().filter(Server::usable).toList();
-        // The source and its movable slices are computed again only after a move; otherwise each of many targets would
-        // cost a scan of all slices.
+        // The source and its movable slices are computed again only after a move (the slices also when the minimum stay
+        // changes); otherwise each of many targets would cost a scan of all slices.
         Server source = null;
         List<Slice> movable = List.of();
         long movesWhenComputed = -1;
@@ -1194,7 +1205,10 @@
         }
     }
 
-    /** Moves the lightest movable slice of the servers above the standard deviation, if scores differ much. */
+    /**
+     * If scores differ much, moves one slice: the lightest movable one of the servers whose score lies more than a
+     * standard deviation above the mean.
+     */
     private void evenOut(List<Server> usable) {
         double mean = meanScore();
         double deviation = Math.sqrt(usable.stream()
@@ -1230,7 +1244,8 @@
 
     /** Whether the target stays below the source in score after the move. */
     private boolean improvesBalance(Slice slice, Server source, Server target) {
-        return source != target && target.score + scoreOf(slice, target) < source.score - scoreOf(slice, source);
+        return source != target
+                && target.score + scoreContribution(slice, target) < source.score - scoreContribution(slice, source);
     }
 
     /** Returns the owned slices that have a primary line to the server and were last moved long enough ago. */
@@ -1240,6 +1255,7 @@
                 .toList();
     }
 
+    /** Replaces a slice's primary line. */
     private void move(Slice slice, Server from, Server to) {
         slice.desired.put(to.id, Math.max(1, maxWeight(slice)));
         slice.desired.remove(from.id);
@@ -1249,6 +1265,7 @@
 
     // ---- Deciding and pushing.
 
+    /** Brings the desired lines of all owned slices up to date and pushes what has changed. */
     private void decide() {
         decisionDue = false;
         serversWithLines = null;
@@ -1277,6 +1294,7 @@
     /** Servers that sent lines of owned slices name; computed at most once per decision and push, null: not yet. */
     private Set<String> serversWithLines;
 
+    /** Whether no owned slice has a sent line to the server. */
     private boolean hasNoLine(String id) {
         if (serversWithLines == null) {
             serversWithLines = new HashSet<>();
@@ -1376,6 +1394,7 @@
         send(due, masks, lifted, lines, lines - (share - ordinaryShare) * settings.queueLimit() / proxies);
     }
 
+    /** Whether the interval since the last push and the limit on messages allow a push. */
     private boolean mayPush(boolean urgent) {
         // Ordinary pushes: without a limit on messages four a second, with one at half the rate it allows.
         long gapNs =
@@ -1399,7 +1418,7 @@
      * @param masks servers to mask
      * @param lifted servers whose mask is to be lifted, or stated again to be absent
      * @param lines the most lines the push may have
-     * @param ordinaryLines the most lines to which orders without a deadline may fill the push
+     * @param ordinaryLines up to how many lines orders without a deadline may fill the push; at most {@code lines}
      */
     private void send(List<Slice> due, List<Server> masks, TreeSet<String> lifted, double lines, double ordinaryLines) {
         int before = orders.size();
--- a/src/test/java/puffinbarrow/FakeHost.java
+++ b/src/test/java/puffinbarrow/FakeHost.java
@@ -11,36 +11,48 @@
 import puffinbarrow.control.Settings;
 import puffinbarrow.control.Settings.Group;
 
-/** A tiny host: it keeps a clock, the store's tables and the masks, and applies orders as they come. */
+/**
+ * A host for tests of {@link Logic}: advances a clock, applies the orders to tables and masks as proxies would, and
+ * acknowledges pushes for two proxies.
+ */
 final class FakeHost {
     static final long SECOND = 1_000_000_000L;
 
     static final List<Group> GROUPS = List.of(new Group(1, SECOND), new Group(2, SECOND), new Group(3, SECOND));
 
-    long now = 100 * SECOND;
-    /** What a good answer takes: a fifth of the latency budget in good times. */
+    private static final long STEP_NS = SECOND / 4;
+    private static final long SEED = 7;
+
+    long nowNs = 100 * SECOND;
+    /** Mean time of a delivered attempt; a fifth of the latency budget unless a test changes it. */
     long tookNs = SECOND / 5;
 
     final Logic logic;
+    /** Weight by server, by slice. */
     final TreeMap<Integer, TreeMap<String, Double>> tables = new TreeMap<>();
+
     final TreeSet<String> masks = new TreeSet<>();
-    final List<Order> seen = new ArrayList<>();
-    final List<List<Order>> turns = new ArrayList<>();
+    /** All orders so far. */
+    final List<Order> orders = new ArrayList<>();
+    /** The lines and masks of each push so far. */
+    final List<List<Order>> pushes = new ArrayList<>();
+
     private final List<Event> pending = new ArrayList<>();
-    /** Slices that the store took away, which the decisions have not heard yet: orders for them reach nobody. */
+    /** Slices taken away by the store without an event yet: orders for them reach no proxy. */
     final TreeSet<Integer> takenAway = new TreeSet<>();
 
-    private boolean acknowledge = true;
+    private boolean acknowledging = true;
 
     FakeHost(Settings settings) {
-        logic = new Logic(settings, 7);
+        logic = new Logic(settings, SEED);
     }
 
-    static Settings settings(int slices, boolean listOnRequest, int messages) {
-        return settings(slices, listOnRequest, messages, false);
+    /** Returns settings with a queue of 8000 lines; {@code messagesAllowed} is per ten seconds, 0 for no limit. */
+    static Settings settings(int slices, boolean listOnRequest, int messagesAllowed) {
+        return settings(slices, listOnRequest, messagesAllowed, false);
     }
 
-    static Settings settings(int slices, boolean listOnRequest, int messages, boolean droppedStay) {
+    static Settings settings(int slices, boolean listOnRequest, int messagesAllowed, boolean droppedStayOpen) {
         return new Settings(
                 listOnRequest,
                 false,
@@ -51,20 +63,20 @@
                 8000,
                 4000,
                 10,
-                messages,
+                messagesAllowed,
                 10 * SECOND,
                 SECOND,
                 2 * SECOND,
                 16 * SECOND,
                 0.2,
                 3,
-                droppedStay,
-                droppedStay,
+                droppedStayOpen,
+                droppedStayOpen,
                 0);
     }
 
-    /** A channel that holds little. */
-    static FakeHost narrow(int slices, double queueLimit, int proxies) {
+    /** Returns a host whose channel to the proxies holds few lines. */
+    static FakeHost withQueueLimit(int slices, double queueLimit, int proxies) {
         return new FakeHost(new Settings(
                 false,
                 false,
@@ -87,74 +99,79 @@
                 proxies));
     }
 
-    /** Servers s0.. listed, slices spread over them in turn, two proxies. */
+    /** Returns a host with servers s0, s1 and so on, the slices spread over them evenly, and two proxies. */
     static FakeHost of(int servers, int slices) {
         FakeHost host = new FakeHost(settings(slices, false, 0));
-        host.begin(servers, slices);
+        host.start(servers, slices);
         return host;
     }
 
-    void begin(int servers, int slices) {
+    /** Lists the servers, gives the slices and joins the proxies. */
+    void start(int servers, int slices) {
         List<Event.Entry> entries = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
             entries.add(entry("s" + i, Listed.READY, 0));
         }
-        tell(new Event.ServerList(Event.ListKind.STALE_COPY, entries));
+        queue(new Event.ServerList(Event.ListKind.STALE_COPY, entries));
         for (int i = 0; i < slices; i++) {
             give(i, "s" + i % servers);
         }
-        tell(new Event.ProxyJoined(0, true, 1, 0), new Event.ProxyJoined(1, true, 1, 0));
+        queue(new Event.ProxyJoined(0, true, 1, 0), new Event.ProxyJoined(1, true, 1, 0));
         run(1);
     }
 
+    /** Gives the coordinator a slice whose table has one line. */
     void give(int slice, String server) {
         tables.put(slice, new TreeMap<>(Map.of(server, 1.0)));
-        tell(new Event.SliceCharge(slice, true), new Event.StoredLine(slice, server, 1));
+        queue(new Event.SliceCharge(slice, true), new Event.StoredLine(slice, server, 1));
     }
 
     static Event.Entry entry(String server, Listed listed, long startedNs) {
         return new Event.Entry(server, 0, 0, 0, listed, 1, startedNs);
     }
 
+    /** Reports a change in the server list. */
     void list(String server, Listed listed, long startedNs) {
-        tell(new Event.ServerList(Event.ListKind.PATCH, List.of(entry(server, listed, startedNs))));
+        queue(new Event.ServerList(Event.ListKind.PATCH, List.of(entry(server, listed, startedNs))));
     }
 
-    void tell(Event... events) {
+    /** Queues events for the next call of the decisions. */
+    void queue(Event... events) {
         pending.addAll(List.of(events));
     }
 
-    void deaf() {
-        acknowledge = false;
+    /** From now on no proxy acknowledges. */
+    void stopAcknowledging() {
+        acknowledging = false;
     }
 
-    /** A round of sums from one server. */
+    /** Queues one round of sums of a server; its report has the busy share, or nothing if that is negative. */
     void sums(String server, int tries, int dropped, double busy) {
-        tell(new Event.ServerSums(
+        queue(new Event.ServerSums(
                 server, 0, SECOND, tookNs, dropped, tries, busy < 0 ? Map.of() : Map.of(Event.Measure.BUSY, busy)));
     }
 
     void demand(int slice, int flows) {
-        tell(new Event.SliceDemand(slice, 0, flows, 0, SECOND));
+        queue(new Event.SliceDemand(slice, 0, flows, 0, SECOND));
     }
 
-    /** Hands over what is pending, then lets a quarter of a second go by at a time. */
+    /** Passes the queued events on, then lets time pass in steps, each with a timer event. */
     void run(double seconds) {
-        for (long until = now + (long) (seconds * SECOND); now < until; now += SECOND / 4) {
+        for (long untilNs = nowNs + (long) (seconds * SECOND); nowNs < untilNs; nowNs += STEP_NS) {
             List<Event> events = new ArrayList<>(pending);
             events.add(new Event.Timer(0));
             pending.clear();
-            List<Order> orders = logic.handle(now, events);
-            seen.addAll(orders);
-            apply(orders);
+            List<Order> newOrders = logic.handle(nowNs, events);
+            orders.addAll(newOrders);
+            apply(newOrders);
         }
     }
 
-    private void apply(List<Order> orders) {
-        List<Order> turn = new ArrayList<>();
-        for (Order order : orders) {
+    private void apply(List<Order> newOrders) {
+        List<Order> push = new ArrayList<>();
+        for (Order order : newOrders) {
             if (order instanceof Order.SetLine o) {
-                turn.add(o);
+                push.add(o);
                 if (takenAway.contains(o.table())) {
                     continue;
                 }
@@ -164,22 +181,22 @@
                     tables.get(o.table()).remove(o.server());
                 }
             } else if (order instanceof Order.Mask o) {
-                turn.add(o);
+                push.add(o);
                 boolean changed = o.out() ? masks.add(o.server()) : masks.remove(o.server());
             } else if (order instanceof Order.Mark o) {
-                turns.add(turn);
+                pushes.add(push);
                 boolean reached = o.everyProxy()
-                        || turn.stream()
+                        || push.stream()
                                 .anyMatch(v -> !(v instanceof Order.SetLine line && takenAway.contains(line.table())));
-                for (int proxy = 0; acknowledge && reached && proxy < 2; proxy++) {
-                    tell(new Event.InForce(proxy, o.number(), SECOND / 5));
+                for (int proxy = 0; acknowledging && reached && proxy < 2; proxy++) {
+                    queue(new Event.InForce(proxy, o.number(), SECOND / 5));
                 }
             }
         }
     }
 
-    /** The servers a slice's flows can reach, the heaviest line first. */
-    List<String> open(int slice) {
+    /** Returns the unmasked servers of a slice's table, the heaviest line first. */
+    List<String> usableServers(int slice) {
         TreeMap<String, Double> lines = tables.get(slice);
         return lines.keySet().stream()
                 .filter(s -> !masks.contains(s))
@@ -187,7 +204,8 @@
                 .toList();
     }
 
-    <T extends Order> List<T> all(Class<T> kind) {
-        return seen.stream().filter(kind::isInstance).map(kind::cast).toList();
+    /** Returns all orders of one kind so far. */
+    <T extends Order> List<T> ordersOf(Class<T> kind) {
+        return orders.stream().filter(kind::isInstance).map(kind::cast).toList();
     }
 }
