--- a/src/main/java/puffinbarrow/platform/Configuration.java
+++ b/src/main/java/puffinbarrow/platform/Configuration.java
@@ -11,7 +11,13 @@
 import puffinbarrow.wire.Json;
 import puffinbarrow.wire.MalformedBatch;
 
-/** What a coordinator is told at its start and at each new configuration. Decoded once, here. */
+/**
+ * The platform's configuration of a coordinator, decoded from its JSON file at the start and at each reload.
+ *
+ * @param listen where collectors connect
+ * @param sockets upper limit on open sockets of the process
+ * @param known the server list at the time the file was written; it may be stale
+ */
 record Configuration(
         String name,
         InetSocketAddress listen,
@@ -19,14 +25,15 @@
         InetSocketAddress relay,
         long seed,
         int sockets,
-        Translation.Listing known,
+        PlatformCodec.Listing known,
         Settings settings,
         Facts.Names names) {
 
-    /** One factory for all JSON of the process: its tables of names are shared. */
+    /** Shared by all JSON parsing of the process, so that its symbol tables are too. */
     private static final JsonFactory JSON = new JsonFactory();
 
-    static Configuration read(byte[] text, Translation.Clock clock) throws IOException {
+    /** Parses the configuration; start times of servers are converted with the given clock offset. */
+    static Configuration read(byte[] text, PlatformCodec.ClockOffset clock) throws IOException {
         Map<?, ?> all = object(json(text), "the configuration");
         Object settings = all.get("settings");
         Map<?, ?> limits = object(all.get("limits"), "limits");
@@ -38,39 +45,43 @@
                 address(object(all.get("registry"), "registry").get("address"), "registry.address"),
                 seed(String.valueOf(all.get("seed"))),
                 limits.get("sockets") instanceof Number n ? n.intValue() : 256,
-                new Translation(names, clock).listing(all.get("known")),
+                new PlatformCodec(names, clock).decodeListing(all.get("known")),
                 Facts.settings(settings),
                 names);
     }
 
+    /** Parses any JSON text into maps, lists, numbers, strings and booleans. */
     static Object json(byte[] text) throws IOException {
         try (JsonParser parser = JSON.createParser(text)) {
             return new Json(parser).any();
-        } catch (NullPointerException | MalformedBatch ended) {
-            throw new IOException("the text ends early", ended);
+        } catch (NullPointerException | MalformedBatch truncated) {
+            throw new IOException("JSON text is truncated or malformed", truncated);
         }
     }
 
-    static Map<?, ?> object(Object value, String what) {
+    /** Casts a JSON value to an object; {@code path} names the value in the error message. */
+    static Map<?, ?> object(Object value, String path) {
         if (value instanceof Map<?, ?> map) {
             return map;
         }
-        throw new ProtocolException(what + ": wanted an object, found " + value);
+        throw new ProtocolException(path + ": expected an object, found " + value);
     }
 
-    static InetSocketAddress address(Object value, String what) {
+    /** Parses a JSON value as ADDRESS:PORT; {@code path} names the value in the error message. */
+    static InetSocketAddress address(Object value, String path) {
         String text = String.valueOf(value);
         try {
             return Net.address(text);
-        } catch (IllegalArgumentException none) {
-            throw new ProtocolException(what + ": wanted ADDRESS:PORT, found " + text);
+        } catch (IllegalArgumentException invalid) {
+            throw new ProtocolException(path + ": expected ADDRESS:PORT, found " + text);
         }
     }
 
+    /** Parses a hexadecimal seed; any other text is hashed. */
     private static long seed(String text) {
         try {
             return Long.parseUnsignedLong(text, 16);
-        } catch (NumberFormatException odd) {
+        } catch (NumberFormatException notHexadecimal) {
             return text.hashCode();
         }
     }
--- a/src/main/java/puffinbarrow/platform/CounterRegistry.java
+++ b/src/main/java/puffinbarrow/platform/CounterRegistry.java
@@ -8,27 +8,30 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Counters and log lines of a coordinator in service; any thread. Lines are {@code key=value} pairs on one stream: a
- * logging library and a meter registry together would take a third of the least memory the platform gives. Lines are
- * bounded a second, and what is left out is counted.
+ * Counters and log lines of a coordinator in service. Lines are {@code key=value} pairs on one output stream: a logging
+ * library and a meter registry together would need a third of the smallest memory limit that the platform sets. The
+ * number of lines per second is limited, and suppressed lines are counted. Callable from any thread, except
+ * {@link #onSecond}.
  */
 final class CounterRegistry {
-    /** Enough for the decisions' own words; a flood of bad clients says the rest by its counters. */
-    private static final int LINES_PER_S = 40;
+    /** Enough for the controller's decision log; a flood of bad clients shows in its counters instead. */
+    private static final int MAX_LINES_PER_SECOND = 40;
 
     private final PrintStream out;
     private final long startedNs = System.nanoTime();
     private final Map<String, AtomicLong> counters = new ConcurrentHashMap<>();
-    private final AtomicInteger linesNow = new AtomicInteger();
-    private String told = "";
+    /** Lines written or suppressed in the current second. */
+    private final AtomicInteger linesThisSecond = new AtomicInteger();
+
+    private String lastLoggedCounters = "";
     private long seconds;
 
     CounterRegistry(PrintStream out) {
         this.out = out;
     }
 
-    /** How often it has come to now. */
-    long count(String name) {
+    /** Increments the counter and returns its new value. */
+    long increment(String name) {
         return counters.computeIfAbsent(name, n -> new AtomicLong()).incrementAndGet();
     }
 
@@ -37,32 +40,32 @@
         return counter == null ? 0 : counter.get();
     }
 
-    /** Counts and says it, the first times and then every hundredth: one cause may come by the thousand. */
-    void note(String name, String line) {
-        long times = count(name);
+    /** Increments the counter and logs its first five and then every hundredth increment, as causes may repeat. */
+    void incrementAndLog(String name, String detail) {
+        long times = increment(name);
         if (times <= 5 || times % 100 == 0) {
-            say(name + " times=" + times + " " + line);
+            log(name + " times=" + times + " " + detail);
         }
     }
 
-    void say(String line) {
-        if (linesNow.incrementAndGet() > LINES_PER_S) {
-            count("log.left_out");
+    void log(String line) {
+        if (linesThisSecond.incrementAndGet() > MAX_LINES_PER_SECOND) {
+            increment("log.left_out");
             return;
         }
         out.println("t=" + (System.nanoTime() - startedNs) / 1_000_000 + " " + line.replace('\n', ' '));
     }
 
-    /** Once a second: lines are to be had again, and now and then changed counters are told. */
-    void second(String gauges) {
-        linesNow.set(0);
+    /** Called once a second on the decision thread: resets the line limit; every fifth call logs changed counters. */
+    void onSecond(String gauges) {
+        linesThisSecond.set(0);
         if (++seconds % 5 != 0) {
             return;
         }
-        String now = gauges + " " + new TreeMap<>(counters);
-        if (!now.equals(told)) {
-            told = now;
-            say("counters " + now);
+        String current = gauges + " " + new TreeMap<>(counters);
+        if (!current.equals(lastLoggedCounters)) {
+            lastLoggedCounters = current;
+            log("counters " + current);
         }
     }
 }
--- a/src/main/java/puffinbarrow/platform/DiscoveryClient.java
+++ b/src/main/java/puffinbarrow/platform/DiscoveryClient.java
@@ -11,165 +11,176 @@
 import puffinbarrow.net.Net;
 
 /**
- * Discovery: a watch that the decisions turn on, and single calls for the whole list. A watch's call is answered and
- * followed by the next; one that fails ends the watch and is told, and the decisions ask for it anew when they see
- * fit. All methods run on the decision thread.
+ * Client of the discovery service: a watch by long polling, which the controller turns on and off, and single requests
+ * for the whole server list. Each answer of the watch is followed by the next request. A failed request ends the watch
+ * and is reported to the controller, which starts a new watch when it sees fit. All methods run on the decision thread
+ * unless noted.
  */
 final class DiscoveryClient {
     /**
-     * How long a watch's call may be held. What changes counts as told two seconds after it at the latest even if
-     * discovery has fallen silent, so a long wait only hides a dead connection; a short one costs calls.
+     * How long discovery may hold a watch request. A change counts as announced two seconds after it at the latest,
+     * even if discovery has fallen silent; so a longer hold only hides a dead connection, and a shorter one costs
+     * requests.
      */
     private static final long HOLD_MS = 5000;
-    /** Beyond the wait: discovery gives up after two seconds of its own. */
-    private static final long ANSWER_MS = 2300;
+    /** Time-out on top of the hold; discovery itself gives up after two seconds. */
+    private static final long ANSWER_TIMEOUT_MS = 2300;
 
-    private static final long CONNECT_MS = 500;
-    private static final int LIST_BYTES = 1 << 20;
+    private static final long CONNECT_TIMEOUT_MS = 500;
+    private static final int MAX_LIST_BYTES = 1 << 20;
 
-    private final Host host;
-    private final Translation words;
-    private final HttpCaller watch;
-    private final HttpCaller single;
+    private final EventLoop loop;
+    private final PlatformCodec codec;
+    private final HttpCaller watchCaller;
+    private final HttpCaller fetchCaller;
     private final Map<String, InetSocketAddress> addresses = new ConcurrentHashMap<>();
-    private InetSocketAddress at;
+    private InetSocketAddress discovery;
+    /** Generation of the newest list received. */
     private long version;
-    private boolean following;
-    /** Counts watches, so that an answer to one given up is passed over. */
-    private long life;
-
-    DiscoveryClient(Net net, Host host, Translation words, InetSocketAddress at, Translation.Listing known) {
-        this.host = host;
-        this.words = words;
-        this.at = at;
-        this.watch = new HttpCaller(net, CONNECT_MS, 1_000_000, LIST_BYTES, true);
-        this.single = new HttpCaller(net, CONNECT_MS, 0, LIST_BYTES, true);
+
+    private boolean watching;
+    /** Number of the current watch, so that answers to an earlier one are ignored. */
+    private long watchId;
+
+    DiscoveryClient(
+            Net net, EventLoop loop, PlatformCodec codec, InetSocketAddress discovery, PlatformCodec.Listing known) {
+        this.loop = loop;
+        this.codec = codec;
+        this.discovery = discovery;
+        this.watchCaller = new HttpCaller(net, CONNECT_TIMEOUT_MS, 1_000_000, MAX_LIST_BYTES, true);
+        this.fetchCaller = new HttpCaller(net, CONNECT_TIMEOUT_MS, 0, MAX_LIST_BYTES, true);
         this.version = known.version();
         addresses.putAll(known.addresses());
     }
 
-    /** Where a backend listens, for probes; any thread. */
+    /** Returns the address of a backend for probes, or null if unknown; may be called from any thread. */
     InetSocketAddress address(String server) {
         return addresses.get(server);
     }
 
-    void moved(InetSocketAddress address) {
-        if (!address.equals(at)) {
-            at = address;
-            if (following) {
-                follow(false);
-                follow(true);
+    /** Uses another discovery address from now on; a running watch is restarted there. */
+    void moveTo(InetSocketAddress address) {
+        if (!address.equals(discovery)) {
+            discovery = address;
+            if (watching) {
+                setWatching(false);
+                setWatching(true);
             }
         }
     }
 
-    void follow(boolean on) {
-        if (on && !following) {
-            following = true;
-            // The first call is answered at once: that is the answer the decisions wait for.
-            ask(++life, 0);
-        } else if (!on && following) {
-            following = false;
-            life++;
-            watch.close();
+    void setWatching(boolean on) {
+        if (on && !watching) {
+            watching = true;
+            // With no hold, the first request is answered at once: the controller waits for that answer.
+            poll(++watchId, 0);
+        } else if (!on && watching) {
+            watching = false;
+            watchId++;
+            watchCaller.close();
         }
     }
 
-    private void ask(long which, long holdMs) {
-        long from = version;
-        byte[] request = get("/api/targets?from=" + from + "&hold_ms=" + holdMs);
-        watch.call(
-                at,
+    private void poll(long watch, long holdMs) {
+        long since = version;
+        byte[] request = get("/api/targets?from=" + since + "&hold_ms=" + holdMs);
+        watchCaller.call(
+                discovery,
                 request,
-                holdMs + ANSWER_MS,
-                ended -> host.offer(() -> {
-                    if (which == life && following) {
-                        answered(which, ended, holdMs == 0, from);
+                holdMs + ANSWER_TIMEOUT_MS,
+                ended -> loop.execute(() -> {
+                    if (watch == watchId && watching) {
+                        handleWatchAnswer(watch, ended, holdMs == 0, since);
                     }
                 }));
     }
 
-    private void answered(long which, HttpCaller.Ended ended, boolean first, long from) {
+    private void handleWatchAnswer(long watch, HttpCaller.Ended ended, boolean first, long since) {
         try {
-            Translation.Listing listing = read(ended);
-            if (beganAnew(listing, from) && listing.list().kind() != Event.ListKind.WHOLE) {
-                resync(which);
+            PlatformCodec.Listing listing = decode(ended);
+            if (generationRestarted(listing, since) && listing.list().kind() != Event.ListKind.WHOLE) {
+                requestWholeList(watch);
                 return;
             }
             if (first || !listing.list().entries().isEmpty() || listing.list().kind() == Event.ListKind.WHOLE) {
-                take(listing);
+                accept(listing);
             }
-            // From what was just told: asked before, the service would say the same again at once.
-            ask(which, HOLD_MS);
-            host.counters().count("discovery.answers");
-        } catch (ProtocolException | IOException wrong) {
-            follow(false);
-            failed(wrong);
+            // Only now is the version up to date: a request with the old one would return the same answer at once.
+            poll(watch, HOLD_MS);
+            loop.counters().increment("discovery.answers");
+        } catch (ProtocolException | IOException failure) {
+            setWatching(false);
+            reportFailure(failure);
         }
     }
 
-    /** An answer older than what was asked from isn't late: the service counts from another beginning now. */
-    private boolean beganAnew(Translation.Listing listing, long from) {
-        if (listing.version() >= from) {
+    /**
+     * Returns whether discovery restarted its generation counter. An answer with a lower generation than the request's
+     * cannot be a late one.
+     */
+    private boolean generationRestarted(PlatformCodec.Listing listing, long since) {
+        if (listing.version() >= since) {
             return false;
         }
-        host.counters().note("discovery.began_anew", "generation " + listing.version() + " after " + from);
+        loop.counters().incrementAndLog("discovery.began_anew", "generation " + listing.version() + " after " + since);
         version = 0;
         return true;
     }
 
-    /** Changes without their base say nothing: the whole list first, then the watch goes on. */
-    private void resync(long which) {
-        watch.call(
-                at,
+    /** Requests the whole list, as changes are useless without their base; then the watch goes on. */
+    private void requestWholeList(long watch) {
+        watchCaller.call(
+                discovery,
                 get("/api/targets"),
-                ANSWER_MS,
-                ended -> host.offer(() -> {
-                    if (which == life && following) {
-                        answered(which, ended, true, 0);
+                ANSWER_TIMEOUT_MS,
+                ended -> loop.execute(() -> {
+                    if (watch == watchId && watching) {
+                        handleWatchAnswer(watch, ended, true, 0);
                     }
                 }));
     }
 
-    private void failed(Exception wrong) {
-        host.counters().note("discovery.failed", wrong.getMessage());
-        host.happened(new Event.ServerList(Event.ListKind.BROKEN, List.of()));
+    private void reportFailure(Exception failure) {
+        loop.counters().incrementAndLog("discovery.failed", failure.getMessage());
+        loop.enqueue(new Event.ServerList(Event.ListKind.BROKEN, List.of()));
     }
 
-    /** Asks once for the whole list. */
-    void fetch() {
-        long from = version;
-        single.call(
-                at,
+    /** Requests the whole list once, independent of the watch. */
+    void fetchList() {
+        long since = version;
+        fetchCaller.call(
+                discovery,
                 get("/api/targets"),
-                ANSWER_MS,
-                ended -> host.offer(() -> {
+                ANSWER_TIMEOUT_MS,
+                ended -> loop.execute(() -> {
                     try {
-                        Translation.Listing listing = read(ended);
-                        beganAnew(listing, from);
-                        if (!take(listing)) {
-                            // A watch's answer overtook it; whoever asked still waits for a whole list.
-                            fetch();
+                        PlatformCodec.Listing listing = decode(ended);
+                        generationRestarted(listing, since);
+                        if (!accept(listing)) {
+                            // An answer of the watch overtook this one, but the controller still waits for a whole
+                            // list.
+                            fetchList();
                         }
-                    } catch (ProtocolException | IOException wrong) {
-                        failed(wrong);
+                    } catch (ProtocolException | IOException failure) {
+                        reportFailure(failure);
                     }
                 }));
     }
 
-    private Translation.Listing read(HttpCaller.Ended ended) throws IOException {
+    private PlatformCodec.Listing decode(HttpCaller.Ended ended) throws IOException {
         if (ended.answer() == null) {
             throw new IOException(ended.failure());
         }
         if (!ended.answer().first().equals("200")) {
-            throw new IOException("status " + ended.answer().first());
+            throw new IOException("HTTP status " + ended.answer().first());
         }
-        return words.listing(Configuration.json(ended.answer().body()));
+        return codec.decodeListing(Configuration.json(ended.answer().body()));
     }
 
-    private boolean take(Translation.Listing listing) {
+    /** Passes the list on to the controller and returns true, or returns false if a newer one was received before. */
+    private boolean accept(PlatformCodec.Listing listing) {
         if (listing.version() < version) {
-            host.counters().count("discovery.older");
+            loop.counters().increment("discovery.older");
             return false;
         }
         version = listing.version();
@@ -180,12 +191,12 @@
         listing.list().entries().stream()
                 .filter(e -> e.listed() == Event.Listed.GONE)
                 .forEach(e -> addresses.remove(e.server()));
-        host.happened(listing.list());
+        loop.enqueue(listing.list());
         return true;
     }
 
     private byte[] get(String target) {
-        return ("GET " + target + " HTTP/1.1\r\nhost: " + Net.text(at) + "\r\n\r\n")
+        return ("GET " + target + " HTTP/1.1\r\nhost: " + Net.text(discovery) + "\r\n\r\n")
                 .getBytes(StandardCharsets.US_ASCII);
     }
 }
--- a/src/main/java/puffinbarrow/platform/ProtocolException.java
+++ b/src/main/java/puffinbarrow/platform/ProtocolException.java
@@ -1,6 +1,9 @@
 package puffinbarrow.platform;
 
-/** A message that is not on the platform's terms; the text says what was wanted and what was found. */
+/**
+ * Thrown when a message or a configuration violates the platform's protocol. The message says what was expected and
+ * what was found; it has no stack trace, since it is thrown for every bad message of a peer.
+ */
 final class ProtocolException extends RuntimeException {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/puffinbarrow/platform/RelayClient.java
+++ b/src/main/java/puffinbarrow/platform/RelayClient.java
@@ -20,91 +20,122 @@
 import puffinbarrow.net.Net;
 
 /**
- * The relay: calls that carry orders, one at a time and in order, and the stream of its news. A call that ends without
- * an answer that can be read may have been taken or not. Every order sets something, so it can be said twice, but twice
- * the lines could overfill the channel: first the news is given time to tell of its mark, which proves it taken. All
- * methods run on the decision thread; what the channels' threads hear is offered to it.
+ * Client of the relay: sends orders in HTTP calls, one call at a time and in order, and subscribes to the relay's event
+ * stream.
+ *
+ * <p>A call without a readable answer may or may not have been accepted. Orders are idempotent, so the call can be
+ * repeated; but a repeated call also takes its room in the relay's channel again and could overfill it. So the event
+ * stream is first given time to report an acknowledgement of the call's mark, which proves that the call was accepted.
+ *
+ * <p>All methods run on the decision thread; what arrives on network threads is passed to it.
  */
 final class RelayClient {
-    /** An answer comes within 50 ms or never; three times that, as our own part of a core may be late to read it. */
-    private static final long ANSWER_MS = 150;
-
-    private static final long CONNECT_MS = 400;
-    /** The relay closes what stood idle for "about 10 s or less"; a new connection costs one way there and back. */
-    private static final long KEEP_MS = 2000;
-    /** Between tries of a call: soon at first, as time limits wait half a second for a broken one. */
-    private static final long LEAST_PAUSE_MS = 10, MOST_PAUSE_MS = 200;
-    /** A call carries 60,000 bytes of orders at most. */
-    private static final int CALL_BYTES = 50_000;
-    /** How long a mark may take to come back, within what time limits wait for a call that broke or fell silent. */
-    private static final long PROOF_MS = 450;
-    /** Calls that may wait: the decisions order four times a second and hold back what is not acknowledged. */
-    private static final int CALLS = 256;
-    /** A call that is turned back as unreadable so often is not made again: it would hold up all that follow. */
-    private static final int REFUSALS = 3;
-    /** A sign of life comes every second; two missed ones and a little. */
-    private static final long SILENT_NS = 2_300_000_000L;
-    /** What stands comes in one go; quiet for so long and it is whole. A sign of life says so at once. */
+    /**
+     * Time-out of a call. The relay answers within 50 ms or never; this is three times that, since the process may be
+     * late to read the answer when it has only part of a core.
+     */
+    private static final long ANSWER_TIMEOUT_MS = 150;
+
+    private static final long CONNECT_TIMEOUT_MS = 400;
+    /**
+     * How long an idle connection is kept for the next call. The relay closes idle connections after "about 10 s or
+     * less", and a new one costs only one round trip.
+     */
+    private static final long KEEP_ALIVE_MS = 2000;
+    /** First pause before a call is repeated; short, as the platform's limits allow half a second for a broken call. */
+    private static final long MIN_RETRY_PAUSE_MS = 10;
+
+    private static final long MAX_RETRY_PAUSE_MS = 200;
+    /** Longest text of a call's orders; the relay accepts 60,000 bytes. */
+    private static final int MAX_CALL_BYTES = 50_000;
+
+    private static final int MAX_ANSWER_BYTES = 64 * 1024;
+    /**
+     * How long the acknowledgement of a call's mark is awaited before the call is repeated; within the half second that
+     * the platform's limits allow for a call that broke or got no answer.
+     */
+    private static final long ACKNOWLEDGEMENT_WAIT_MS = 450;
+    /** Most queued calls: the controller orders four times a second and holds back what is not acknowledged. */
+    private static final int MAX_QUEUED_CALLS = 256;
+    /** Syntax errors after which a call is discarded, as it would hold up all calls behind it. */
+    private static final int MAX_SYNTAX_ERRORS = 3;
+    /** Silence after which an event stream counts as broken: keep-alives come every second, so two were missed. */
+    private static final long MAX_SILENCE_NS = 2_300_000_000L;
+    /**
+     * Quiet time after which a state on the event stream counts as complete, as the relay sends it in one go. A
+     * keep-alive shows the same at once.
+     */
     private static final long SETTLE_MS = 60;
-    /** Where it is never quiet, as marks come back all the time: held no longer than an order's way to a proxy. */
-    private static final long HELD_NS = 250_000_000;
+    /**
+     * Longest time for which pending slices are held back while acknowledgements of marks keep the stream from being
+     * quiet; no longer than an order takes to a proxy.
+     */
+    private static final long MAX_PENDING_NS = 250_000_000;
 
-    private static final long REDIAL_MS = 100;
+    private static final long RECONNECT_PAUSE_MS = 100;
+    private static final int MAX_STREAM_SEND_BYTES = 4096;
 
+    /** A call with its orders; the two lists run in parallel. */
     private static final class Call {
         final List<Order> orders = new ArrayList<>();
+        /** The orders as the relay reads them. */
         final List<String> texts = new ArrayList<>();
-        int refusals;
-        /** It was sent, and no answer tells whether it was taken. */
-        boolean doubtful;
-        /** An answer to its mark came while it was out. */
-        boolean proven;
-        /** Between two tries. */
+
+        int syntaxErrors;
+        /** Whether it was sent without a readable answer, so that it may have been accepted. */
+        boolean maybeAccepted;
+        /** Whether its mark was acknowledged, which proves that it was accepted. */
+        boolean acknowledged;
+        /** Whether it waits for its repetition. */
         boolean pausing;
 
-        long pauseMs = LEAST_PAUSE_MS;
+        long pauseMs = MIN_RETRY_PAUSE_MS;
     }
 
     private final Net net;
-    private final Host host;
-    private final Translation words;
+    private final EventLoop loop;
+    private final PlatformCodec codec;
     private final RelaySnapshot snapshot;
     private final HttpCaller caller;
-    private InetSocketAddress to;
+    private InetSocketAddress relay;
+    /** Calls in order; the first is the one in flight or pausing, if any. */
     private final ArrayDeque<Call> calls = new ArrayDeque<>();
-    private boolean out;
-    /** The stream that carries the news, and one that begins and will take its place. */
-    private NewsStream stream, next;
-    /** The mark that the relay took last, and who has answered to it. */
+    /** Whether the first call is in flight or waits for its repetition. */
+    private boolean busy;
+    /** The subscription that supplies the events; null while there is none. */
+    private Subscription active;
+    /** A subscription that is being opened and replaces the active one once it has settled; null if none. */
+    private Subscription replacement;
+    /** Number of the last mark that the relay accepted; -1 before the first. */
     private int lastMark = -1;
-
-    private final BitSet answered = new BitSet();
-    /** Since when the oldest of what is held has been. */
-    private long heldSince;
-    /** Since when no stream carries the news. */
-    private long deafSince;
-    /** How long a full channel takes to empty: after a gap that long nothing of before it waits in it. */
-    private final long emptyNs;
-
-    RelayClient(Net net, Host host, Translation words, InetSocketAddress to, long emptyNs) {
-        this.emptyNs = emptyNs;
+    /** Proxies that acknowledged {@link #lastMark}. */
+    private final BitSet acknowledgedBy = new BitSet();
+    /** Time at which the oldest of the pending slices was assigned. */
+    private long pendingSinceNs;
+    /** Time at which the last active subscription received its last bytes. */
+    private long disconnectedSinceNs;
+    /** Time that a full channel takes to drain: after a longer gap in the events nothing from before is queued in it. */
+    private final long channelDrainNs;
+
+    RelayClient(Net net, EventLoop loop, PlatformCodec codec, InetSocketAddress relay, long channelDrainNs) {
+        this.channelDrainNs = channelDrainNs;
         this.net = net;
-        this.host = host;
-        this.words = words;
-        this.to = to;
-        this.snapshot = new RelaySnapshot(words);
-        this.caller = new HttpCaller(net, CONNECT_MS, KEEP_MS, 64 * 1024, false);
+        this.loop = loop;
+        this.codec = codec;
+        this.relay = relay;
+        this.snapshot = new RelaySnapshot(codec);
+        this.caller = new HttpCaller(net, CONNECT_TIMEOUT_MS, KEEP_ALIVE_MS, MAX_ANSWER_BYTES, false);
     }
 
     void start() {
-        listen();
+        subscribe();
     }
 
-    /** The relay is at another address from now on. */
-    void moved(InetSocketAddress address) {
-        if (!address.equals(to)) {
-            to = address;
-            listen();
+    /** Uses another relay address from now on, also for calls already queued. */
+    void moveTo(InetSocketAddress address) {
+        if (!address.equals(relay)) {
+            relay = address;
+            subscribe();
         }
     }
 
@@ -112,379 +143,398 @@
         return snapshot;
     }
 
-    int waiting() {
+    int queuedCalls() {
         return calls.size();
     }
 
-    // ---- Calls.
+    // ---- Calls
 
-    /** Orders of one batch: one call, unless they are too many for it. */
-    void order(List<Order> orders) {
-        calls(orders).forEach(this::queue);
-        send();
+    /** Sends the orders of one batch as one call, or as several if they are too long for one. */
+    void submit(List<Order> orders) {
+        splitIntoCalls(orders).forEach(this::enqueue);
+        sendNext();
     }
 
-    private Deque<Call> calls(List<Order> orders) {
-        ArrayDeque<Call> calls = new ArrayDeque<>(List.of(new Call()));
+    private Deque<Call> splitIntoCalls(List<Order> orders) {
+        ArrayDeque<Call> split = new ArrayDeque<>(List.of(new Call()));
         int bytes = 0;
         for (Order order : orders) {
-            String text = words.order(order);
-            if (bytes + text.length() > CALL_BYTES) {
-                calls.addLast(new Call());
+            String text = codec.encodeOrder(order);
+            if (bytes + text.length() > MAX_CALL_BYTES) {
+                split.addLast(new Call());
                 bytes = 0;
             }
             bytes += text.length() + 1;
-            calls.peekLast().orders.add(order);
-            calls.peekLast().texts.add(text);
+            split.peekLast().orders.add(order);
+            split.peekLast().texts.add(text);
         }
-        return calls;
+        return split;
     }
 
-    private void queue(Call call) {
-        if (calls.size() == CALLS) {
-            // What was left out must not be believed: all that stands is read anew and told again.
-            host.counters().note("calls.overflowed", "the relay takes none; reading anew what stands");
-            // All but the one that is out: its answer is still to come.
+    private void enqueue(Call call) {
+        if (calls.size() == MAX_QUEUED_CALLS) {
+            // The controller counts discarded orders as applied, so the relay's full state is read and reported again.
+            loop.counters()
+                    .incrementAndLog(
+                            "calls.overflowed",
+                            "the relay accepts no calls; discarding them and reading its state again");
+            // The first call stays, as its answer is still to come.
             while (calls.size() > 1) {
                 calls.pollLast();
             }
-            deafSince = Long.MIN_VALUE / 2;
-            if (stream != null) {
-                stream.close();
-                stream = null;
+            disconnectedSinceNs = Long.MIN_VALUE / 2;
+            if (active != null) {
+                active.close();
+                active = null;
             }
-            listen();
+            subscribe();
         }
         calls.addLast(call);
-        if (next != null) {
-            next.sinceAsked.addAll(call.orders);
+        if (replacement != null) {
+            replacement.ordersInFlight.addAll(call.orders);
         }
     }
 
-    private void send() {
-        if (out || calls.isEmpty()) {
+    private void sendNext() {
+        if (busy || calls.isEmpty()) {
             return;
         }
         Call call = calls.peekFirst();
-        out = true;
-        // A form's body is plain ASCII once it is escaped.
+        busy = true;
+        // The URL-encoded body is plain ASCII, so its length in characters is its length in bytes.
         String body = "Action=CommitChanges&changes="
                 + URLEncoder.encode(String.join(";", call.texts), StandardCharsets.UTF_8);
-        String request = "POST /api/ HTTP/1.1\r\nhost: " + Net.text(to)
+        String request = "POST /api/ HTTP/1.1\r\nhost: " + Net.text(relay)
                 + "\r\ncontent-type: application/x-www-form-urlencoded\r\ncontent-length: " + body.length() + "\r\n\r\n"
                 + body;
         caller.call(
-                to,
+                relay,
                 request.getBytes(StandardCharsets.US_ASCII),
-                ANSWER_MS,
-                ended -> host.offer(() -> ended(call, ended)));
+                ANSWER_TIMEOUT_MS,
+                ended -> loop.execute(() -> handleAnswer(call, ended)));
     }
 
-    private void ended(Call call, HttpCaller.Ended ended) {
-        out = false;
+    private void handleAnswer(Call call, HttpCaller.Ended ended) {
+        busy = false;
         if (ended.answer() == null) {
-            host.counters().note("calls.broken", ended.failure());
-            if (!proved(call)) {
-                doubt(call, ended.sent());
+            loop.counters().incrementAndLog("calls.broken", ended.failure());
+            if (!acceptIfAcknowledged(call)) {
+                retryUnanswered(call, ended.sent());
             }
             return;
         }
         String text = new String(ended.answer().body(), StandardCharsets.UTF_8);
-        int taken;
+        int accepted;
         try {
-            taken = Translation.taken(text, call.orders.size());
+            accepted = PlatformCodec.acceptedCount(text, call.orders.size());
         } catch (ProtocolException unreadable) {
             caller.close();
             if (text.contains("BUSY")) {
-                host.counters().count("calls.busy");
-                again(call, call.pauseMs);
+                loop.counters().increment("calls.busy");
+                retryAfter(call, call.pauseMs);
                 return;
             }
-            host.counters().note("calls.unreadable", unreadable.getMessage());
-            if (text.contains("SYNTAX") && ++call.refusals >= REFUSALS) {
-                host.counters().note("calls.given_up", Translation.brief(call.texts.toString()));
+            loop.counters().incrementAndLog("calls.unreadable", unreadable.getMessage());
+            if (text.contains("SYNTAX") && ++call.syntaxErrors >= MAX_SYNTAX_ERRORS) {
+                loop.counters().incrementAndLog("calls.given_up", PlatformCodec.abbreviate(call.texts.toString()));
                 calls.pollFirst();
-                send();
+                sendNext();
                 return;
             }
-            if (!proved(call)) {
-                doubt(call, !text.contains("SYNTAX"));
+            if (!acceptIfAcknowledged(call)) {
+                retryUnanswered(call, !text.contains("SYNTAX"));
             }
             return;
         }
-        taken(call, taken);
+        handleAccepted(call, accepted);
     }
 
-    private void taken(Call call, int taken) {
-        host.counters().count("calls.taken");
-        host.counters()
-                .say("call orders=" + taken + " proxies=" + snapshot.proxies() + " "
-                        + Translation.brief(String.join(";", call.texts)));
-        call.orders.subList(0, taken).forEach(order -> {
-            snapshot.took(order);
+    /**
+     * Handles the acceptance of the call's first orders. If they are not all, the relay refused the next one: that is
+     * dropped, and the orders behind it are sent again.
+     */
+    private void handleAccepted(Call call, int accepted) {
+        loop.counters().increment("calls.taken");
+        loop.counters()
+                .log("call orders=" + accepted + " proxies=" + snapshot.proxyCount() + " "
+                        + PlatformCodec.abbreviate(String.join(";", call.texts)));
+        call.orders.subList(0, accepted).forEach(order -> {
+            snapshot.orderAccepted(order);
             if (order instanceof Order.Mark mark && mark.number() != lastMark) {
                 lastMark = mark.number();
-                answered.clear();
+                acknowledgedBy.clear();
             }
         });
-        if (taken == call.orders.size()) {
+        if (accepted == call.orders.size()) {
             calls.pollFirst();
         } else {
-            host.counters().note("orders.refused", call.texts.get(taken));
-            call.orders.subList(0, taken + 1).clear();
-            call.texts.subList(0, taken + 1).clear();
+            loop.counters().incrementAndLog("orders.refused", call.texts.get(accepted));
+            call.orders.subList(0, accepted + 1).clear();
+            call.texts.subList(0, accepted + 1).clear();
             if (call.orders.isEmpty()) {
                 calls.pollFirst();
             }
         }
-        send();
+        sendNext();
     }
 
-    private void doubt(Call call, boolean sent) {
-        call.doubtful |= sent;
-        again(call, sent ? PROOF_MS : call.pauseMs);
+    /** Repeats a call without a readable answer; if it was sent, only after its mark could have been acknowledged. */
+    private void retryUnanswered(Call call, boolean sent) {
+        call.maybeAccepted |= sent;
+        retryAfter(call, sent ? ACKNOWLEDGEMENT_WAIT_MS : call.pauseMs);
     }
 
-    private void again(Call call, long pauseMs) {
-        call.pauseMs = Math.min(MOST_PAUSE_MS, call.pauseMs * 2);
-        call.pausing = out = true;
+    private void retryAfter(Call call, long pauseMs) {
+        call.pauseMs = Math.min(MAX_RETRY_PAUSE_MS, call.pauseMs * 2);
+        call.pausing = busy = true;
         net.schedule(
                 pauseMs,
-                () -> host.offer(() -> {
-                    // Else proof came in the pause, and another call may be out by now.
+                () -> loop.execute(() -> {
+                    // Otherwise its mark was acknowledged during the pause, and another call may be in flight by now.
                     if (call.pausing) {
-                        call.pausing = out = false;
-                        send();
+                        call.pausing = busy = false;
+                        sendNext();
                     }
                 }));
     }
 
-    /** Whether a call that ended without an answer was proved taken while it was out. */
-    private boolean proved(Call call) {
-        if (call.proven) {
-            host.counters().count("calls.proved");
-            taken(call, call.orders.size());
+    /** Treats a call without an answer as accepted if its mark was acknowledged; returns whether it was. */
+    private boolean acceptIfAcknowledged(Call call) {
+        if (call.acknowledged) {
+            loop.counters().increment("calls.proved");
+            handleAccepted(call, call.orders.size());
         }
-        return call.proven;
+        return call.acknowledged;
     }
 
     /**
-     * A proxy answered to a mark: the call that carried it was taken and isn't made again. The proof may come before
-     * the call is known to have broken, and is kept for that.
+     * Handles the acknowledgement of a mark by a proxy: the call with that mark was accepted and is not repeated. The
+     * acknowledgement may come before the call is known to have failed, and is remembered until then.
      */
-    private void heard(Event event) {
+    private void handleAcknowledgement(Event event) {
         if (event instanceof Event.InForce done && done.mark() == lastMark) {
-            answered.set(done.proxy());
+            acknowledgedBy.set(done.proxy());
         }
         Call call = calls.peekFirst();
         if (event instanceof Event.InForce done
                 && call != null
-                && (call.doubtful || !call.pausing)
-                && out
+                && (call.maybeAccepted || !call.pausing)
+                && busy
                 && call.orders.get(call.orders.size() - 1) instanceof Order.Mark mark
                 && mark.number() == done.mark()) {
-            call.proven = true;
+            call.acknowledged = true;
             if (call.pausing) {
-                call.pausing = out = false;
-                proved(call);
+                call.pausing = busy = false;
+                acceptIfAcknowledged(call);
             }
         }
     }
 
-    // ---- News.
+    // ---- Event stream
 
-    /** Asks for news; the stream that carries it now goes on until the new one has settled. */
-    private void listen() {
-        if (next != null) {
-            next.close();
+    /** Opens a new subscription; the active one goes on until the new one has settled. */
+    private void subscribe() {
+        if (replacement != null) {
+            replacement.close();
         }
-        next = new NewsStream();
-        next.dial();
+        replacement = new Subscription();
+        replacement.connect();
     }
 
-    /** Called now and then: a stream that says nothing is as good as broken. */
-    void watch(long now) {
-        for (NewsStream each : new NewsStream[] {stream, next}) {
-            if (each != null && each.up && now - each.heardAt > SILENT_NS) {
+    /** Called periodically: replaces subscriptions that have been silent for {@link #MAX_SILENCE_NS}. */
+    void checkLiveness(long now) {
+        for (Subscription each : new Subscription[] {active, replacement}) {
+            if (each != null && each.connected && now - each.lastReceivedNs > MAX_SILENCE_NS) {
                 each.close();
-                lost(each, "silent for " + (now - each.heardAt) / 1_000_000 + " ms");
+                handleEnd(each, "silent for " + (now - each.lastReceivedNs) / 1_000_000 + " ms");
             }
         }
     }
 
-    private void begun(NewsStream which) {
-        if (which == next) {
-            which.up = true;
-            which.heardAt = System.nanoTime();
-            which.opening = snapshot.new Opening();
-            calls.forEach(call -> which.sinceAsked.addAll(call.orders));
+    private void handleConnected(Subscription subscription) {
+        if (subscription == replacement) {
+            subscription.connected = true;
+            subscription.lastReceivedNs = System.nanoTime();
+            subscription.initialState = snapshot.new InitialState();
+            calls.forEach(call -> subscription.ordersInFlight.addAll(call.orders));
         }
     }
 
-    private void take(NewsStream which, List<EventStream.News> news, long at) {
-        if (which != stream && which != next) {
+    private void handleEvents(
+            Subscription subscription, List<ServerSentEventParser.ServerSentEvent> received, long receivedNs) {
+        if (subscription != active && subscription != replacement) {
             return;
         }
-        which.heardAt = at;
+        subscription.lastReceivedNs = receivedNs;
         List<Event> events = new ArrayList<>();
-        for (EventStream.News each : news) {
-            if (each == EventStream.SIGN) {
-                settle(which, events);
+        for (ServerSentEventParser.ServerSentEvent each : received) {
+            if (each == ServerSentEventParser.KEEP_ALIVE) {
+                settle(subscription, events);
                 continue;
             }
-            if (which.opening == null && !snapshot.unsettled()) {
-                heldSince = at;
+            if (subscription.initialState == null && !snapshot.hasPendingSlices()) {
+                pendingSinceNs = receivedNs;
             }
             try {
-                if (which.opening != null) {
-                    which.opening.news(each.kind(), each.fields(), events);
+                if (subscription.initialState != null) {
+                    subscription.initialState.apply(each.type(), each.fields(), events);
                 } else {
-                    snapshot.news(each.kind(), each.fields(), events);
+                    snapshot.apply(each.type(), each.fields(), events);
                 }
-            } catch (ProtocolException wrong) {
-                host.counters().note("news.refused", wrong.getMessage());
+            } catch (ProtocolException invalid) {
+                loop.counters().incrementAndLog("news.refused", invalid.getMessage());
             }
         }
-        events.forEach(this::heard);
-        events.forEach(host::happened);
-        if (which.opening != null || snapshot.unsettled()) {
-            net.schedule(SETTLE_MS, () -> host.offer(() -> quiet(which, at)));
+        events.forEach(this::handleAcknowledgement);
+        events.forEach(loop::enqueue);
+        if (subscription.initialState != null || snapshot.hasPendingSlices()) {
+            net.schedule(SETTLE_MS, () -> loop.execute(() -> settleIfQuiet(subscription, receivedNs)));
         }
     }
 
-    private void quiet(NewsStream which, long since) {
-        if (which == stream || which == next) {
+    /** Settles the subscription if it received nothing since the given time, or slices have been pending too long. */
+    private void settleIfQuiet(Subscription subscription, long sinceNs) {
+        if (subscription == active || subscription == replacement) {
             List<Event> events = new ArrayList<>();
-            boolean longHeld = which.opening == null && System.nanoTime() - heldSince > HELD_NS;
-            if (which.heardAt == since || longHeld) {
-                settle(which, events);
+            boolean pendingTooLong =
+                    subscription.initialState == null && System.nanoTime() - pendingSinceNs > MAX_PENDING_NS;
+            if (subscription.lastReceivedNs == sinceNs || pendingTooLong) {
+                settle(subscription, events);
             }
-            events.forEach(host::happened);
+            events.forEach(loop::enqueue);
         }
     }
 
-    private void settle(NewsStream which, List<Event> events) {
-        if (which.opening != null) {
-            boolean gap = stream == null;
-            Set<Integer> given =
-                    which.opening.settle(which.sinceAsked, gap && which.heardAt - deafSince > emptyNs, events);
-            repeat(given, which.sinceAsked);
-            which.opening = null;
-            which.sinceAsked.clear();
+    /** Reports the state held back so far, as it is complete; a replacement becomes the active subscription. */
+    private void settle(Subscription subscription, List<Event> events) {
+        if (subscription.initialState != null) {
+            boolean gap = active == null;
+            Set<Integer> assigned = subscription.initialState.commit(
+                    subscription.ordersInFlight,
+                    gap && subscription.lastReceivedNs - disconnectedSinceNs > channelDrainNs,
+                    events);
+            resendOrders(assigned, subscription.ordersInFlight);
+            subscription.initialState = null;
+            subscription.ordersInFlight.clear();
             if (!gap) {
-                stream.close();
+                active.close();
             }
-            stream = which;
-            next = null;
-            host.counters().count("news.streams");
-            // Answers to marks that came in the gap are lost; unasked, the decisions would wait for them for ever.
-            if (gap && lastMark >= 0 && calls.isEmpty() && answered.cardinality() < snapshot.proxies()) {
-                host.counters().count("marks.repeated");
-                order(List.of(new Order.Mark(lastMark, true)));
+            active = subscription;
+            replacement = null;
+            loop.counters().increment("news.streams");
+            // Acknowledgements sent during the gap are lost, and the controller would wait for them for ever.
+            if (gap && lastMark >= 0 && calls.isEmpty() && acknowledgedBy.cardinality() < snapshot.proxyCount()) {
+                loop.counters().increment("marks.repeated");
+                submit(List.of(new Order.Mark(lastMark, true)));
             }
-        } else if (snapshot.unsettled()) {
-            List<Order> onTheWay = new ArrayList<>();
-            calls.forEach(call -> onTheWay.addAll(call.orders));
-            repeat(snapshot.settle(onTheWay, events), onTheWay);
+        } else if (snapshot.hasPendingSlices()) {
+            List<Order> inFlight = new ArrayList<>();
+            calls.forEach(call -> inFlight.addAll(call.orders));
+            resendOrders(snapshot.commitPendingSlices(inFlight, events), inFlight);
         }
     }
 
     /**
-     * The relay may have taken these while their slices were another's, where they change nothing, or before another
-     * set their lines; the decisions are told them as standing. Those already sent are said once more, before what
-     * waits; setting a line twice does no harm.
+     * Sends orders for newly assigned slices again. The relay may have accepted them while the slice belonged to another
+     * coordinator, where they have no effect, or before another coordinator set its lines; but the controller was told
+     * that they are in effect. Only orders already sent are repeated, ahead of the queued calls; setting a line twice
+     * does no harm.
      */
-    private void repeat(Set<Integer> given, List<Order> onTheWay) {
+    private void resendOrders(Set<Integer> assigned, List<Order> inFlight) {
         Set<Order> unsent = Collections.newSetFromMap(new IdentityHashMap<>());
-        calls.stream().skip(out ? 1 : 0).forEach(call -> unsent.addAll(call.orders));
-        List<Order> again = onTheWay.stream()
+        calls.stream().skip(busy ? 1 : 0).forEach(call -> unsent.addAll(call.orders));
+        List<Order> repeated = inFlight.stream()
                 .filter(order -> !unsent.contains(order)
-                        && (order instanceof Order.SetLine o && given.contains(o.table())
-                                || order instanceof Order.ClearTable c && given.contains(c.table())))
+                        && (order instanceof Order.SetLine o && assigned.contains(o.table())
+                                || order instanceof Order.ClearTable c && assigned.contains(c.table())))
                 .toList();
-        if (again.isEmpty()) {
+        if (repeated.isEmpty()) {
             return;
         }
-        host.counters().note("orders.repeated", again.size() + " whose slices went and came");
-        Call head = out ? calls.pollFirst() : null;
-        calls(again).descendingIterator().forEachRemaining(calls::addFirst);
+        loop.counters()
+                .incrementAndLog("orders.repeated", repeated.size() + " for slices that were lost and assigned again");
+        Call head = busy ? calls.pollFirst() : null;
+        splitIntoCalls(repeated).descendingIterator().forEachRemaining(calls::addFirst);
         if (head != null) {
             calls.addFirst(head);
         }
-        if (next != null) {
-            next.sinceAsked.addAll(again);
+        if (replacement != null) {
+            replacement.ordersInFlight.addAll(repeated);
         }
-        send();
+        sendNext();
     }
 
-    private void lost(NewsStream which, String why) {
-        if (which == stream) {
-            host.counters().note("news.broken", why);
-            stream = null;
-            deafSince = which.heardAt;
-            if (next == null) {
-                listen();
+    private void handleEnd(Subscription subscription, String reason) {
+        if (subscription == active) {
+            loop.counters().incrementAndLog("news.broken", reason);
+            active = null;
+            disconnectedSinceNs = subscription.lastReceivedNs;
+            if (replacement == null) {
+                subscribe();
             }
-        } else if (which == next) {
-            host.counters().note("news.not_had", why);
-            next = null;
+        } else if (subscription == replacement) {
+            loop.counters().incrementAndLog("news.not_had", reason);
+            replacement = null;
             net.schedule(
-                    REDIAL_MS,
-                    () -> host.offer(() -> {
-                        if (next == null && (stream == null || !stream.at.equals(to))) {
-                            listen();
+                    RECONNECT_PAUSE_MS,
+                    () -> loop.execute(() -> {
+                        if (replacement == null && (active == null || !active.address.equals(relay))) {
+                            subscribe();
                         }
                     }));
         }
     }
 
-    private final class NewsStream implements Link.Receiver {
-        private final EventStream events = new EventStream(this::news);
+    /** One connection for the relay's event stream. Receives on a network thread, and passes events to the client. */
+    private final class Subscription implements Link.Receiver {
+        private final ServerSentEventParser events = new ServerSentEventParser(this::collect);
         private final HttpParser parser = HttpParser.streaming(end -> close(), events::feed);
-        private final InetSocketAddress at = to;
-        private List<EventStream.News> came = new ArrayList<>();
+        private final InetSocketAddress address = relay;
+        /** Events parsed from the current read; used on the network thread only. */
+        private List<ServerSentEventParser.ServerSentEvent> parsed = new ArrayList<>();
+
         private volatile Link link;
         private volatile boolean closed;
-        /** On the decision thread. */
-        private boolean up;
-
-        private long heardAt;
-        /** Until it has settled: what it has told, and the orders that it may not show. */
-        private RelaySnapshot.Opening opening;
+        /** Whether the connection is open; this and the fields below belong to the decision thread. */
+        private boolean connected;
 
-        private final List<Order> sinceAsked = new ArrayList<>();
+        private long lastReceivedNs;
+        /** The relay's state as received so far; null once it has settled. */
+        private RelaySnapshot.InitialState initialState;
+        /** Orders that the initial state may not show yet, as they were queued or in flight since it was requested. */
+        private final List<Order> ordersInFlight = new ArrayList<>();
 
-        void dial() {
+        void connect() {
             net.dial(
-                    at,
+                    address,
                     this,
-                    4096,
-                    CONNECT_MS,
-                    up -> {
-                        link = up;
+                    MAX_STREAM_SEND_BYTES,
+                    CONNECT_TIMEOUT_MS,
+                    opened -> {
+                        link = opened;
                         if (closed) {
-                            up.close();
+                            opened.close();
                             return;
                         }
-                        host.offer(() -> begun(this));
-                        up.send(ByteBuffer.wrap(("GET /api/stream HTTP/1.1\r\nhost: " + Net.text(at)
+                        loop.execute(() -> handleConnected(this));
+                        opened.send(ByteBuffer.wrap(("GET /api/stream HTTP/1.1\r\nhost: " + Net.text(address)
                                         + "\r\naccept: text/event-stream\r\n\r\n")
                                 .getBytes(StandardCharsets.US_ASCII)));
                     },
-                    failure -> host.offer(() -> lost(this, "no connection: " + failure.getMessage())));
+                    failure -> loop.execute(() -> handleEnd(this, "no connection: " + failure.getMessage())));
         }
 
-        private void news(EventStream.News news) {
-            came.add(news);
+        private void collect(ServerSentEventParser.ServerSentEvent event) {
+            parsed.add(event);
         }
 
         @Override
         public void received(Link from, ByteBuffer bytes) {
             parser.feed(bytes);
-            List<EventStream.News> now = came;
-            came = new ArrayList<>();
-            long when = System.nanoTime();
-            host.offer(() -> take(this, now, when));
+            List<ServerSentEventParser.ServerSentEvent> received = parsed;
+            parsed = new ArrayList<>();
+            long receivedNs = System.nanoTime();
+            loop.execute(() -> handleEvents(this, received, receivedNs));
         }
 
         void close() {
@@ -497,7 +547,7 @@
 
         @Override
         public void ended(Link from, Link.Cause cause, String detail) {
-            host.offer(() -> lost(this, cause + " " + detail));
+            loop.execute(() -> handleEnd(this, cause + " " + detail));
         }
     }
 }
--- a/src/main/java/puffinbarrow/platform/RelaySnapshot.java
+++ b/src/main/java/puffinbarrow/platform/RelaySnapshot.java
@@ -9,85 +9,94 @@
 import puffinbarrow.control.Order;
 
 /**
- * What stands at the relay as its news has told it: joined proxies, slices in our charge with their lines. Pure; one
- * thread. Each stream of news begins with all that stands and no mark tells where that ends, and a slice's giving comes
- * before its lines; so both are held until the owner says that the news has settled, and are then put to the decisions
- * as one: a slice without its lines would look like an orphan. A stream that follows another is an {@link Opening} of
- * its own meanwhile, and when it has settled only what differs is told.
+ * Local copy of the relay's state, built from its event stream: the attached proxies, and the slices assigned to this
+ * coordinator with their lines.
+ *
+ * <p>Each event stream begins with the full state and does not mark its end, and the assignment of a slice comes before
+ * its lines. Both are therefore held back until {@link RelayClient} decides that the stream has settled, and are then
+ * reported together: the controller would treat a slice without its lines as an orphan. A new stream that replaces the
+ * current one collects its state in an {@link InitialState}; when that settles, only the differences are reported.
+ *
+ * <p>Does no I/O; used on the decision thread only.
  */
 final class RelaySnapshot {
-    private final Translation words;
-    private final TreeSet<Integer> joined = new TreeSet<>();
+    /** Relative difference up to which two weights count as equal: digits may be lost on the way to the relay and back. */
+    private static final double WEIGHT_TOLERANCE = 1e-6;
+
+    private final PlatformCodec codec;
+    private final TreeSet<Integer> attachedProxies = new TreeSet<>();
+    /** Lines (weight by server) of the slices reported as assigned, by slice. */
     private final TreeMap<Integer, TreeMap<String, Double>> slices = new TreeMap<>();
-    /** Slices given whose lines may still be coming. */
-    private final TreeMap<Integer, TreeMap<String, Double>> given = new TreeMap<>();
+    /** Lines of the slices just assigned that are not reported yet, as more of their lines may follow. */
+    private final TreeMap<Integer, TreeMap<String, Double>> pendingSlices = new TreeMap<>();
 
-    RelaySnapshot(Translation words) {
-        this.words = words;
+    RelaySnapshot(PlatformCodec codec) {
+        this.codec = codec;
     }
 
-    int proxies() {
-        return joined.size();
+    int proxyCount() {
+        return attachedProxies.size();
     }
 
-    int slices() {
+    int sliceCount() {
         return slices.size();
     }
 
-    /** Whether slices given wait for their lines. */
-    boolean unsettled() {
-        return !given.isEmpty();
+    /** Returns whether newly assigned slices still wait for their lines. */
+    boolean hasPendingSlices() {
+        return !pendingSlices.isEmpty();
     }
 
-    /** Takes one piece of news; what can be told at once goes to out. */
-    void news(String kind, Map<String, String> fields, List<Event> out) {
-        switch (kind) {
+    /** Applies one relay event and adds to {@code out} what can be reported to the controller at once. */
+    void apply(String type, Map<String, String> fields, List<Event> out) {
+        switch (type) {
             case "attach" -> {
-                Event.ProxyJoined proxy = words.joined(fields);
-                left(proxy.proxy(), out);
-                joined.add(proxy.proxy());
+                Event.ProxyJoined proxy = codec.proxyJoined(fields);
+                removeProxy(proxy.proxy(), out);
+                attachedProxies.add(proxy.proxy());
                 out.add(proxy);
             }
-            case "detach" -> left(words.proxy(fields), out);
-            case "done" -> out.add(words.inForce(fields));
-            case "owner" -> owner(words.slice(fields), words.flag(fields, "flag"), out);
-            case "entry" -> entry(words.line(fields), out);
-            default -> throw new ProtocolException("news: no kind is named " + kind);
+            case "detach" -> removeProxy(codec.proxy(fields), out);
+            case "done" -> out.add(codec.inForce(fields));
+            case "owner" -> setOwner(codec.slice(fields), codec.flag(fields, "flag"), out);
+            case "entry" -> setLine(codec.storedLine(fields), out);
+            default -> throw new ProtocolException("unknown relay event type " + type);
         }
     }
 
-    private void left(int proxy, List<Event> out) {
-        if (joined.remove(proxy)) {
+    private void removeProxy(int proxy, List<Event> out) {
+        if (attachedProxies.remove(proxy)) {
             out.add(new Event.ProxyLeft(proxy));
         }
     }
 
-    private void owner(int slice, boolean ours, List<Event> out) {
+    private void setOwner(int slice, boolean ours, List<Event> out) {
         if (ours) {
-            given.put(slice, new TreeMap<>());
+            pendingSlices.put(slice, new TreeMap<>());
         } else {
-            given.remove(slice);
-            taken(slice, out);
+            pendingSlices.remove(slice);
+            removeSlice(slice, out);
         }
     }
 
-    private void taken(int slice, List<Event> out) {
+    private void removeSlice(int slice, List<Event> out) {
         if (slices.remove(slice) != null) {
             out.add(new Event.SliceCharge(slice, false));
         }
     }
 
-    private void entry(Event.StoredLine line, List<Event> out) {
-        TreeMap<String, Double> lines = given.get(line.slice());
+    private void setLine(Event.StoredLine line, List<Event> out) {
+        TreeMap<String, Double> lines = pendingSlices.get(line.slice());
         if (lines != null) {
-            put(lines, line.server(), line.weight());
+            putLine(lines, line.server(), line.weight());
         } else if (slices.containsKey(line.slice())) {
-            put(slices.get(line.slice()), line.server(), line.weight());
+            putLine(slices.get(line.slice()), line.server(), line.weight());
             out.add(line);
         }
     }
 
-    private static void put(TreeMap<String, Double> lines, String server, double weight) {
+    /** Sets a line; weight 0 removes it. */
+    private static void putLine(TreeMap<String, Double> lines, String server, double weight) {
         if (weight > 0) {
             lines.put(server, weight);
         } else {
@@ -95,110 +104,112 @@
         }
     }
 
-    /** The relay took that order. */
-    void took(Order order) {
-        carry(order, slices);
+    /** Applies an order that the relay has accepted. */
+    void orderAccepted(Order order) {
+        applyOrder(order, slices);
     }
 
-    private static void carry(Order order, Map<Integer, TreeMap<String, Double>> to) {
-        if (order instanceof Order.SetLine o && to.containsKey(o.table())) {
-            put(to.get(o.table()), o.server(), o.weight());
-        } else if (order instanceof Order.ClearTable o && to.containsKey(o.table())) {
-            to.get(o.table()).clear();
+    private static void applyOrder(Order order, Map<Integer, TreeMap<String, Double>> target) {
+        if (order instanceof Order.SetLine o && target.containsKey(o.table())) {
+            putLine(target.get(o.table()), o.server(), o.weight());
+        } else if (order instanceof Order.ClearTable o && target.containsKey(o.table())) {
+            target.get(o.table()).clear();
         }
     }
 
     /**
-     * The lines of slices given have come.
+     * Reports the pending slices with their lines, which are complete now.
      *
-     * @param onTheWay orders that the news may not show yet and that will stand: they are asked again until taken
-     * @return the slices given
+     * @param inFlight orders that the event stream may not show yet; they count as applied, since they are sent until
+     *     they are accepted
+     * @return the slices reported
      */
-    Set<Integer> settle(List<Order> onTheWay, List<Event> out) {
-        Map<Integer, TreeMap<String, Double>> told = copy(given);
-        onTheWay.forEach(order -> carry(order, told));
-        told.forEach((slice, lines) -> give(slice, lines, out));
-        Set<Integer> settled = Set.copyOf(given.keySet());
-        slices.putAll(given);
-        given.clear();
-        return settled;
+    Set<Integer> commitPendingSlices(List<Order> inFlight, List<Event> out) {
+        Map<Integer, TreeMap<String, Double>> reported = copy(pendingSlices);
+        inFlight.forEach(order -> applyOrder(order, reported));
+        reported.forEach((slice, lines) -> reportSlice(slice, lines, out));
+        Set<Integer> committed = Set.copyOf(pendingSlices.keySet());
+        slices.putAll(pendingSlices);
+        pendingSlices.clear();
+        return committed;
     }
 
-    private static void give(int slice, TreeMap<String, Double> lines, List<Event> out) {
+    private static void reportSlice(int slice, TreeMap<String, Double> lines, List<Event> out) {
         out.add(new Event.SliceCharge(slice, true));
         lines.forEach((server, weight) -> out.add(new Event.StoredLine(slice, server, weight)));
     }
 
-    /** The beginning of a stream of news: all that stands, until it has settled. */
-    final class Opening {
+    /** The full state at the beginning of a new event stream, collected until the stream has settled. */
+    final class InitialState {
         private final TreeMap<Integer, Event.ProxyJoined> proxies = new TreeMap<>();
         private final TreeMap<Integer, TreeMap<String, Double>> tables = new TreeMap<>();
 
-        void news(String kind, Map<String, String> fields, List<Event> out) {
-            switch (kind) {
-                case "attach" -> proxies.put(words.proxy(fields), words.joined(fields));
-                case "detach" -> proxies.remove(words.proxy(fields));
-                case "done" -> out.add(words.inForce(fields));
+        /** Applies one relay event; only acknowledgements of marks are reported at once. */
+        void apply(String type, Map<String, String> fields, List<Event> out) {
+            switch (type) {
+                case "attach" -> proxies.put(codec.proxy(fields), codec.proxyJoined(fields));
+                case "detach" -> proxies.remove(codec.proxy(fields));
+                case "done" -> out.add(codec.inForce(fields));
                 case "owner" -> {
-                    tables.remove(words.slice(fields));
-                    if (words.flag(fields, "flag")) {
-                        tables.put(words.slice(fields), new TreeMap<>());
+                    tables.remove(codec.slice(fields));
+                    if (codec.flag(fields, "flag")) {
+                        tables.put(codec.slice(fields), new TreeMap<>());
                     }
                 }
                 case "entry" -> {
-                    Event.StoredLine line = words.line(fields);
+                    Event.StoredLine line = codec.storedLine(fields);
                     if (tables.containsKey(line.slice())) {
-                        put(tables.get(line.slice()), line.server(), line.weight());
+                        putLine(tables.get(line.slice()), line.server(), line.weight());
                     }
                 }
-                default -> throw new ProtocolException("news: no kind is named " + kind);
+                default -> throw new ProtocolException("unknown relay event type " + type);
             }
         }
 
         /**
-         * The stream has settled and is the one that counts.
+         * Replaces the snapshot by this state and reports the differences; the stream has settled.
          *
-         * @param onTheWay orders that were on the way when the stream was asked for, or since
-         * @param anew whether proxies may have gone and come back unseen: they are told as joined anew. A proxy
-         *     that stayed must not be: what waits for it in the channel would count as gone
-         * @return the slices given: new ones, and those whose lines are not as they were believed
+         * @param inFlight orders that were in flight when the stream was requested, or were added since
+         * @param rejoinProxies whether proxies may have detached and attached again unnoticed, so that all are reported
+         *     as having left and joined. This must not be done for a proxy that stayed attached: the controller would
+         *     count the messages queued for it as lost
+         * @return the slices reported: new ones, and those whose lines differ from the snapshot
          */
-        Set<Integer> settle(List<Order> onTheWay, boolean anew, List<Event> out) {
-            List.copyOf(joined).stream()
-                    .filter(id -> anew || !proxies.containsKey(id))
-                    .forEach(id -> left(id, out));
+        Set<Integer> commit(List<Order> inFlight, boolean rejoinProxies, List<Event> out) {
+            List.copyOf(attachedProxies).stream()
+                    .filter(id -> rejoinProxies || !proxies.containsKey(id))
+                    .forEach(id -> removeProxy(id, out));
             proxies.forEach((id, proxy) -> {
-                if (joined.add(id)) {
+                if (attachedProxies.add(id)) {
                     out.add(proxy);
                 }
             });
             List.copyOf(slices.keySet()).stream()
                     .filter(slice -> !tables.containsKey(slice))
-                    .forEach(slice -> taken(slice, out));
-            Map<Integer, TreeMap<String, Double>> believed = copy(slices);
-            Map<Integer, TreeMap<String, Double>> told = copy(tables);
-            onTheWay.forEach(order -> {
-                carry(order, believed);
-                carry(order, told);
+                    .forEach(slice -> removeSlice(slice, out));
+            Map<Integer, TreeMap<String, Double>> previous = copy(slices);
+            Map<Integer, TreeMap<String, Double>> reported = copy(tables);
+            inFlight.forEach(order -> {
+                applyOrder(order, previous);
+                applyOrder(order, reported);
             });
-            told.entrySet().removeIf(table -> same(table.getValue(), believed.get(table.getKey())));
-            told.forEach((slice, lines) -> give(slice, lines, out));
-            given.clear();
+            reported.entrySet().removeIf(table -> sameLines(table.getValue(), previous.get(table.getKey())));
+            reported.forEach((slice, lines) -> reportSlice(slice, lines, out));
+            pendingSlices.clear();
             slices.putAll(tables);
-            return told.keySet();
+            return reported.keySet();
         }
     }
 
-    private static Map<Integer, TreeMap<String, Double>> copy(Map<Integer, TreeMap<String, Double>> of) {
+    private static Map<Integer, TreeMap<String, Double>> copy(Map<Integer, TreeMap<String, Double>> tables) {
         Map<Integer, TreeMap<String, Double>> copy = new TreeMap<>();
-        of.forEach((slice, lines) -> copy.put(slice, new TreeMap<>(lines)));
+        tables.forEach((slice, lines) -> copy.put(slice, new TreeMap<>(lines)));
         return copy;
     }
 
-    /** A weight that went out and came back may have lost its last digits. */
-    private static boolean same(TreeMap<String, Double> a, TreeMap<String, Double> b) {
+    private static boolean sameLines(TreeMap<String, Double> a, TreeMap<String, Double> b) {
         return b != null
                 && a.keySet().equals(b.keySet())
-                && a.keySet().stream().allMatch(id -> Math.abs(a.get(id) - b.get(id)) <= 1e-6 * b.get(id));
+                && a.keySet().stream().allMatch(id -> Math.abs(a.get(id) - b.get(id)) <= WEIGHT_TOLERANCE * b.get(id));
     }
 }
--- a/src/main/java/puffinbarrow/platform/Service.java
+++ b/src/main/java/puffinbarrow/platform/Service.java
@@ -17,30 +17,41 @@
 import puffinbarrow.net.Net;
 
 /**
- * A coordinator in service on the platform. One thread, the caller of {@link #run}, owns the Controller and the clients
- * of relay and discovery: it takes what the channels' threads offered, hands the events over as one batch with its
- * time, and carries the orders out in their order, those for the relay as one call.
+ * A coordinator in service on the platform's protocol; started by the command {@code serve}. The thread that calls
+ * {@link #run} is the decision thread. It owns the controller and the clients of relay and discovery: it runs the tasks
+ * queued by the network threads, passes the collected events to the controller as one batch with a time, and carries
+ * out the controller's orders in sequence; those for the relay go out as one call.
  */
-public final class Service implements Host, AutoCloseable {
-    /** Work that may wait before collectors are asked to stop: some seconds of reports at ten times their pace. */
-    private static final int INBOX = 8192;
-    /** The simulator's own tick: what comes within it is decided as one batch, which saves most of the work. */
+public final class Service implements EventLoop, AutoCloseable {
+    /** Queued tasks above which collectors are paused: some seconds of reports at ten times their usual rate. */
+    private static final int INBOX_LIMIT = 8192;
+    /** Events within this time go into one batch, which saves most of the work; equals the simulator's tick. */
     private static final long TICK_NS = 4_000_000;
 
-    private static final long WATCH_NS = 250_000_000;
-    /** A probe's answer may take as long as the platform waits for one. */
-    private static final long PROBE_MS = 500;
-    /** Until a configuration that can't be read is read again; doubles up to the second, six seconds in all. */
-    private static final long REREAD_MS = 100, MOST_REREAD_MS = 3200;
-    /** Handles that are not streams of strangers: the process's own, relay, discovery, collectors, probes. */
-    private static final int OWN_HANDLES = 128;
+    private static final long SECOND_NS = 1_000_000_000L;
+    /** Interval at which the relay's event streams are checked for silence, and longest wait of the decision thread. */
+    private static final long LIVENESS_CHECK_NS = 250_000_000;
+    /** Time after a failed decision at which the controller is called again if no event comes before. */
+    private static final long FAILURE_RETRY_NS = 250_000_000;
+    /** Time-out of a probe, as long as the platform itself waits for an answer to one. */
+    private static final long PROBE_TIMEOUT_MS = 500;
+    /** Pause before an unreadable configuration is read again; it doubles with each attempt. */
+    private static final long FIRST_REREAD_PAUSE_MS = 100;
+    /** Longest pause before another attempt to read the configuration; all pauses together are about six seconds. */
+    private static final long MAX_REREAD_PAUSE_MS = 3200;
+    /** File descriptors not available to unjoined connections: the JVM's own, relay, discovery, collectors, probes. */
+    private static final int RESERVED_DESCRIPTORS = 128;
+    /** Unjoined connections allowed however low the limit on sockets is. */
+    private static final int MIN_UNJOINED = 32;
+    /** Stack frames of a failure that go into its log line. */
+    private static final int LOGGED_FRAMES = 6;
 
     private final Path file;
-    /** As it was at the start. */
+    /** The configuration read at the start; reloads change addresses only. */
     private final Configuration config;
 
     private final CounterRegistry counters;
-    private final Inbox<Runnable> inbox = new Inbox<>(INBOX);
+    private final Inbox<Runnable> inbox = new Inbox<>(INBOX_LIMIT);
     private final Net net;
     private final Controller controller;
     private final RelayClient relay;
@@ -51,11 +62,13 @@
     private final PriorityQueue<Order.WakeAt> timers = new PriorityQueue<>((a, b) -> Long.compare(a.atNs(), b.atNs()));
     private List<Event> batch = new ArrayList<>();
     private volatile boolean running = true;
+    /** Whether the controller failed so often that the process is to be restarted. */
     private boolean gaveUp;
-    /** Signals to read the configuration again. */
+
+    /** Number of reloads requested. */
     private long reloads;
 
-    /** Reads the configuration and opens its sockets; {@link #run} serves. */
+    /** Reads the configuration from the file and binds the listening socket; {@link #run} serves. */
     public Service(Path file, Controller.Factory factory) throws IOException {
         this(file, factory, new CounterRegistry(System.out));
     }
@@ -63,89 +76,94 @@
     Service(Path file, Controller.Factory factory, CounterRegistry counters) throws IOException {
         this.file = file;
         this.counters = counters;
-        Translation.Clock clock = Translation.Clock.now();
+        PlatformCodec.ClockOffset clock = PlatformCodec.ClockOffset.now();
         Configuration config = Configuration.read(Files.readAllBytes(file), clock);
-        Translation words = new Translation(config.names(), clock);
+        PlatformCodec codec = new PlatformCodec(config.names(), clock);
         this.net = new Net("serve", 1);
         this.controller = factory.start(config.settings(), config.seed());
-        this.relay = new RelayClient(net, this, words, config.relay(), (long)
+        this.relay = new RelayClient(net, this, codec, config.relay(), (long)
                 (config.settings().queueLimit() / Math.max(1, config.settings().linesPerS()) * 1e9));
-        this.discovery = new DiscoveryClient(net, this, words, config.discovery(), config.known());
+        this.discovery = new DiscoveryClient(net, this, codec, config.discovery(), config.known());
         this.prober = new Prober(
                 net,
                 discovery::address,
-                PROBE_MS,
-                new Prober.Question("/-/load", answer -> Translation.probed(new String(answer.body()))));
-        happened(new Event.ServerList(
+                PROBE_TIMEOUT_MS,
+                new Prober.Question("/-/load", answer -> PlatformCodec.decodeProbe(new String(answer.body()))));
+        enqueue(new Event.ServerList(
                 Event.ListKind.STALE_COPY, config.known().list().entries()));
-        int strangers = Math.max(32, config.sockets() - OWN_HANDLES);
-        this.listener = new Collectors(net, words, new Reports(), counters, strangers).bind(config.listen());
+        int maxUnjoined = Math.max(MIN_UNJOINED, config.sockets() - RESERVED_DESCRIPTORS);
+        this.listener =
+                new CollectorListener(net, codec, new ReportSink(), counters, maxUnjoined).bind(config.listen());
         this.config = config;
     }
 
-    private final class Reports implements Collectors.Sink {
+    /** Queues collectors' reports for the decision thread. */
+    private final class ReportSink implements CollectorListener.Sink {
         @Override
         public boolean offer(Event report) {
-            return inbox.offer(() -> happened(report));
+            return inbox.offer(() -> enqueue(report));
         }
 
         @Override
-        public void stopped(Runnable resume) {
-            counters.count("inbox.overflows");
+        public void resumeWhenDrained(Runnable resume) {
+            counters.increment("inbox.overflows");
             inbox.stopped(resume);
         }
     }
 
-    /** Serves until it is closed; true if the decisions failed for good. */
+    /** Serves until closed. Returns true if the controller failed too often for the service to go on. */
     public boolean run() {
         inbox.reader(Thread.currentThread());
         relay.start();
-        // Only then does anyone hear that it is up: what is known has been decided on, and all classes are loaded.
+        // The first decision, on the known servers, comes before the first client is accepted, so that heartbeats are
+        // answered only once the coordinator is ready and its classes are loaded.
         decide(System.nanoTime());
         listener.accept();
-        counters.say("ready name=" + config.name() + " listen=" + Net.text(listener.address()) + " sockets="
+        counters.log("ready name=" + config.name() + " listen=" + Net.text(listener.address()) + " sockets="
                 + config.sockets() + " known=" + config.known().list().entries().size());
-        long watchAt = System.nanoTime();
-        long secondAt = watchAt;
+        long livenessCheckAt = System.nanoTime();
+        long secondAt = livenessCheckAt;
         while (running) {
             inbox.drain().forEach(Runnable::run);
             long now = System.nanoTime();
-            if (now >= watchAt) {
-                relay.watch(now);
-                watchAt = now + WATCH_NS;
+            if (now >= livenessCheckAt) {
+                relay.checkLiveness(now);
+                livenessCheckAt = now + LIVENESS_CHECK_NS;
             }
             if (now >= secondAt) {
-                counters.second("proxies=" + relay.snapshot().proxies() + " slices="
-                        + relay.snapshot().slices() + " calls=" + relay.waiting());
-                secondAt = now + 1_000_000_000L;
+                counters.onSecond("proxies=" + relay.snapshot().proxyCount() + " slices="
+                        + relay.snapshot().sliceCount() + " calls=" + relay.queuedCalls());
+                secondAt = now + SECOND_NS;
             }
             while (!timers.isEmpty() && timers.peek().atNs() <= now) {
-                happened(new Event.Timer(timers.poll().label()));
+                enqueue(new Event.Timer(timers.poll().label()));
             }
             if (!batch.isEmpty()) {
                 decide(now);
             }
-            long next =
-                    Math.min(watchAt, timers.isEmpty() ? watchAt : timers.peek().atNs());
+            long next = Math.min(
+                    livenessCheckAt,
+                    timers.isEmpty() ? livenessCheckAt : timers.peek().atNs());
             if (inbox.isEmpty()) {
                 LockSupport.parkNanos(Math.max(0, next - System.nanoTime()));
             }
-            long early = now + TICK_NS - System.nanoTime();
-            if (early > 0 && running) {
-                pause(early);
+            long tickRestNs = now + TICK_NS - System.nanoTime();
+            if (tickRestNs > 0 && running) {
+                sleep(tickRestNs);
             }
         }
         return gaveUp;
     }
 
-    private static void pause(long ns) {
+    private static void sleep(long ns) {
         try {
             Thread.sleep(ns / 1_000_000, (int) (ns % 1_000_000));
-        } catch (InterruptedException ending) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
 
+    /** Passes the batch to the controller and carries out its orders. */
     private void decide(long now) {
         List<Event> events = batch;
         batch = new ArrayList<>();
@@ -153,7 +171,7 @@
         try {
             orders = controller.handle(now, events);
         } catch (RuntimeException failure) {
-            failed(now, events, failure);
+            handleFailure(now, events, failure);
             return;
         }
         List<Order> forRelay = new ArrayList<>();
@@ -161,77 +179,88 @@
             if (order instanceof Order.WakeAt o) {
                 timers.add(o);
             } else if (order instanceof Order.Log o) {
-                counters.say("decision " + o.text());
+                counters.log("decision " + o.text());
             } else if (order instanceof Order.Follow o) {
-                discovery.follow(o.on());
+                discovery.setWatching(o.on());
             } else if (order instanceof Order.FetchList) {
-                discovery.fetch();
+                discovery.fetchList();
             } else if (order instanceof Order.Probe o) {
-                prober.probe(o.server(), probed -> offer(() -> happened(probed)));
+                prober.probe(o.server(), result -> execute(() -> enqueue(result)));
             } else if (order instanceof Order.Bind || order instanceof Order.Tell) {
-                counters.note("orders.unsaid", "the platform has no word for " + order);
+                counters.incrementAndLog("orders.unsaid", "not supported by the platform: " + order);
             } else {
                 forRelay.add(order);
             }
         }
         if (!forRelay.isEmpty()) {
-            relay.order(forRelay);
+            relay.submit(forRelay);
         }
     }
 
-    private void failed(long now, List<Event> events, RuntimeException failure) {
-        counters.note(
+    private void handleFailure(long now, List<Event> events, RuntimeException failure) {
+        counters.incrementAndLog(
                 "decisions.failed",
                 failure + " at "
-                        + List.of(failure.getStackTrace()).subList(0, Math.min(6, failure.getStackTrace().length))
-                        + " on " + events.size() + " events; what stands is left");
-        // The decisions' own timer may have been lost with the batch.
-        timers.add(new Order.WakeAt(now + WATCH_NS, 0));
+                        + List.of(failure.getStackTrace())
+                                .subList(0, Math.min(LOGGED_FRAMES, failure.getStackTrace().length))
+                        + " on " + events.size() + " events; the relay's state is left unchanged");
+        // The controller's own timer may have been lost with the batch.
+        timers.add(new Order.WakeAt(now + FAILURE_RETRY_NS, 0));
         if (failures.tooMany(now)) {
             gaveUp = true;
             running = false;
         }
     }
 
-    /** The configuration was replaced; any thread. What may change alive is where discovery and relay are. */
+    /**
+     * Reads the configuration file again; may be called from any thread. Only changed addresses of discovery and relay
+     * take effect; other changes need a restart.
+     */
     public void reload() {
-        offer(() -> reload(++reloads, REREAD_MS));
+        execute(() -> reload(++reloads, FIRST_REREAD_PAUSE_MS));
     }
 
-    /** One that can't be read may be half written yet: it is read again for some seconds, or until the next signal. */
-    private void reload(long which, long pauseMs) {
-        if (which != reloads) {
+    /**
+     * Reads the configuration, and again after a pause if that fails, since the file may be partly written. Stops after
+     * {@link #MAX_REREAD_PAUSE_MS} or when another reload is requested.
+     */
+    private void reload(long reloadId, long pauseMs) {
+        if (reloadId != reloads) {
             return;
         }
         try {
-            Configuration fresh = Configuration.read(Files.readAllBytes(file), Translation.Clock.now());
-            counters.note("reloads", "discovery=" + Net.text(fresh.discovery()) + " relay=" + Net.text(fresh.relay()));
-            if (!fresh.settings().equals(config.settings()) || !fresh.names().equals(config.names())) {
-                counters.note("reloads.settings_kept", "settings changed too; they are taken up at a restart");
+            Configuration updated = Configuration.read(Files.readAllBytes(file), PlatformCodec.ClockOffset.now());
+            counters.incrementAndLog(
+                    "reloads", "discovery=" + Net.text(updated.discovery()) + " relay=" + Net.text(updated.relay()));
+            if (!updated.settings().equals(config.settings())
+                    || !updated.names().equals(config.names())) {
+                counters.incrementAndLog(
+                        "reloads.settings_kept", "settings changed as well; they take effect at a restart");
             }
-            discovery.moved(fresh.discovery());
-            relay.moved(fresh.relay());
-        } catch (IOException | RuntimeException wrong) {
-            if (pauseMs == REREAD_MS) {
-                counters.note("reloads.refused", String.valueOf(wrong.getMessage()));
+            discovery.moveTo(updated.discovery());
+            relay.moveTo(updated.relay());
+        } catch (IOException | RuntimeException failure) {
+            if (pauseMs == FIRST_REREAD_PAUSE_MS) {
+                counters.incrementAndLog("reloads.refused", String.valueOf(failure.getMessage()));
             }
-            if (pauseMs <= MOST_REREAD_MS) {
-                net.schedule(pauseMs, () -> offer(() -> reload(which, 2 * pauseMs)));
+            if (pauseMs <= MAX_REREAD_PAUSE_MS) {
+                net.schedule(pauseMs, () -> execute(() -> reload(reloadId, 2 * pauseMs)));
             }
         }
     }
 
+    /** Returns the address on which collectors are accepted. */
     InetSocketAddress address() {
         return listener.address();
     }
 
     @Override
-    public void offer(Runnable work) {
-        inbox.offer(work);
+    public void execute(Runnable task) {
+        inbox.offer(task);
     }
 
     @Override
-    public void happened(Event event) {
+    public void enqueue(Event event) {
         batch.add(event);
     }
 
@@ -240,11 +269,11 @@
         return counters;
     }
 
-    /** Ends it from any thread; what the relay took stands. */
+    /** Stops the service; may be called from any thread. Orders that the relay accepted stay in effect. */
     @Override
     public void close() {
         running = false;
-        offer(() -> {});
+        execute(() -> {});
         listener.close();
         net.close();
     }
--- a/src/main/java/puffinbarrow/resp/RespException.java
+++ b/src/main/java/puffinbarrow/resp/RespException.java
@@ -1,6 +1,6 @@
 package puffinbarrow.resp;
 
-/** Bytes that are no message of the protocol, or one over its bounds; the stream they came on can't go on. */
+/** Thrown on malformed RESP input or a message over its limits; the connection cannot be read any further. */
 public final class RespException extends RuntimeException {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/puffinbarrow/resp/RespReader.java
+++ b/src/main/java/puffinbarrow/resp/RespReader.java
@@ -8,110 +8,131 @@
 import java.util.function.Consumer;
 
 /**
- * Reads messages of RESP2 that are arrays of bulk strings, from whatever bytes came; a message is given out once it
- * is whole. No stated length is trusted: memory grows only with bytes that came, up to the limit on a message, which
- * the owner may change between messages. Anything else throws {@link RespException}, after which the stream is to be
- * closed. Not thread-safe: one for each stream, fed by that stream's reads.
+ * Incremental parser for RESP2 messages that are arrays of bulk strings; each complete message is passed to the
+ * consumer. Announced lengths are not trusted: memory grows only with received bytes, up to the limit on a message.
+ * Any other input throws {@link RespException}, after which the connection is to be closed. Not thread-safe: each
+ * connection has its own reader, fed on that connection's network thread.
  */
 public final class RespReader {
-    private enum At {
-        ARRAY,
-        LENGTH,
+    private enum State {
+        ARRAY_HEADER,
+        BULK_HEADER,
         BULK,
         BULK_END
     }
 
-    /** The longest header line: a type, a length of ten digits, with room to say what it was instead. */
-    private static final int LINE_BYTES = 16;
-    /** Parts of a message; the longest the platform writes has some twenty. */
-    private static final int PARTS = 1024;
+    /** Longest header line: a type, a length of ten digits and CRLF, with a few bytes to spare. */
+    private static final int MAX_LINE_BYTES = 16;
+    /** Most parts in a message; the longest that the platform writes has about 20. */
+    private static final int MAX_PARTS = 1024;
+    /** Most parts for which room is allocated before they arrive. */
+    private static final int MAX_INITIAL_CAPACITY = 32;
+    /** Size in bytes above which the buffer of a bulk string is not kept for the next one. */
+    private static final int MAX_KEPT_BUFFER_BYTES = 4096;
 
-    private final Consumer<List<String>> out;
+    private final Consumer<List<String>> consumer;
+    /** Limit on the size of a message in bytes. */
     private int limit;
-    private At at = At.ARRAY;
-    private final byte[] line = new byte[LINE_BYTES];
+
+    private State state = State.ARRAY_HEADER;
+    private final byte[] line = new byte[MAX_LINE_BYTES];
     private int lineLength;
     private byte[] bulk = new byte[0];
-    private int bulkAt;
-    private int wanted;
+    /** Bytes of the current bulk string received so far. */
+    private int bulkReceived;
+    /** Announced length of the current bulk string in bytes. */
+    private int bulkLength;
+
     private int partsLeft;
-    private int taken;
+    /** Bytes of the current message received so far. */
+    private int messageBytes;
+
     private List<String> parts = List.of();
 
-    public RespReader(int limit, Consumer<List<String>> out) {
+    /** Creates a reader with a limit on the size of each message in bytes. */
+    public RespReader(int limit, Consumer<List<String>> consumer) {
         this.limit = limit;
-        this.out = out;
+        this.consumer = consumer;
     }
 
+    /** Changes the limit on the size of a message; may be called by the consumer between messages. */
     public void limit(int bytes) {
         limit = bytes;
     }
 
+    /**
+     * Parses the next bytes of the connection, which may be split anywhere.
+     *
+     * @throws RespException if the input is malformed or over a limit
+     */
     public void feed(ByteBuffer in) {
         while (in.hasRemaining()) {
-            switch (at) {
-                case ARRAY -> {
-                    if (takeLine(in, '*')) {
-                        begin(number());
+            switch (state) {
+                case ARRAY_HEADER -> {
+                    if (readLine(in, '*')) {
+                        beginMessage(parseLength());
                     }
                 }
-                case LENGTH -> {
-                    if (takeLine(in, '$')) {
-                        wanted = number();
-                        if (wanted > limit - taken) {
+                case BULK_HEADER -> {
+                    if (readLine(in, '$')) {
+                        bulkLength = parseLength();
+                        if (bulkLength > limit - messageBytes) {
                             throw new RespException("a message over " + limit + " bytes");
                         }
-                        bulkAt = 0;
-                        at = wanted == 0 ? At.BULK_END : At.BULK;
+                        bulkReceived = 0;
+                        state = bulkLength == 0 ? State.BULK_END : State.BULK;
                     }
                 }
-                case BULK -> takeBulk(in);
+                case BULK -> readBulk(in);
                 case BULK_END -> {
-                    if (takeLine(in, '\r')) {
+                    if (readLine(in, '\r')) {
                         lineLength = 0;
-                        part();
+                        finishPart();
                     }
                 }
             }
         }
     }
 
-    private void begin(int count) {
-        if (count > PARTS) {
+    private void beginMessage(int count) {
+        if (count > MAX_PARTS) {
             throw new RespException("a message of " + count + " parts");
         }
         partsLeft = count;
-        taken = 0;
-        parts = new ArrayList<>(Math.min(count, 32));
-        at = count == 0 ? At.ARRAY : At.LENGTH;
+        messageBytes = 0;
+        parts = new ArrayList<>(Math.min(count, MAX_INITIAL_CAPACITY));
+        state = count == 0 ? State.ARRAY_HEADER : State.BULK_HEADER;
         if (count == 0) {
-            out.accept(List.of());
+            consumer.accept(List.of());
         }
     }
 
-    private void part() {
-        parts.add(new String(bulk, 0, wanted, StandardCharsets.UTF_8));
-        if (bulk.length > 4096) {
+    private void finishPart() {
+        parts.add(new String(bulk, 0, bulkLength, StandardCharsets.UTF_8));
+        if (bulk.length > MAX_KEPT_BUFFER_BYTES) {
             bulk = new byte[0];
         }
-        at = At.LENGTH;
+        state = State.BULK_HEADER;
         if (--partsLeft == 0) {
-            at = At.ARRAY;
-            List<String> whole = parts;
+            state = State.ARRAY_HEADER;
+            List<String> message = parts;
             parts = List.of();
-            out.accept(whole);
+            consumer.accept(message);
         }
     }
 
-    /** A header line of that type, or with a carriage return the end of a bulk string; false: not all came yet. */
-    private boolean takeLine(ByteBuffer in, char type) {
+    /**
+     * Reads a header line of the given type or, with a carriage return as type, the end of a bulk string. Returns false
+     * if the line is not complete yet.
+     */
+    private boolean readLine(ByteBuffer in, char type) {
         while (in.hasRemaining()) {
             byte b = in.get();
             if (lineLength == 0 && b != type) {
                 throw new RespException(
                         "expected '" + (type == '\r' ? "the end of a string" : type) + "', found byte " + (b & 0xff));
             }
-            if (lineLength == LINE_BYTES || ++taken > limit) {
+            if (lineLength == MAX_LINE_BYTES || ++messageBytes > limit) {
                 throw new RespException("a header line without an end");
             }
             line[lineLength++] = b;
@@ -122,8 +143,8 @@
         return false;
     }
 
-    /** The number of the header line that is whole. */
-    private int number() {
+    /** Parses the number in the complete header line and clears the line. */
+    private int parseLength() {
         int value = 0;
         int digits = lineLength - 3;
         for (int i = 1; i <= digits; i++) {
@@ -139,14 +160,14 @@
         return value;
     }
 
-    private void takeBulk(ByteBuffer in) {
-        int some = Math.min(in.remaining(), wanted - bulkAt);
-        if (bulk.length < bulkAt + some) {
-            bulk = Arrays.copyOf(bulk, Math.min(wanted, Math.max(bulkAt + some, bulk.length * 2)));
+    private void readBulk(ByteBuffer in) {
+        int count = Math.min(in.remaining(), bulkLength - bulkReceived);
+        if (bulk.length < bulkReceived + count) {
+            bulk = Arrays.copyOf(bulk, Math.min(bulkLength, Math.max(bulkReceived + count, bulk.length * 2)));
         }
-        in.get(bulk, bulkAt, some);
-        bulkAt += some;
-        taken += some;
-        at = bulkAt == wanted ? At.BULK_END : At.BULK;
+        in.get(bulk, bulkReceived, count);
+        bulkReceived += count;
+        messageBytes += count;
+        state = bulkReceived == bulkLength ? State.BULK_END : State.BULK;
     }
 }
--- a/src/main/java/puffinbarrow/resp/RespWriter.java
+++ b/src/main/java/puffinbarrow/resp/RespWriter.java
@@ -4,10 +4,11 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** Writes a message as a RESP2 array of bulk strings. */
+/** Encodes messages as RESP2 arrays of bulk strings. */
 public final class RespWriter {
     private RespWriter() {}
 
+    /** Returns the encoded array of the parts, in UTF-8. */
     public static ByteBuffer array(String... parts) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(64);
         out.writeBytes(("*" + parts.length + "\r\n").getBytes(StandardCharsets.US_ASCII));
--- a/src/test/java/puffinbarrow/platform/OtherCustomerTest.java
+++ b/src/test/java/puffinbarrow/platform/OtherCustomerTest.java
@@ -16,7 +16,7 @@
 /** An invented customer whose words and limits no deployment has: orders and judgments follow from the settings alone. */
 class OtherCustomerTest {
     private static final long SECOND = 1_000_000_000L;
-    private static final Translation.Clock CLOCK = new Translation.Clock(0, 0);
+    private static final PlatformCodec.ClockOffset CLOCK = new PlatformCodec.ClockOffset(0, 0);
 
     /** Odd but legal: one group or two, one zone, a name with a space, tenants, a grace of one second, no retries. */
     private static Configuration configuration(String groups, int proxies, int backlog) throws Exception {
@@ -49,22 +49,22 @@
     /** The calls of some seconds, in the relay's words, of a coordinator with all three slices and one proxy. */
     private static List<String> orders(Configuration config, long seconds, List<List<String>> reports) {
         Logic logic = new Logic(config.settings(), config.seed());
-        Translation words = new Translation(config.names(), CLOCK);
+        PlatformCodec codec = new PlatformCodec(config.names(), CLOCK);
         List<String> said = new ArrayList<>();
         for (long tick = 0; tick <= seconds * 4; tick++) {
             List<Event> events = new ArrayList<>();
             if (tick == 0) {
                 events.add(new Event.ServerList(
                         Event.ListKind.STALE_COPY, config.known().list().entries()));
-                events.add(words.joined(Map.of("id", "0", "site", "Süd Ost", "rps", "5", "new", "1")));
+                events.add(codec.proxyJoined(Map.of("id", "0", "site", "Süd Ost", "rps", "5", "new", "1")));
                 for (int slice = 0; slice < 3; slice++) {
                     events.add(new Event.SliceCharge(slice, true));
                 }
             } else if (tick % 4 == 0) {
-                reports.forEach(report -> events.add(words.report(report)));
+                reports.forEach(report -> events.add(codec.decodeReport(report)));
             }
             for (Order order : logic.handle(tick * SECOND / 4, events)) {
-                String text = words.order(order);
+                String text = codec.encodeOrder(order);
                 if (text != null) {
                     said.add(text);
                     if (order instanceof Order.Mark mark) {
@@ -97,24 +97,25 @@
 
     @Test
     void wordsOfTheSettingsAreTakenAndThoseOfOthersRefused() throws Exception {
-        Translation words =
-                new Translation(configuration(group("only one", 40, 7), 2, 100).names(), CLOCK);
+        PlatformCodec codec = new PlatformCodec(
+                configuration(group("only one", 40, 7), 2, 100).names(), CLOCK);
         assertEquals(
                 new Event.SliceDemand(2, 0, 4, 0, SECOND),
-                words.report(List.of(
+                codec.decodeReport(List.of(
                         "range_stats", "range", "2", "lane", "only one", "count", "4", "fail", "0", "over", "1000")));
         for (List<String> other :
                 List.of(List.of("range", "3", "lane", "only one"), List.of("range", "2", "lane", "lookup"))) {
             List<String> report = new ArrayList<>(List.of("range_stats"));
             report.addAll(other);
             report.addAll(List.of("count", "4", "fail", "0", "over", "1000"));
-            assertThrows(ProtocolException.class, () -> words.report(report));
+            assertThrows(ProtocolException.class, () -> codec.decodeReport(report));
         }
         assertThrows(
                 ProtocolException.class,
-                () -> words.joined(Map.of("id", "2", "site", "Süd Ost", "rps", "5", "new", "1")));
+                () -> codec.proxyJoined(Map.of("id", "2", "site", "Süd Ost", "rps", "5", "new", "1")));
         assertThrows(
-                ProtocolException.class, () -> words.joined(Map.of("id", "0", "site", "a", "rps", "5", "new", "1")));
+                ProtocolException.class,
+                () -> codec.proxyJoined(Map.of("id", "0", "site", "a", "rps", "5", "new", "1")));
     }
 
     @Test
@@ -161,7 +162,7 @@
     void aBackendThatDrainsLosesItsLinesWithinTheCustomersGrace() throws Exception {
         Configuration config = configuration(group("only one", 40, 7), 1, 1000);
         Logic logic = new Logic(config.settings(), config.seed());
-        Translation words = new Translation(config.names(), CLOCK);
+        PlatformCodec codec = new PlatformCodec(config.names(), CLOCK);
         logic.handle(
                 0,
                 List.of(
@@ -169,14 +170,14 @@
                                 Event.ListKind.STALE_COPY, config.known().list().entries()),
                         new Event.ProxyJoined(0, true, 5, 0),
                         new Event.SliceCharge(1, true)));
-        Event leaves = words.listing(Configuration.json(
+        Event leaves = codec.decodeListing(Configuration.json(
                         ("{\"generation\":1,\"reset\":false,\"instances\":[" + backend("x/1", "DRAINING") + "]}")
                                 .getBytes(StandardCharsets.UTF_8)))
                 .list();
         List<String> said = new ArrayList<>();
         for (long at = SECOND; at < 2 * SECOND; at += SECOND / 4) {
             logic.handle(at, at == SECOND ? List.of(leaves, new Event.InForce(0, 1, 1)) : List.of()).stream()
-                    .map(words::order)
+                    .map(codec::encodeOrder)
                     .filter(order -> order != null)
                     .forEach(said::add);
         }
--- a/src/test/java/puffinbarrow/platform/RaceTest.java
+++ b/src/test/java/puffinbarrow/platform/RaceTest.java
@@ -376,7 +376,7 @@
     void aFloodOfReportsBeforeTheFirstDecisionIsDecidedWhole() throws Exception {
         CountDownLatch flooded = new CountDownLatch(1);
         start(List.of());
-        service.offer(() -> {
+        service.execute(() -> {
             try {
                 flooded.await();
             } catch (InterruptedException stop) {
--- a/src/test/java/puffinbarrow/platform/RelaySnapshotTest.java
+++ b/src/test/java/puffinbarrow/platform/RelaySnapshotTest.java
@@ -20,22 +20,23 @@
     private static final Facts.Names NAMES =
             new Facts.Names(List.of("a", "b"), List.of("m"), List.of("x", "y"), 10, 10);
 
-    private final RelaySnapshot snapshot = new RelaySnapshot(new Translation(NAMES, new Translation.Clock(0, 0)));
+    private final RelaySnapshot snapshot =
+            new RelaySnapshot(new PlatformCodec(NAMES, new PlatformCodec.ClockOffset(0, 0)));
     private final List<Event> out = new ArrayList<>();
 
     private void news(String... events) {
-        read(new EventStream(n -> snapshot.news(n.kind(), n.fields(), out)), events);
+        read(new ServerSentEventParser(n -> snapshot.apply(n.type(), n.fields(), out)), events);
     }
 
     /** A stream of news that begins so, and settles. */
     private void opening(List<Order> onTheWay, boolean anew, String... events) {
-        RelaySnapshot.Opening opening = snapshot.new Opening();
-        read(new EventStream(n -> opening.news(n.kind(), n.fields(), out)), events);
+        RelaySnapshot.InitialState opening = snapshot.new InitialState();
+        read(new ServerSentEventParser(n -> opening.apply(n.type(), n.fields(), out)), events);
         assertEquals(List.of(), out, "nothing is told before it is whole");
-        opening.settle(onTheWay, anew, out);
+        opening.commit(onTheWay, anew, out);
     }
 
-    private static void read(EventStream stream, String... events) {
+    private static void read(ServerSentEventParser stream, String... events) {
         for (String event : events) {
             int space = event.indexOf(' ');
             stream.feed(ByteBuffer.wrap(
@@ -76,7 +77,7 @@
     void aSliceGivenLaterIsToldWithItsLines() {
         news("owner range=3&flag=1", "entry range=3&target=s3&rps=0.5");
         assertEquals(List.of(), taken());
-        snapshot.settle(List.of(), out);
+        snapshot.commitPendingSlices(List.of(), out);
         assertEquals(List.of(new Event.SliceCharge(3, true), new Event.StoredLine(3, "s3", 0.5)), taken());
         news("owner range=3&flag=0", "done id=7&seq=905&ms=310.4", "detach id=7");
         assertEquals(
@@ -89,7 +90,7 @@
 
     @Test
     void afterAGapOnlyWhatDiffersIsToldAgain() {
-        snapshot.took(new Order.SetLine(2, "s4", 0.03));
+        snapshot.orderAccepted(new Order.SetLine(2, "s4", 0.03));
         String[] stands = {
             "attach id=7&site=b&rps=21.5&new=1",
             "owner range=2&flag=1",
@@ -160,13 +161,14 @@
                     .append("\r\n");
         }
         byte[] bytes = stream.toString().getBytes(StandardCharsets.US_ASCII);
-        List<EventStream.News> wanted = List.of(
-                new EventStream.News("attach", Map.of("id", "8", "site", "b", "rps", "2", "new", "0")),
-                EventStream.SIGN,
-                new EventStream.News("owner", Map.of("range", "1", "flag", "1")));
+        List<ServerSentEventParser.ServerSentEvent> wanted = List.of(
+                new ServerSentEventParser.ServerSentEvent(
+                        "attach", Map.of("id", "8", "site", "b", "rps", "2", "new", "0")),
+                ServerSentEventParser.KEEP_ALIVE,
+                new ServerSentEventParser.ServerSentEvent("owner", Map.of("range", "1", "flag", "1")));
         for (int cut = 0; cut <= bytes.length; cut++) {
-            List<EventStream.News> came = new ArrayList<>();
-            EventStream reader = new EventStream(came::add);
+            List<ServerSentEventParser.ServerSentEvent> came = new ArrayList<>();
+            ServerSentEventParser reader = new ServerSentEventParser(came::add);
             HttpParser parser = HttpParser.streaming(end -> {}, reader::feed);
             parser.feed(ByteBuffer.wrap(bytes, 0, cut));
             parser.feed(ByteBuffer.wrap(bytes, cut, bytes.length - cut));
