--- a/src/test/java/puffinbarrow/platform/OtherCustomerTest.java
+++ b/src/test/java/puffinbarrow/platform/OtherCustomerTest.java
@@ -13,12 +13,18 @@
 import puffinbarrow.control.Event;
 import puffinbarrow.control.Order;
 
-/** An invented customer whose words and limits no deployment has: orders and judgments follow from the settings alone. */
+/**
+ * Runs the controller with settings of an invented customer, whose names and limits no deployment uses: the orders must
+ * follow from the settings alone.
+ */
 class OtherCustomerTest {
     private static final long SECOND = 1_000_000_000L;
     private static final PlatformCodec.ClockOffset CLOCK = new PlatformCodec.ClockOffset(0, 0);
 
-    /** Odd but legal: one group or two, one zone, a name with a space, tenants, a grace of one second, no retries. */
+    /**
+     * Unusual but valid settings: one or two traffic groups, one zone, names with spaces and non-ASCII letters, tenants,
+     * one second to stop sending to a draining backend, no retries.
+     */
     private static Configuration configuration(String groups, int proxies, int backlog) throws Exception {
         return Configuration.read(
                 ("{\"name\":\"c-7\",\"listen\":\"127.0.0.1:1\",\"discovery\":\"127.0.0.1:2\",\"seed\":\"zz\","
@@ -46,11 +52,15 @@
                 + "\"lifecycle\":\"" + state + "\",\"weight\":250,\"startedAtMs\":0}";
     }
 
-    /** The calls of some seconds, in the relay's words, of a coordinator with all three slices and one proxy. */
+    /**
+     * Returns the orders of a coordinator with all three slices and one proxy, as sent to the relay.
+     *
+     * @param reports collectors' reports, repeated every second
+     */
     private static List<String> orders(Configuration config, long seconds, List<List<String>> reports) {
         Logic logic = new Logic(config.settings(), config.seed());
         PlatformCodec codec = new PlatformCodec(config.names(), CLOCK);
-        List<String> said = new ArrayList<>();
+        List<String> sent = new ArrayList<>();
         for (long tick = 0; tick <= seconds * 4; tick++) {
             List<Event> events = new ArrayList<>();
             if (tick == 0) {
@@ -66,14 +76,14 @@
             for (Order order : logic.handle(tick * SECOND / 4, events)) {
                 String text = codec.encodeOrder(order);
                 if (text != null) {
-                    said.add(text);
+                    sent.add(text);
                     if (order instanceof Order.Mark mark) {
                         logic.handle(tick * SECOND / 4, List.of(new Event.InForce(0, mark.number(), 1)));
                     }
                 }
             }
         }
-        return said;
+        return sent;
     }
 
     private static List<String> sums(String target, int count, int fail, double mean) {
@@ -96,7 +106,7 @@
     }
 
     @Test
-    void wordsOfTheSettingsAreTakenAndThoseOfOthersRefused() throws Exception {
+    void acceptsNamesOfTheSettingsAndRefusesOthers() throws Exception {
         PlatformCodec codec = new PlatformCodec(
                 configuration(group("only one", 40, 7), 2, 100).names(), CLOCK);
         assertEquals(
@@ -119,47 +129,48 @@
     }
 
     @Test
-    void eachSliceGetsALineOnTheCustomersBackendsAndItsOneGroupIsNeverTriedOnNorShed() throws Exception {
-        List<String> said = orders(
+    void assignsLinesToEachSliceAndNeitherRetriesNorShedsTheOnlyGroup() throws Exception {
+        List<String> sent = orders(
                 configuration(group("only one", 40, 7), 1, 1000),
                 8,
                 List.of(sums("x/1", 50, 30, 39), sums("x/2", 50, 30, 39)));
         for (int slice = 0; slice < 3; slice++) {
             String line = "share," + slice + ",x/";
-            assertTrue(said.stream().anyMatch(order -> order.startsWith(line)), said.toString());
+            assertTrue(sent.stream().anyMatch(order -> order.startsWith(line)), sent.toString());
         }
-        // All drop flows: strain, so nothing is tried again; the only group is the most useful one and stays whole.
+        // All backends drop flows: under overload nothing is retried. The only group has the highest utility, so it is
+        // admitted in full.
         assertEquals(
                 "admit,*,only one,1.0,0",
-                said.stream()
+                sent.stream()
                         .filter(order -> order.startsWith("admit"))
                         .reduce((a, b) -> b)
                         .orElse(""));
     }
 
     @Test
-    void whichGroupIsShedFollowsFromUtilityAndBudgetWhateverTheirOrder() throws Exception {
-        List<List<String>> strain = List.of(sums("x/1", 50, 30, 900), sums("x/2", 50, 30, 900));
-        String cheap = group("cheap", 1000, 1);
-        String dear = group("dear", 1000, 2);
-        for (String groups : List.of(cheap + "," + dear, dear + "," + cheap)) {
-            List<String> said = orders(configuration(groups, 1, 1000), 8, strain);
-            assertTrue(said.stream().anyMatch(order -> order.matches("admit,\\*,cheap,0\\.\\d+,0")), said.toString());
-            assertTrue(said.stream().noneMatch(order -> order.matches("admit,\\*,dear,0\\..*")), said.toString());
+    void shedsGroupWithTheLowestUtilityWhateverTheOrderOfGroups() throws Exception {
+        List<List<String>> overload = List.of(sums("x/1", 50, 30, 900), sums("x/2", 50, 30, 900));
+        String lowUtility = group("cheap", 1000, 1);
+        String highUtility = group("dear", 1000, 2);
+        for (String groups : List.of(lowUtility + "," + highUtility, highUtility + "," + lowUtility)) {
+            List<String> sent = orders(configuration(groups, 1, 1000), 8, overload);
+            assertTrue(sent.stream().anyMatch(order -> order.matches("admit,\\*,cheap,0\\.\\d+,0")), sent.toString());
+            assertTrue(sent.stream().noneMatch(order -> order.matches("admit,\\*,dear,0\\..*")), sent.toString());
         }
     }
 
     @Test
-    void aTurnIsAsLargeAsTheCustomersQueueAllows() throws Exception {
-        // Ten proxies: room for two lines each in all, against ten.
-        List<String> tight = orders(configuration(group("only one", 40, 7), 10, 20), 0, List.of());
-        List<String> wide = orders(configuration(group("only one", 40, 7), 10, 100), 0, List.of());
-        assertTrue(tight.size() < wide.size(), tight + " against " + wide);
-        assertTrue(10 * wide.size() <= 100, wide.toString());
+    void limitsABatchOfOrdersToTheQueueLimit() throws Exception {
+        // Ten proxies share the queue: a limit of 20 leaves room for two orders, a limit of 100 for ten.
+        List<String> smallQueue = orders(configuration(group("only one", 40, 7), 10, 20), 0, List.of());
+        List<String> largeQueue = orders(configuration(group("only one", 40, 7), 10, 100), 0, List.of());
+        assertTrue(smallQueue.size() < largeQueue.size(), smallQueue + " against " + largeQueue);
+        assertTrue(10 * largeQueue.size() <= 100, largeQueue.toString());
     }
 
     @Test
-    void aBackendThatDrainsLosesItsLinesWithinTheCustomersGrace() throws Exception {
+    void withdrawsDrainingBackendWithinTheConfiguredTime() throws Exception {
         Configuration config = configuration(group("only one", 40, 7), 1, 1000);
         Logic logic = new Logic(config.settings(), config.seed());
         PlatformCodec codec = new PlatformCodec(config.names(), CLOCK);
@@ -170,17 +181,17 @@
                                 Event.ListKind.STALE_COPY, config.known().list().entries()),
                         new Event.ProxyJoined(0, true, 5, 0),
                         new Event.SliceCharge(1, true)));
-        Event leaves = codec.decodeListing(Configuration.json(
+        Event draining = codec.decodeListing(Configuration.json(
                         ("{\"generation\":1,\"reset\":false,\"instances\":[" + backend("x/1", "DRAINING") + "]}")
                                 .getBytes(StandardCharsets.UTF_8)))
                 .list();
-        List<String> said = new ArrayList<>();
+        List<String> sent = new ArrayList<>();
         for (long at = SECOND; at < 2 * SECOND; at += SECOND / 4) {
-            logic.handle(at, at == SECOND ? List.of(leaves, new Event.InForce(0, 1, 1)) : List.of()).stream()
+            logic.handle(at, at == SECOND ? List.of(draining, new Event.InForce(0, 1, 1)) : List.of()).stream()
                     .map(codec::encodeOrder)
                     .filter(order -> order != null)
-                    .forEach(said::add);
+                    .forEach(sent::add);
         }
-        assertTrue(said.contains("withdraw,x/1"), said.toString());
+        assertTrue(sent.contains("withdraw,x/1"), sent.toString());
     }
 }
--- a/src/test/java/puffinbarrow/platform/ProcessTest.java
+++ b/src/test/java/puffinbarrow/platform/ProcessTest.java
@@ -20,39 +20,39 @@
 import puffinbarrow.cli.Main;
 import puffinbarrow.net.Net;
 
-/** The coordinator in service as the process that the platform starts: signals at bad moments, and want of descriptors. */
+/** The coordinator in service as a process of its own: signals at unfavourable moments, and lack of file descriptors. */
 @Timeout(120)
 class ProcessTest extends ServiceFixture {
     private Process process;
-    private BufferedReader said;
+    private BufferedReader output;
     private final List<String> lines = new ArrayList<>();
 
-    /** @param before what the shell does before it becomes the coordinator */
-    private void launch(String before) throws IOException {
-        launch(before, System.getProperty("java.class.path"));
+    /** @param shellCommands commands that the shell runs before it executes the coordinator */
+    private void launch(String shellCommands) throws IOException {
+        launch(shellCommands, System.getProperty("java.class.path"));
     }
 
-    private void launch(String before, String classes) throws IOException {
+    private void launch(String shellCommands, String classes) throws IOException {
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
         ProcessBuilder builder = new ProcessBuilder(
                 "/bin/sh",
                 "-c",
-                before + " exec '" + java + "' -XX:+UseSerialGC -XX:TieredStopAtLevel=1 -cp '" + classes
+                shellCommands + " exec '" + java + "' -XX:+UseSerialGC -XX:TieredStopAtLevel=1 -cp '" + classes
                         + "' puffinbarrow.cli.Main serve");
         builder.environment().put("RELAY_CONFIG", folder.resolve("config.json").toString());
         process = builder.redirectErrorStream(true).start();
-        said = process.inputReader(StandardCharsets.UTF_8);
+        output = process.inputReader(StandardCharsets.UTF_8);
     }
 
-    /** Where it listens, once it says that it is ready. */
-    private InetSocketAddress ready() throws IOException {
-        for (String line = said.readLine(); line != null; line = said.readLine()) {
+    /** Waits for the log line of a ready process and returns the address on which it listens. */
+    private InetSocketAddress awaitReady() throws IOException {
+        for (String line = output.readLine(); line != null; line = output.readLine()) {
             lines.add(line);
             if (line.contains(" ready ")) {
                 return Net.address(line.replaceAll(".* listen=(\\S+) .*", "$1"));
             }
         }
-        throw new AssertionError("ended before it was ready: " + lines);
+        throw new AssertionError("process ended before it was ready: " + lines);
     }
 
     private void signal(String name) throws Exception {
@@ -63,61 +63,63 @@
                         .waitFor());
     }
 
-    /** A pipe in the place of the configuration: the process stands at its start until the pipe is written. */
-    private OutputStream startHeldAtItsConfiguration() throws Exception {
+    /** Starts the process with a pipe as configuration file, so that its startup waits until the pipe is written. */
+    private OutputStream launchBlockedOnConfiguration() throws Exception {
         Path file = folder.resolve("config.json");
         assertEquals(0, new ProcessBuilder("mkfifo", file.toString()).start().waitFor());
         launch("");
-        // Opens once the process has opened its end.
+        // Blocks until the process has opened its end.
         return Files.newOutputStream(file);
     }
 
     @AfterEach
-    void end() {
+    void destroyProcess() {
         process.destroyForcibly();
     }
 
     @Test
-    void aReloadSignalledBeforeItIsReadyEndsNothingAndIsNotLost() throws Exception {
-        try (OutputStream pipe = startHeldAtItsConfiguration()) {
+    void handlesReloadSignalledDuringStartup() throws Exception {
+        StubServer moved = new StubServer();
+        // The process starts once the pipe is closed, and finds the new file when it handles the reload.
+        try (OutputStream pipe = launchBlockedOnConfiguration()) {
             signal("HUP");
-            Server moved = new Server();
             Files.delete(folder.resolve("config.json"));
             configure(moved);
             pipe.write(configuration(relay.listener.address()).getBytes(StandardCharsets.UTF_8));
-            pipe.close();
-            ready();
-            await(() -> moved.streams() == 1);
         }
+        awaitReady();
+        await(() -> moved.streamCount() == 1);
     }
 
     @Test
-    void anEndSignalledBeforeItIsReadyIsNoFailure() throws Exception {
-        try (OutputStream pipe = startHeldAtItsConfiguration()) {
+    @SuppressWarnings("try") // The open pipe keeps the process in its startup.
+    void exitsCleanlyOnTermDuringStartup() throws Exception {
+        try (OutputStream pipe = launchBlockedOnConfiguration()) {
             signal("TERM");
             assertEquals(0, process.waitFor());
         }
     }
 
     @Test
-    void anEndDuringACallInDoubtAndAReloadIsNoFailureAndNothingListensAfter() throws Exception {
+    void exitsCleanlyOnTermDuringUnansweredCallAndReload() throws Exception {
         relay.answers.clear();
-        relay.answers.add("hold");
+        relay.answers.add(HOLD);
         relay.snapshot = "event: attach\ndata: id=8&site=b&rps=2&new=1\n\nevent: owner\ndata: range=1&flag=1\n\n";
         configure(relay);
         launch("");
-        InetSocketAddress at = ready();
-        Socket collector = connect(at, message("telemetry", "site", "a"));
-        relay.taken();
+        InetSocketAddress address = awaitReady();
+        Socket collector = connect(address, message("telemetry", "site", "a"));
+        relay.awaitHeldRequest();
         signal("HUP");
         signal("TERM");
         assertEquals(0, process.waitFor());
-        assertEquals("", untilClosed(collector));
-        assertTrue(refuses(at));
+        assertEquals("", readUntilClosed(collector));
+        assertTrue(refusesConnections(address));
     }
 
-    private static boolean refuses(InetSocketAddress at) {
-        try (Socket late = new Socket(at.getAddress(), at.getPort())) {
+    @SuppressWarnings("try") // Only whether the connection can be opened matters.
+    private static boolean refusesConnections(InetSocketAddress address) {
+        try (Socket late = new Socket(address.getAddress(), address.getPort())) {
             return false;
         } catch (IOException refused) {
             return true;
@@ -125,17 +127,17 @@
     }
 
     @Test
-    void whoWasStartedWithReloadsIgnoredSaysSo() throws Exception {
+    void logsThatItWasStartedWithReloadSignalsIgnored() throws Exception {
         configure(relay);
         launch("trap '' HUP;");
-        ready();
+        awaitReady();
         assertTrue(lines.stream().anyMatch(line -> line.startsWith("signals.ignored HUP")), lines.toString());
     }
 
     @Test
-    void withoutDescriptorsLeftItGoesOnAndACollectorGetsInLater() throws Exception {
+    void acceptsCollectorAfterRunningOutOfDescriptors() throws Exception {
         configure(relay);
-        // As in service: one archive, open from the start. From a folder each class would want a descriptor of its own.
+        // One archive, open from the start, as in production; loaded from a folder, each class would need a descriptor.
         Path archive = folder.resolve("classes.jar");
         String classes = Path.of(Main.class
                         .getProtectionDomain()
@@ -149,18 +151,18 @@
                         .orElseThrow()
                         .run(System.out, System.err, "-cf", archive.toString(), "-C", classes, "."));
         launch("ulimit -n 160;", archive + ":" + System.getProperty("java.class.path"));
-        InetSocketAddress at = ready();
-        List<Socket> strangers = new ArrayList<>();
+        InetSocketAddress address = awaitReady();
+        List<Socket> unjoined = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
-            strangers.add(connect(at, new byte[0]));
+            unjoined.add(connect(address, new byte[0]));
         }
-        Socket collector = connect(at, message("telemetry", "site", "a"));
+        Socket collector = connect(address, message("telemetry", "site", "a"));
         collector.getOutputStream().write(message("hb"));
         assertEquals('*', collector.getInputStream().read());
-        for (Socket each : strangers) {
+        for (Socket each : unjoined) {
             each.close();
         }
         collector.close();
-        assertTrue(connect(at, message("hb")).getInputStream().read() >= 0);
+        assertTrue(connect(address, message("hb")).getInputStream().read() >= 0);
     }
 }
--- a/src/test/java/puffinbarrow/platform/RaceTest.java
+++ b/src/test/java/puffinbarrow/platform/RaceTest.java
@@ -22,7 +22,10 @@
 import puffinbarrow.control.Order;
 import puffinbarrow.net.Link;
 
-/** What comes between two lines: scripted peers on real connections force the bad order every time. */
+/**
+ * Events that arrive in an unfavourable order, such as an acknowledgement before the answer that it belongs to. Scripted
+ * peers on real connections force that order in every run.
+ */
 @Timeout(120)
 class RaceTest extends ServiceFixture {
     private static final String PROXY = "event: attach\ndata: id=8&site=b&rps=2&new=0\n\n";
@@ -30,163 +33,180 @@
             "event: owner\ndata: range=1&flag=1\n\nevent: entry\ndata: range=1&target=s1&rps=1\n\n";
     private static final Event JOINED = new Event.ProxyJoined(8, false, 2, 1);
 
-    /** Any piece of news makes a batch, and a batch makes the next orders. */
+    /** Makes the controller issue the orders: any relay event causes a batch, and each batch returns the next orders. */
     private void order(Order... orders) {
-        toOrder.add(List.of(orders));
-        tell(relay.news.get(relay.news.size() - 1), "attach id=7&site=a&rps=1&new=1");
+        queuedOrders.add(List.of(orders));
+        sendEvents(relay.eventStreams.get(relay.eventStreams.size() - 1), "attach id=7&site=a&rps=1&new=1");
     }
 
-    // ---- Repeated attempts.
+    // ---- Repeated calls
 
-    /** A call that is out and has no answer yet, though its mark has come back. */
-    private Link callThatItsMarkProved() throws Exception {
+    /** Returns the connection of a call that is still unanswered although its mark has been acknowledged. */
+    private Link startAcknowledgedCall() throws Exception {
         relay.answers.clear();
-        relay.answers.addAll(List.of("hold", taken(1)));
+        relay.answers.addAll(List.of(HOLD, accepted(1)));
         relay.snapshot = PROXY;
         start(List.of(new Order.Mask("s1", true), new Order.Mark(41, false)));
-        Link call = relay.taken();
-        hears(JOINED);
-        tell(relay.news.get(0), "done id=8&seq=41&ms=1.5");
-        hears(new Event.InForce(8, 41, 1_500_000));
+        Link call = relay.awaitHeldRequest();
+        awaitEvent(JOINED);
+        sendEvents(relay.eventStreams.get(0), "done id=8&seq=41&ms=1.5");
+        awaitEvent(new Event.InForce(8, 41, 1_500_000));
         return call;
     }
 
-    private void theNextCallIsAnother() throws Exception {
+    private void assertNextCallIsADifferentOne() throws Exception {
         order(new Order.Mask("s1", false));
-        await(() -> relay.asked().size() == 2);
-        assertTrue(relay.asked().get(1).endsWith("=restore,s1"), relay.asked().get(1));
+        await(() -> relay.requests().size() == 2);
+        assertTrue(
+                relay.requests().get(1).endsWith("=restore,s1"),
+                relay.requests().get(1));
     }
 
     @Test
-    void proofThatComesBeforeTheCallBreaksCounts() throws Exception {
-        callThatItsMarkProved().close();
+    void countsAcknowledgementThatComesBeforeTheCallBreaks() throws Exception {
+        startAcknowledgedCall().close();
         await(() -> counters.value("calls.broken") == 1);
-        theNextCallIsAnother();
+        assertNextCallIsADifferentOne();
         assertEquals(1, counters.value("calls.proved"));
     }
 
     @Test
-    void anAnswerThatComesAfterItsProofIsTakenOnce() throws Exception {
-        callThatItsMarkProved().send(reply(taken(2)));
+    void countsCallOnceIfTheAnswerFollowsTheAcknowledgement() throws Exception {
+        startAcknowledgedCall().send(reply(accepted(2)));
         await(() -> counters.value("calls.taken") == 1);
-        theNextCallIsAnother();
+        assertNextCallIsADifferentOne();
     }
 
     @Test
-    void aRefusedOrderInARepeatedCallLeavesOutThatOneAlone() throws Exception {
+    void dropsOnlyTheRefusedOrderOfARepeatedCall() throws Exception {
         relay.answers.clear();
-        relay.answers.addAll(List.of("x", taken(1), taken(1)));
+        relay.answers.addAll(List.of(DISCONNECT, accepted(1), accepted(1)));
         start(List.of(new Order.Mask("s1", true), new Order.SetLine(1, "s9", 1), new Order.Mask("s2", true)));
         await(() -> counters.value("calls.taken") == 2);
         assertTrue(
-                relay.asked().get(2).endsWith("changes=withdraw,s2"),
-                relay.asked().get(2));
+                relay.requests().get(2).endsWith("changes=withdraw,s2"),
+                relay.requests().get(2));
         assertEquals(1, counters.value("orders.refused"));
     }
 
-    /** Orders left out must not be believed: after as many as may wait, all that stands is told anew. */
+    /**
+     * Orders discarded from a full queue must not count as applied, so the relay's full state is reported to the
+     * controller again.
+     */
     @Test
-    void aQueueThatOverflowsWhileACallIsOutTellsAnewWhatStands() throws Exception {
+    void reportsFullStateAgainIfTheQueueOverflowsDuringACall() throws Exception {
         relay.answers.clear();
-        relay.answers.add("hold");
+        relay.answers.add(HOLD);
         relay.snapshot = PROXY + SLICE;
         start(List.of());
-        hears(new Event.StoredLine(1, "s1", 1));
+        awaitEvent(new Event.StoredLine(1, "s1", 1));
         for (int i = 0; counters.value("calls.overflowed") == 0 && i < 1000; i++) {
             order(new Order.SetLine(1, "s1", 1 + i));
-            await(toOrder::isEmpty);
+            await(queuedOrders::isEmpty);
         }
-        hears(new Event.ProxyLeft(8));
-        hears(JOINED);
+        awaitEvent(new Event.ProxyLeft(8));
+        awaitEvent(JOINED);
         relay.answers.clear();
-        relay.answers.add(taken(1));
+        relay.answers.add(accepted(1));
         await(() -> counters.value("calls.taken") >= 2);
         order(new Order.Mask("s1", true));
-        await(() -> relay.asked().get(relay.asked().size() - 1).endsWith("=withdraw,s1"));
+        await(() -> relay.requests().get(relay.requests().size() - 1).endsWith("=withdraw,s1"));
     }
 
-    // ---- Hand-overs.
+    // ---- Slices and proxies that move
 
-    /** The relay took the orders while the slice was another's, where they change nothing, or before its lines were. */
+    /**
+     * The relay may have accepted the orders while the slice belonged to another coordinator, where they have no effect,
+     * or before that coordinator set its lines.
+     */
     @Test
-    void ordersThatWereOutWhileTheirSliceWentAndCameAreRepeated() throws Exception {
+    void repeatsOrdersInFlightWhileTheirSliceWasLostAndAssignedAgain() throws Exception {
         relay.answers.clear();
-        relay.answers.addAll(List.of("hold", taken(1)));
+        relay.answers.addAll(List.of(HOLD, accepted(1)));
         relay.snapshot = PROXY + SLICE;
         start(List.of());
-        hears(new Event.StoredLine(1, "s1", 1));
+        awaitEvent(new Event.StoredLine(1, "s1", 1));
         order(new Order.SetLine(1, "s2", 1));
-        Link call = relay.taken();
-        tell(relay.news.get(0), "owner range=1&flag=0", "owner range=1&flag=1", "entry range=1&target=s1&rps=1");
-        relay.news.get(0).send(ascii(chunk(":\n\n")));
-        hears(new Event.SliceCharge(1, false));
-        hears(new Event.SliceCharge(1, true));
-        call.send(reply(taken(1)));
-        await(() -> relay.asked().size() == 2);
+        Link call = relay.awaitHeldRequest();
+        sendEvents(
+                relay.eventStreams.get(0),
+                "owner range=1&flag=0",
+                "owner range=1&flag=1",
+                "entry range=1&target=s1&rps=1");
+        relay.eventStreams.get(0).send(ascii(chunk(":\n\n")));
+        awaitEvent(new Event.SliceCharge(1, false));
+        awaitEvent(new Event.SliceCharge(1, true));
+        call.send(reply(accepted(1)));
+        await(() -> relay.requests().size() == 2);
         assertTrue(
-                relay.asked().get(1).endsWith("share,1,s2,1.0"), relay.asked().get(1));
+                relay.requests().get(1).endsWith("share,1,s2,1.0"),
+                relay.requests().get(1));
     }
 
     @Test
-    void aProxyThatLeavesAndComesBackInOneReadIsToldAsBoth() throws Exception {
+    void reportsBothIfAProxyLeavesAndRejoinsWithinOneRead() throws Exception {
         relay.snapshot = PROXY;
         start(List.of());
-        hears(JOINED);
-        tell(relay.news.get(0), "detach id=8", "attach id=8&site=b&rps=2&new=1", "entry range=1&target=unknown&rps=1");
-        hears(new Event.ProxyLeft(8));
-        hears(new Event.ProxyJoined(8, true, 2, 1));
+        awaitEvent(JOINED);
+        sendEvents(
+                relay.eventStreams.get(0),
+                "detach id=8",
+                "attach id=8&site=b&rps=2&new=1",
+                "entry range=1&target=unknown&rps=1");
+        awaitEvent(new Event.ProxyLeft(8));
+        awaitEvent(new Event.ProxyJoined(8, true, 2, 1));
     }
 
     @Test
-    void aNewStreamCutBeforeItSettlesLeavesTheOldOneInCharge() throws Exception {
+    void keepsTheOldStreamIfTheNewOneBreaksBeforeItSettles() throws Exception {
         relay.snapshot = PROXY;
         start(List.of());
-        hears(JOINED);
-        Server moved = new Server();
-        moved.mute = true;
+        awaitEvent(JOINED);
+        StubServer moved = new StubServer();
+        moved.streamsSilent = true;
         configure(moved);
         service.reload();
-        await(() -> moved.streams() == 1);
-        tell(moved.news.get(0), "attach id=3&site=a&rps=1&new=1");
-        moved.mute = false;
+        await(() -> moved.streamCount() == 1);
+        sendEvents(moved.eventStreams.get(0), "attach id=3&site=a&rps=1&new=1");
+        moved.streamsSilent = false;
         moved.snapshot = PROXY;
-        moved.news.get(0).close();
-        tell(relay.news.get(0), "done id=8&seq=5&ms=1.5");
-        hears(new Event.InForce(8, 5, 1_500_000));
-        await(() -> moved.streams() == 2);
+        moved.eventStreams.get(0).close();
+        sendEvents(relay.eventStreams.get(0), "done id=8&seq=5&ms=1.5");
+        awaitEvent(new Event.InForce(8, 5, 1_500_000));
+        await(() -> moved.streamCount() == 2);
     }
 
-    // ---- Reload.
+    // ---- Configuration reload
 
     @Test
-    void twoReloadsDuringACallInDoubtMakeItAgainAtTheNewAddressOnce() throws Exception {
+    void repeatsUnansweredCallOnceAtTheNewAddressAfterTwoReloads() throws Exception {
         relay.answers.clear();
-        relay.answers.add("hold");
+        relay.answers.add(HOLD);
         start(List.of(new Order.Mask("s1", true)));
-        Link call = relay.taken();
-        Server moved = new Server();
-        moved.answers.add(taken(1));
+        Link call = relay.awaitHeldRequest();
+        StubServer moved = new StubServer();
+        moved.answers.add(accepted(1));
         configure(moved);
         service.reload();
         service.reload();
-        await(() -> counters.value("reloads") == 2 && moved.streams() == 1);
+        await(() -> counters.value("reloads") == 2 && moved.streamCount() == 1);
         call.close();
         await(() -> counters.value("calls.taken") == 1);
-        assertEquals(1, moved.asked().size());
-        assertEquals(1, relay.asked().size());
+        assertEquals(1, moved.requests().size());
+        assertEquals(1, relay.requests().size());
     }
 
     @Test
-    void aReloadBackToTheFirstAddressWhileTheOtherOpensOrIsDialledCarriesOnThere() throws Exception {
+    void returnsToTheFirstRelayWhileConnectingToOthers() throws Exception {
         relay.snapshot = PROXY;
         start(List.of());
-        hears(JOINED);
-        Server silent = new Server();
-        silent.mute = true;
+        awaitEvent(JOINED);
+        StubServer silent = new StubServer();
+        silent.streamsSilent = true;
         configure(silent);
         service.reload();
-        await(() -> silent.streams() == 1);
-        // One whose queue of connections is full: a dial to it stays out.
+        await(() -> silent.streamCount() == 1);
+        // A listener with a full backlog: connecting to it does not complete.
         try (ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             List<SocketChannel> waiting = new ArrayList<>();
             for (int i = 0; i < 4; i++) {
@@ -201,91 +221,95 @@
             await(() -> counters.value("reloads") == 2);
             configure(relay);
             service.reload();
-            await(() -> relay.streams() == 2);
+            await(() -> relay.streamCount() == 2);
             for (SocketChannel each : waiting) {
                 each.close();
             }
         }
-        tell(relay.news.get(1), "done id=8&seq=5&ms=1.5");
-        hears(new Event.InForce(8, 5, 1_500_000));
+        sendEvents(relay.eventStreams.get(1), "done id=8&seq=5&ms=1.5");
+        awaitEvent(new Event.InForce(8, 5, 1_500_000));
     }
 
     @Test
-    void aHalfWrittenConfigurationIsReadAgain() throws Exception {
+    void readsPartlyWrittenConfigurationAgain() throws Exception {
         start(List.of());
-        Server moved = new Server();
+        StubServer moved = new StubServer();
         Path file = folder.resolve("config.json");
         String whole = configuration(moved.listener.address());
         Files.writeString(file, whole.substring(0, whole.length() / 2));
         service.reload();
         await(() -> counters.value("reloads.refused") == 1);
         Files.writeString(file, whole);
-        await(() -> moved.streams() == 1);
+        await(() -> moved.streamCount() == 1);
         assertEquals(1, counters.value("reloads"));
     }
 
     @Test
-    void settingsThatChangedWithTheAddressesAreSaidToWaitForARestart() throws Exception {
+    void logsThatChangedSettingsNeedARestart() throws Exception {
         start(List.of());
-        Server moved = new Server();
+        StubServer moved = new StubServer();
         Files.writeString(
                 folder.resolve("config.json"),
                 configuration(moved.listener.address()).replace("\"Ranges\":4", "\"Ranges\":5"));
         service.reload();
-        await(() -> moved.streams() == 1);
+        await(() -> moved.streamCount() == 1);
         assertEquals(1, counters.value("reloads.settings_kept"));
     }
 
-    // ---- Watches of the list.
+    // ---- Watching the server list
 
     private static String list(int generation, boolean whole, String id, String state) {
         return "{\"generation\":" + generation + ",\"reset\":" + whole + ",\"instances\":["
                 + ENTRY.replace("\"s1\"", "\"" + id + "\"").replace("SERVING", state) + "]}";
     }
 
-    private static Event told(Event.ListKind kind, String id, Event.Listed state) {
+    private static Event listEvent(Event.ListKind kind, String id, Event.Listed state) {
         return new Event.ServerList(kind, List.of(new Event.Entry(id, 0, 0, 3, state, 1.5, 0)));
     }
 
     @Test
-    void aServiceThatCameBackWithALowerGenerationIsBelieved() throws Exception {
+    void acceptsLowerGenerationOfARestartedDiscovery() throws Exception {
         discovery.answers.clear();
-        discovery.answers.addAll(List.of(list(9, true, "s1", "SERVING"), list(3, true, "s2", "SERVING"), ""));
+        discovery.answers.addAll(List.of(list(9, true, "s1", "SERVING"), list(3, true, "s2", "SERVING"), NO_ANSWER));
         start(List.of(new Order.Follow(true)));
-        hears(told(Event.ListKind.WHOLE, "s1", Event.Listed.READY));
-        hears(told(Event.ListKind.WHOLE, "s2", Event.Listed.READY));
-        await(() -> discovery.asked().size() == 3);
+        awaitEvent(listEvent(Event.ListKind.WHOLE, "s1", Event.Listed.READY));
+        awaitEvent(listEvent(Event.ListKind.WHOLE, "s2", Event.Listed.READY));
+        await(() -> discovery.requests().size() == 3);
         assertTrue(
-                discovery.asked().get(2).contains("from=3&"), discovery.asked().get(2));
+                discovery.requests().get(2).contains("from=3&"),
+                discovery.requests().get(2));
     }
 
     @Test
-    void changesAgainstALowerGenerationAreNoBasisAndTheWholeListIsAskedFor() throws Exception {
+    void requestsWholeListIfChangesHaveALowerGeneration() throws Exception {
         discovery.answers.clear();
         discovery.answers.addAll(List.of(
-                list(9, true, "s1", "SERVING"), list(3, false, "s2", "SERVING"), list(3, true, "s3", "SERVING"), ""));
+                list(9, true, "s1", "SERVING"),
+                list(3, false, "s2", "SERVING"),
+                list(3, true, "s3", "SERVING"),
+                NO_ANSWER));
         start(List.of(new Order.Follow(true)));
-        hears(told(Event.ListKind.WHOLE, "s1", Event.Listed.READY));
-        hears(told(Event.ListKind.WHOLE, "s3", Event.Listed.READY));
-        assertEquals("/api/targets", discovery.asked().get(2));
+        awaitEvent(listEvent(Event.ListKind.WHOLE, "s1", Event.Listed.READY));
+        awaitEvent(listEvent(Event.ListKind.WHOLE, "s3", Event.Listed.READY));
+        assertEquals("/api/targets", discovery.requests().get(2));
     }
 
     @Test
-    void aWholeListThatAnOlderFetchBringsLateIsAskedForAnew() throws Exception {
+    void requestsWholeListAgainIfTheFetchedOneIsOutdated() throws Exception {
         discovery.answers.clear();
         discovery.answers.addAll(
-                List.of("hold", list(9, true, "s1", "SERVING"), "hold", list(9, true, "s4", "SERVING"), ""));
+                List.of(HOLD, list(9, true, "s1", "SERVING"), HOLD, list(9, true, "s4", "SERVING"), NO_ANSWER));
         start(List.of(new Order.FetchList()));
-        Link fetch = discovery.taken();
+        Link fetch = discovery.awaitHeldRequest();
         order(new Order.Follow(true));
-        hears(told(Event.ListKind.WHOLE, "s1", Event.Listed.READY));
-        discovery.taken();
+        awaitEvent(listEvent(Event.ListKind.WHOLE, "s1", Event.Listed.READY));
+        discovery.awaitHeldRequest();
         fetch.send(reply(list(7, true, "s0", "SERVING")));
-        hears(told(Event.ListKind.WHOLE, "s4", Event.Listed.READY));
+        awaitEvent(listEvent(Event.ListKind.WHOLE, "s4", Event.Listed.READY));
     }
 
     @Test
-    void aBackendDeletedAndListedAgainUnderItsIdIsToldAsBoth() throws Exception {
+    void reportsBothIfABackendIsDeletedAndListedAgain() throws Exception {
         discovery.answers.clear();
         discovery.answers.addAll(List.of(
                 list(9, true, "s1", "SERVING"),
@@ -293,79 +317,81 @@
                 list(11, false, "s1", "SERVING"),
                 ""));
         start(List.of(new Order.Follow(true)));
-        hears(told(Event.ListKind.PATCH, "s1", Event.Listed.GONE));
-        hears(told(Event.ListKind.PATCH, "s1", Event.Listed.READY));
+        awaitEvent(listEvent(Event.ListKind.PATCH, "s1", Event.Listed.GONE));
+        awaitEvent(listEvent(Event.ListKind.PATCH, "s1", Event.Listed.READY));
     }
 
-    // ---- Idle connections.
+    // ---- Kept connections
 
     @Test
-    void aKeptConnectionThatClosesAtTheMomentOfUseIsNoFailedWatch() throws Exception {
+    void repeatsWatchRequestIfTheKeptConnectionClosesAtItsUse() throws Exception {
         discovery.answers.clear();
-        discovery.answers.addAll(List.of(list(9, true, "s1", "SERVING"), "x", list(10, false, "s1", "DRAINING"), ""));
+        discovery.answers.addAll(
+                List.of(list(9, true, "s1", "SERVING"), DISCONNECT, list(10, false, "s1", "DRAINING"), NO_ANSWER));
         start(List.of(new Order.Follow(true)));
-        hears(told(Event.ListKind.PATCH, "s1", Event.Listed.DRAINING));
+        awaitEvent(listEvent(Event.ListKind.PATCH, "s1", Event.Listed.DRAINING));
         assertTrue(
-                discovery.asked().get(1).contains("from=9&"), discovery.asked().get(1));
+                discovery.requests().get(1).contains("from=9&"),
+                discovery.requests().get(1));
         assertEquals(0, counters.value("discovery.failed"));
     }
 
     @Test
-    void aConnectionThatClosesAfterHalfAnAnswerFailsAndIsNotRepeated() throws Exception {
+    void reportsFailureWithoutRepeatIfTheConnectionClosesMidAnswer() throws Exception {
         discovery.answers.clear();
-        discovery.answers.addAll(List.of(list(9, true, "s1", "SERVING"), "hold", ""));
+        discovery.answers.addAll(List.of(list(9, true, "s1", "SERVING"), HOLD, NO_ANSWER));
         start(List.of(new Order.Follow(true)));
-        Link watch = discovery.taken();
+        Link watch = discovery.awaitHeldRequest();
         watch.send(ascii("HTTP/1.1 200 OK\r\ncontent-length: 50\r\n\r\n{\"gen"));
         watch.closeWhenSent();
-        hears(new Event.ServerList(Event.ListKind.BROKEN, List.of()));
-        assertEquals(2, discovery.asked().size());
+        awaitEvent(new Event.ServerList(Event.ListKind.BROKEN, List.of()));
+        assertEquals(2, discovery.requests().size());
     }
 
     @Test
-    void whatFollowsAnAnswerUnaskedIsNotTakenForTheNextOne() throws Exception {
+    void doesNotReadExtraBytesAfterAnAnswerAsTheNextAnswer() throws Exception {
         relay.answers.clear();
-        relay.answers.add("hold");
+        relay.answers.add(HOLD);
         relay.snapshot = PROXY;
         start(List.of(new Order.Mask("s1", true)));
-        Link first = relay.taken();
-        hears(JOINED);
-        first.send(ascii("HTTP/1.1 200 OK\r\ncontent-length: " + taken(1).length() + "\r\n\r\n" + taken(1)
+        Link first = relay.awaitHeldRequest();
+        awaitEvent(JOINED);
+        first.send(ascii("HTTP/1.1 200 OK\r\ncontent-length: " + accepted(1).length() + "\r\n\r\n" + accepted(1)
                 + "HTTP/1.1 200 OK\r\ncontent-length: 900\r\n\r\n<?xml "));
         await(() -> counters.value("calls.taken") == 1);
         order(new Order.Mask("s1", false));
-        assertNotSame(first, relay.taken());
+        assertNotSame(first, relay.awaitHeldRequest());
     }
 
     @Test
-    void connectionsThatCloseAfterEachAnswerLeaveNoDescriptorsBehind() throws Exception {
+    void leaksNoDescriptorsIfConnectionsCloseAfterEachAnswer() throws Exception {
         discovery.answers.clear();
-        discovery.answers.add("hold");
+        discovery.answers.add(HOLD);
         start(List.of(new Order.Follow(true)));
-        discovery.taken().send(reply(list(9, true, "s1", "SERVING")));
+        discovery.awaitHeldRequest().send(reply(list(9, true, "s1", "SERVING")));
         UnixOperatingSystemMXBean system = (UnixOperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
-        hears(told(Event.ListKind.WHOLE, "s1", Event.Listed.READY));
-        Link watch = discovery.taken();
+        awaitEvent(listEvent(Event.ListKind.WHOLE, "s1", Event.Listed.READY));
+        Link watch = discovery.awaitHeldRequest();
         long before = system.getOpenFileDescriptorCount();
         for (int i = 0; i < 500; i++) {
             watch.send(reply(list(10 + i, false, "s1", "SERVING")));
             watch.closeWhenSent();
-            hears(told(Event.ListKind.PATCH, "s1", Event.Listed.READY));
-            // The next call found the old connection closing or closed; either way it comes over a fresh one.
-            Link next = discovery.taken();
-            watch = next.ended() ? discovery.taken() : next;
+            awaitEvent(listEvent(Event.ListKind.PATCH, "s1", Event.Listed.READY));
+            // The next request may find the old connection closing or closed; in both cases it comes over a new one.
+            Link next = discovery.awaitHeldRequest();
+            watch = next.ended() ? discovery.awaitHeldRequest() : next;
         }
         await(() -> system.getOpenFileDescriptorCount() <= before + 8);
         assertEquals(0, counters.value("discovery.failed"));
     }
 
-    // ---- Start.
+    // ---- Startup
 
     @Test
-    void aSignOfLifeIsAnsweredOnlyOnceTheDecisionsHaveSeenWhatIsKnown() throws Exception {
+    void answersHeartbeatsOnlyAfterTheFirstDecision() throws Exception {
         start(List.of(new Order.Log("first decision")));
         assertTrue(connect(message("hb")).getInputStream().read() >= 0);
-        List<String> lines = logged().stream()
+        List<String> lines = logLines().stream()
                 .map(line -> line.substring(line.indexOf(' ') + 1))
                 .toList();
         assertEquals(0, lines.indexOf("decision first decision"), lines.toString());
@@ -373,14 +399,14 @@
     }
 
     @Test
-    void aFloodOfReportsBeforeTheFirstDecisionIsDecidedWhole() throws Exception {
+    void losesNoReportOfAFloodDuringStartup() throws Exception {
         CountDownLatch flooded = new CountDownLatch(1);
         start(List.of());
         service.execute(() -> {
             try {
                 flooded.await();
-            } catch (InterruptedException stop) {
-                throw new IllegalStateException(stop);
+            } catch (InterruptedException interrupted) {
+                throw new IllegalStateException(interrupted);
             }
         });
         Socket collector = connect(message("telemetry", "site", "a"));
@@ -396,6 +422,6 @@
                 .write(message("range_stats", "range", "2", "lane", "x", "count", "1", "fail", "0", "over", "1000"));
         await(() -> counters.value("inbox.overflows") > 0);
         flooded.countDown();
-        hears(new Event.SliceDemand(2, 0, 1, 0, 1_000_000_000));
+        awaitEvent(new Event.SliceDemand(2, 0, 1, 0, 1_000_000_000));
     }
 }
--- a/src/test/java/puffinbarrow/platform/RelaySnapshotTest.java
+++ b/src/test/java/puffinbarrow/platform/RelaySnapshotTest.java
@@ -15,7 +15,7 @@
 import puffinbarrow.net.HttpParser;
 import puffinbarrow.wire.Facts;
 
-/** What the relay's news becomes for the decisions, with gaps in it and orders on the way. */
+/** Events that the relay's event stream produces for the controller, also after gaps and with orders in flight. */
 class RelaySnapshotTest {
     private static final Facts.Names NAMES =
             new Facts.Names(List.of("a", "b"), List.of("m"), List.of("x", "y"), 10, 10);
@@ -24,16 +24,17 @@
             new RelaySnapshot(new PlatformCodec(NAMES, new PlatformCodec.ClockOffset(0, 0)));
     private final List<Event> out = new ArrayList<>();
 
-    private void news(String... events) {
+    /** Applies relay events, each as "TYPE DATA". */
+    private void applyEvents(String... events) {
         read(new ServerSentEventParser(n -> snapshot.apply(n.type(), n.fields(), out)), events);
     }
 
-    /** A stream of news that begins so, and settles. */
-    private void opening(List<Order> onTheWay, boolean anew, String... events) {
-        RelaySnapshot.InitialState opening = snapshot.new InitialState();
-        read(new ServerSentEventParser(n -> opening.apply(n.type(), n.fields(), out)), events);
-        assertEquals(List.of(), out, "nothing is told before it is whole");
-        opening.commit(onTheWay, anew, out);
+    /** Replaces the stream by one that begins with the given events and settles. */
+    private void replaceStream(List<Order> inFlight, boolean rejoinProxies, String... events) {
+        RelaySnapshot.InitialState initialState = snapshot.new InitialState();
+        read(new ServerSentEventParser(n -> initialState.apply(n.type(), n.fields(), out)), events);
+        assertEquals(List.of(), out, "nothing is reported before the state is complete");
+        initialState.commit(inFlight, rejoinProxies, out);
     }
 
     private static void read(ServerSentEventParser stream, String... events) {
@@ -45,17 +46,18 @@
         }
     }
 
-    private List<Event> taken() {
-        List<Event> all = List.copyOf(out);
+    /** Returns the events reported since the last call. */
+    private List<Event> takeReported() {
+        List<Event> reported = List.copyOf(out);
         out.clear();
-        return all;
+        return reported;
     }
 
     private static final Event JOINED = new Event.ProxyJoined(7, true, 21.5, 1);
 
     @BeforeEach
-    void oneProxyAndTwoSlicesStand() {
-        opening(
+    void startWithOneProxyAndTwoSlices() {
+        replaceStream(
                 List.of(),
                 true,
                 "attach id=7&site=b&rps=21.5&new=1",
@@ -70,55 +72,55 @@
                         new Event.StoredLine(1, "s1", 1),
                         new Event.SliceCharge(2, true),
                         new Event.StoredLine(2, "s2", 1)),
-                taken());
+                takeReported());
     }
 
     @Test
-    void aSliceGivenLaterIsToldWithItsLines() {
-        news("owner range=3&flag=1", "entry range=3&target=s3&rps=0.5");
-        assertEquals(List.of(), taken());
+    void reportsNewlyAssignedSliceWithItsLines() {
+        applyEvents("owner range=3&flag=1", "entry range=3&target=s3&rps=0.5");
+        assertEquals(List.of(), takeReported());
         snapshot.commitPendingSlices(List.of(), out);
-        assertEquals(List.of(new Event.SliceCharge(3, true), new Event.StoredLine(3, "s3", 0.5)), taken());
-        news("owner range=3&flag=0", "done id=7&seq=905&ms=310.4", "detach id=7");
+        assertEquals(List.of(new Event.SliceCharge(3, true), new Event.StoredLine(3, "s3", 0.5)), takeReported());
+        applyEvents("owner range=3&flag=0", "done id=7&seq=905&ms=310.4", "detach id=7");
         assertEquals(
                 List.of(
                         new Event.SliceCharge(3, false),
                         new Event.InForce(7, 905, 310_400_000),
                         new Event.ProxyLeft(7)),
-                taken());
+                takeReported());
     }
 
     @Test
-    void afterAGapOnlyWhatDiffersIsToldAgain() {
+    void reportsOnlyDifferencesAfterAGap() {
         snapshot.orderAccepted(new Order.SetLine(2, "s4", 0.03));
-        String[] stands = {
+        String[] state = {
             "attach id=7&site=b&rps=21.5&new=1",
             "owner range=2&flag=1",
             "entry range=2&target=s2&rps=1.0",
             "entry range=2&target=s4&rps=0.0300000001"
         };
-        opening(List.of(), false, stands);
+        replaceStream(List.of(), false, state);
         assertEquals(
                 List.of(new Event.SliceCharge(1, false)),
-                taken(),
-                "what waits for a proxy that stayed goes on counting");
-        opening(List.of(), true, stands);
-        assertEquals(List.of(new Event.ProxyLeft(7), JOINED), taken());
-        opening(
+                takeReported(),
+                "a proxy that stayed attached is not reported again");
+        replaceStream(List.of(), true, state);
+        assertEquals(List.of(new Event.ProxyLeft(7), JOINED), takeReported());
+        replaceStream(
                 List.of(),
                 false,
                 "owner range=2&flag=1",
                 "entry range=2&target=s2&rps=1",
                 "entry range=2&target=s4&rps=0.03");
-        assertEquals(List.of(new Event.ProxyLeft(7)), taken());
+        assertEquals(List.of(new Event.ProxyLeft(7)), takeReported());
     }
 
     @Test
-    void ordersOnTheWayWhenAGapEndsAreNotForgotten() {
-        List<Order> onTheWay =
+    void countsOrdersInFlightAsAppliedAfterAGap() {
+        List<Order> inFlight =
                 List.of(new Order.SetLine(1, "s5", 1), new Order.SetLine(1, "s1", 0), new Order.SetLine(2, "s5", 1));
-        opening(
-                onTheWay,
+        replaceStream(
+                inFlight,
                 false,
                 "owner range=1&flag=1",
                 "entry range=1&target=s1&rps=1.0",
@@ -130,12 +132,12 @@
                         new Event.SliceCharge(2, true),
                         new Event.StoredLine(2, "s5", 1),
                         new Event.StoredLine(2, "s9", 1)),
-                taken());
+                takeReported());
     }
 
     @Test
-    void newsThatCantBeIsRefused() {
-        for (String wrong : List.of(
+    void rejectsInvalidEvents() {
+        for (String invalid : List.of(
                 "attach id=10&site=a&rps=1&new=1",
                 "attach id=1&site=c&rps=1&new=1",
                 "owner range=10&flag=1",
@@ -143,16 +145,16 @@
                 "entry range=1&rps=1",
                 "done id=1&seq=x&ms=1",
                 "other id=1")) {
-            assertThrows(ProtocolException.class, () -> news(wrong), wrong);
+            assertThrows(ProtocolException.class, () -> applyEvents(invalid), invalid);
         }
     }
 
     @Test
-    void newsComesThroughSplitAtEveryPosition() {
+    void parsesEventsSplitAtEveryPosition() {
         String events = "event: attach\ndata: id=8&site=b&rps=2&new=0\n\n:\n\nevent: owner\ndata: range=1&flag=1\n\n";
         StringBuilder stream = new StringBuilder(
                 "HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n" + "transfer-encoding: chunked\r\n\r\n");
-        // Borders of chunks fall anywhere too.
+        // Chunk boundaries fall within lines, too.
         for (int at = 0; at < events.length(); at += 7) {
             String chunk = events.substring(at, Math.min(events.length(), at + 7));
             stream.append(Integer.toHexString(chunk.length()))
@@ -161,18 +163,18 @@
                     .append("\r\n");
         }
         byte[] bytes = stream.toString().getBytes(StandardCharsets.US_ASCII);
-        List<ServerSentEventParser.ServerSentEvent> wanted = List.of(
+        List<ServerSentEventParser.ServerSentEvent> expected = List.of(
                 new ServerSentEventParser.ServerSentEvent(
                         "attach", Map.of("id", "8", "site", "b", "rps", "2", "new", "0")),
                 ServerSentEventParser.KEEP_ALIVE,
                 new ServerSentEventParser.ServerSentEvent("owner", Map.of("range", "1", "flag", "1")));
         for (int cut = 0; cut <= bytes.length; cut++) {
-            List<ServerSentEventParser.ServerSentEvent> came = new ArrayList<>();
-            ServerSentEventParser reader = new ServerSentEventParser(came::add);
-            HttpParser parser = HttpParser.streaming(end -> {}, reader::feed);
+            List<ServerSentEventParser.ServerSentEvent> received = new ArrayList<>();
+            ServerSentEventParser eventParser = new ServerSentEventParser(received::add);
+            HttpParser parser = HttpParser.streaming(end -> {}, eventParser::feed);
             parser.feed(ByteBuffer.wrap(bytes, 0, cut));
             parser.feed(ByteBuffer.wrap(bytes, cut, bytes.length - cut));
-            assertEquals(wanted, came, "cut at " + cut);
+            assertEquals(expected, received, "cut at " + cut);
         }
     }
 }
--- a/src/test/java/puffinbarrow/platform/ServiceFixture.java
+++ b/src/test/java/puffinbarrow/platform/ServiceFixture.java
@@ -11,6 +11,7 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.Socket;
+import java.net.SocketTimeoutException;
 import java.net.URLDecoder;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -33,24 +34,37 @@
 import puffinbarrow.net.Net;
 import puffinbarrow.resp.RespWriter;
 
-/** A coordinator in service among a tiny relay, a tiny discovery and whoever connects. */
+/**
+ * Runs a {@link Service} with a scripted controller, against a stub relay and a stub discovery on loopback sockets. Tests
+ * connect to it as collectors or other clients.
+ */
 abstract class ServiceFixture {
     static final String ENTRY =
             "{\"instanceId\":\"s1\",\"hostPort\":\"127.0.0.1:9\",\"zone\":\"a\",\"machineType\":\"m\","
                     + "\"cell\":3,\"lifecycle\":\"SERVING\",\"weight\":1.5,\"startedAtMs\":0}";
 
+    /** Scripted answer: sends nothing. */
+    static final String NO_ANSWER = "";
+    /** Scripted answer: closes the connection. */
+    static final String DISCONNECT = "x";
+    /** Scripted answer: leaves the answer to the test, see {@link StubServer#awaitHeldRequest}. */
+    static final String HOLD = "hold";
+
     /**
-     * Answers every request by the next of its answers, the last one for ever; "" says nothing, "x" breaks off, "hold"
-     * leaves the answer to the test, see {@link #taken}.
+     * HTTP server that answers each request with the next of its scripted answers and repeats the last one. Requests for
+     * the relay's event stream are answered with a stream that begins with the snapshot.
      */
-    final class Server {
-        final List<String> asked = new ArrayList<>();
+    final class StubServer {
+        /** Path and decoded body of each request; this and the event streams are guarded by it. */
+        private final List<String> requests = new ArrayList<>();
+
         final ConcurrentLinkedQueue<String> answers = new ConcurrentLinkedQueue<>();
-        final List<Link> news = new ArrayList<>();
+        final List<Link> eventStreams = new ArrayList<>();
         private final BlockingQueue<Link> held = new LinkedBlockingQueue<>();
+        /** Events at the beginning of each event stream. */
         volatile String snapshot = "";
-        /** Whether who asks for news hears nothing, not even a head. */
-        volatile boolean mute;
+        /** Whether event streams get no answer at all, not even an HTTP header. */
+        volatile boolean streamsSilent;
 
         final Net.Listener listener = net.listen(
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), 1 << 20, channel -> new Link.Receiver() {
@@ -59,24 +73,24 @@
 
                     private void request(HttpParser.Message message) {
                         if (message.second().equals("/api/stream")) {
-                            synchronized (asked) {
-                                news.add(link);
+                            synchronized (requests) {
+                                eventStreams.add(link);
                             }
-                            if (mute) {
+                            if (streamsSilent) {
                                 return;
                             }
                             link.send(ascii("HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n"
                                     + "transfer-encoding: chunked\r\n\r\n" + chunk(snapshot + ":\n\n")));
                             return;
                         }
-                        synchronized (asked) {
-                            asked.add(message.second()
+                        synchronized (requests) {
+                            requests.add(message.second()
                                     + URLDecoder.decode(new String(message.body()), StandardCharsets.UTF_8));
                         }
                         String answer = answers.size() > 1 ? answers.poll() : answers.peek();
-                        if ("x".equals(answer)) {
+                        if (DISCONNECT.equals(answer)) {
                             link.close();
-                        } else if ("hold".equals(answer)) {
+                        } else if (HOLD.equals(answer)) {
                             held.add(link);
                         } else if (answer != null && !answer.isEmpty()) {
                             link.send(reply(answer));
@@ -84,8 +98,8 @@
                     }
 
                     @Override
-                    public void opened(Link fresh) {
-                        link = fresh;
+                    public void opened(Link opened) {
+                        link = opened;
                     }
 
                     @Override
@@ -97,28 +111,29 @@
                     public void ended(Link from, Link.Cause cause, String detail) {}
                 });
 
-        Server() throws IOException {}
+        StubServer() throws IOException {}
 
-        List<String> asked() {
-            synchronized (asked) {
-                return List.copyOf(asked);
+        List<String> requests() {
+            synchronized (requests) {
+                return List.copyOf(requests);
             }
         }
 
-        /** The stream of the next request that is left to the test. */
-        Link taken() throws InterruptedException {
+        /** Returns the connection of the next request whose answer is left to the test. */
+        Link awaitHeldRequest() throws InterruptedException {
             Link link = held.poll(20, TimeUnit.SECONDS);
-            assertNotNull(link, "asked for nothing: " + asked());
+            assertNotNull(link, "no request held; requests: " + requests());
             return link;
         }
 
-        int streams() {
-            synchronized (asked) {
-                return news.size();
+        int streamCount() {
+            synchronized (requests) {
+                return eventStreams.size();
             }
         }
     }
 
+    /** Returns an HTTP answer with the body. */
     static ByteBuffer reply(String body) {
         return ascii("HTTP/1.1 200 OK\r\ncontent-length: " + body.length() + "\r\n\r\n" + body);
     }
@@ -127,11 +142,13 @@
         return ByteBuffer.wrap(text.getBytes(StandardCharsets.US_ASCII));
     }
 
+    /** Returns the text as one chunk of a chunked body. */
     static String chunk(String text) {
         return Integer.toHexString(text.length()) + "\r\n" + text + "\r\n";
     }
 
-    static String taken(int count) {
+    /** Returns the relay's answer to a call of which it accepted that many orders. */
+    static String accepted(int count) {
         return "<?xml version=\"1.0\"?>\n<Response><items><item><ok_count>" + count
                 + "</ok_count></item></items></Response>";
     }
@@ -140,57 +157,64 @@
     Path folder;
 
     Net net;
-    Server relay;
-    Server discovery;
+    StubServer relay;
+    StubServer discovery;
     private final ByteArrayOutputStream log = new ByteArrayOutputStream();
     final CounterRegistry counters = new CounterRegistry(new PrintStream(log, true));
-    final BlockingQueue<Event> heard = new LinkedBlockingQueue<>();
-    final ConcurrentLinkedQueue<List<Order>> toOrder = new ConcurrentLinkedQueue<>();
+    /** Events that the controller received. */
+    final BlockingQueue<Event> controllerEvents = new LinkedBlockingQueue<>();
+    /** Orders that the controller returns, one list for each batch. */
+    final ConcurrentLinkedQueue<List<Order>> queuedOrders = new ConcurrentLinkedQueue<>();
+
     Service service;
-    volatile boolean failing;
+    /** Whether the controller throws an exception for each batch. */
+    volatile boolean controllerFails;
 
     @BeforeEach
-    void open() throws IOException {
+    void startStubServers() throws IOException {
         net = new Net("test", 2);
-        relay = new Server();
-        discovery = new Server();
-        relay.answers.add(taken(1));
+        relay = new StubServer();
+        discovery = new StubServer();
+        relay.answers.add(accepted(1));
         discovery.answers.add("{\"generation\":7,\"reset\":false,\"instances\":[]}");
         discovery.answers.add("");
     }
 
     @AfterEach
-    void close() {
+    void stop() {
         if (service != null) {
             service.close();
         }
         net.close();
     }
 
-    void configure(Server relayNow) throws IOException {
-        Files.writeString(folder.resolve("config.json"), configuration(relayNow.listener.address()));
+    /** Writes the configuration file, with the given relay. */
+    void configure(StubServer relayServer) throws IOException {
+        Files.writeString(folder.resolve("config.json"), configuration(relayServer.listener.address()));
     }
 
-    String configuration(InetSocketAddress relayNow) {
+    /** Returns the JSON configuration with the given relay address. */
+    String configuration(InetSocketAddress relayServer) {
         return "{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\""
                 + Net.text(discovery.listener.address())
                 + "\",\"seed\":\"ff\",\"limits\":{\"sockets\":256},\"registry\":{\"address\":\""
-                + Net.text(relayNow) + "\"},\"known\":{\"generation\":5,\"reset\":true,\"instances\":[" + ENTRY
+                + Net.text(relayServer) + "\"},\"known\":{\"generation\":5,\"reset\":true,\"instances\":[" + ENTRY
                 + "]},\"settings\":{\"Zones\":[\"a\",\"b\"],\"Models\":[\"m\"],\"Discovery\":\"ask\",\"RequestClasses\":[{\"Name\":\"x\","
                 + "\"AimNs\":1,\"Importance\":1}],\"Domain\":{\"Ranges\":4,\"ProxyCount\":9,\"Backlog\":100,\"EgressPerS\":100}}}";
     }
 
+    /** Starts the service; the controller answers the first batch with the given orders. */
     void start(List<Order> first) throws IOException {
         configure(relay);
-        toOrder.add(first);
+        queuedOrders.add(first);
         service = new Service(
                 folder.resolve("config.json"),
                 (settings, seed) -> (now, events) -> {
-                    if (failing) {
-                        throw new IllegalStateException("played");
+                    if (controllerFails) {
+                        throw new IllegalStateException("simulated failure");
                     }
-                    heard.addAll(events);
-                    List<Order> next = toOrder.poll();
+                    controllerEvents.addAll(events);
+                    List<Order> next = queuedOrders.poll();
                     return next == null ? List.of() : next;
                 },
                 counters);
@@ -199,70 +223,74 @@
         thread.start();
     }
 
-    List<String> logged() {
+    List<String> logLines() {
         return log.toString(StandardCharsets.UTF_8).lines().toList();
     }
 
-    /** News on a stream, as one write. */
-    static void tell(Link stream, String... events) {
-        StringBuilder all = new StringBuilder();
+    /** Sends events, each as "TYPE DATA", on the relay's event stream in one write. */
+    static void sendEvents(Link stream, String... events) {
+        StringBuilder text = new StringBuilder();
         for (String event : events) {
-            int at = event.indexOf(' ');
-            all.append("event: ")
-                    .append(event, 0, at)
+            int space = event.indexOf(' ');
+            text.append("event: ")
+                    .append(event, 0, space)
                     .append("\ndata: ")
-                    .append(event.substring(at + 1))
+                    .append(event.substring(space + 1))
                     .append("\n\n");
         }
-        stream.send(ascii(chunk(all.toString())));
+        stream.send(ascii(chunk(text.toString())));
     }
 
-    static void await(BooleanSupplier holds) {
+    /** Waits up to 20 seconds for the condition. */
+    static void await(BooleanSupplier condition) {
         try {
-            for (int i = 0; i < 4000 && !holds.getAsBoolean(); i++) {
+            for (int i = 0; i < 4000 && !condition.getAsBoolean(); i++) {
                 Thread.sleep(5);
             }
-        } catch (InterruptedException stop) {
-            throw new IllegalStateException(stop);
+        } catch (InterruptedException interrupted) {
+            throw new IllegalStateException(interrupted);
         }
-        assertTrue(holds.getAsBoolean(), "did not come about");
+        assertTrue(condition.getAsBoolean(), "condition not met within 20 s");
     }
 
-    void hears(Event wanted) throws InterruptedException {
-        Event event = heard.poll(20, TimeUnit.SECONDS);
-        while (event != null && !event.equals(wanted)) {
-            event = heard.poll(20, TimeUnit.SECONDS);
+    /** Discards the controller's events until the expected one comes. */
+    void awaitEvent(Event expected) throws InterruptedException {
+        Event event = controllerEvents.poll(20, TimeUnit.SECONDS);
+        while (event != null && !event.equals(expected)) {
+            event = controllerEvents.poll(20, TimeUnit.SECONDS);
         }
-        assertEquals(wanted, event);
+        assertEquals(expected, event);
     }
 
-    Socket connect(byte[] says) throws IOException {
-        return connect(service.address(), says);
+    /** Connects to the service as a client and sends the bytes. */
+    Socket connect(byte[] firstBytes) throws IOException {
+        return connect(service.address(), firstBytes);
     }
 
-    static Socket connect(InetSocketAddress to, byte[] says) throws IOException {
+    static Socket connect(InetSocketAddress to, byte[] firstBytes) throws IOException {
         Socket socket = new Socket(to.getAddress(), to.getPort());
         socket.setSoTimeout(20_000);
-        socket.getOutputStream().write(says);
+        socket.getOutputStream().write(firstBytes);
         return socket;
     }
 
-    /** All that is written until the end, which a reset brings too. */
-    static String untilClosed(Socket socket) {
-        StringBuilder all = new StringBuilder();
+    /** Returns all bytes received until the end of the connection or its reset, or "open" if it stays open for 20 s. */
+    static String readUntilClosed(Socket socket) {
+        StringBuilder received = new StringBuilder();
         try (socket;
                 InputStream in = socket.getInputStream()) {
             for (int b = in.read(); b >= 0; b = in.read()) {
-                all.append((char) b);
+                received.append((char) b);
             }
-        } catch (java.net.SocketTimeoutException still) {
+        } catch (SocketTimeoutException stillOpen) {
             return "open";
         } catch (IOException reset) {
-            return all.toString();
+            return received.toString();
         }
-        return all.toString();
+        return received.toString();
     }
 
+    /** Returns a message in RESP. */
     static byte[] message(String... parts) {
         return RespWriter.array(parts).array();
     }
--- a/src/test/java/puffinbarrow/platform/ServiceTest.java
+++ b/src/test/java/puffinbarrow/platform/ServiceTest.java
@@ -9,149 +9,158 @@
 import java.nio.file.Files;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Map;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import puffinbarrow.control.Event;
 import puffinbarrow.control.Order;
 
-/** A coordinator in service, one story for each failure met. */
+/**
+ * Failures of the relay, discovery, collectors and the configuration that a coordinator in service must survive, and
+ * the messages it then sends.
+ */
 class ServiceTest extends ServiceFixture {
     @Test
-    void ordersOfABatchAreOneCallMadeAgainUntilItIsTaken() throws Exception {
+    void sendsOrdersOfABatchAsOneCallAndRepeatsItUntilAccepted() throws Exception {
         relay.answers.clear();
         relay.answers.addAll(List.of(
-                "x",
+                DISCONNECT,
                 "<Response><Errors><Code>BUSY</Code></Errors></Response>",
-                taken(77),
-                "",
-                taken(1),
-                taken(2),
-                taken(1)));
+                accepted(77),
+                NO_ANSWER,
+                accepted(1),
+                accepted(2),
+                accepted(1)));
         start(List.of(
                 new Order.SetLine(3, "s1", 1),
                 new Order.SetLine(2, "s9", 0.03),
                 new Order.Mask("s1", true),
                 new Order.SetLevel(Order.ALL_TABLES, 1, 0.9, Order.Retry.ON_PROOF)));
-        String whole = "/api/Action=CommitChanges&changes=share,3,s1,1.0;share,2,s9,0.03;withdraw,s1;admit,*,x,0.9,1";
-        // Broken, busy, a count that can't be and silence: again. Then one taken: the second is left out.
-        await(() -> relay.asked()
+        String wholeCall =
+                "/api/Action=CommitChanges&changes=share,3,s1,1.0;share,2,s9,0.03;withdraw,s1;admit,*,x,0.9,1";
+        // A broken connection, BUSY, an impossible count and silence: the call is repeated. Then the relay accepts the
+        // first
+        // order and refuses the second, which is dropped.
+        await(() -> relay.requests()
                 .equals(List.of(
-                        whole,
-                        whole,
-                        whole,
-                        whole,
-                        whole,
+                        wholeCall,
+                        wholeCall,
+                        wholeCall,
+                        wholeCall,
+                        wholeCall,
                         "/api/Action=CommitChanges&changes=withdraw,s1;admit,*,x,0.9,1")));
         await(() -> counters.value("orders.refused") == 1);
     }
 
     @Test
-    void aCallWithoutAnAnswerThatItsMarkProvesTakenIsNotMadeTwice() throws Exception {
+    void doesNotRepeatUnansweredCallWhoseMarkIsAcknowledged() throws Exception {
         relay.answers.clear();
-        relay.answers.addAll(List.of("", taken(1)));
+        relay.answers.addAll(List.of(NO_ANSWER, accepted(1)));
         relay.snapshot = "event: attach\ndata: id=8&site=b&rps=2&new=0\n\n";
         start(List.of(new Order.Mask("s1", true), new Order.Mark(41, false)));
         await(() -> counters.value("calls.broken") == 1);
-        relay.news.get(0).send(ascii(chunk("event: done\ndata: id=8&seq=41&ms=1.5\n\n")));
-        hears(new Event.InForce(8, 41, 1_500_000));
-        toOrder.add(List.of(new Order.Mask("s1", false)));
-        relay.news.get(0).send(ascii(chunk("event: detach\ndata: id=8\n\n")));
-        await(() -> relay.asked().size() == 2);
-        assertTrue(relay.asked().get(1).endsWith("=restore,s1"), relay.asked().get(1));
+        relay.eventStreams.get(0).send(ascii(chunk("event: done\ndata: id=8&seq=41&ms=1.5\n\n")));
+        awaitEvent(new Event.InForce(8, 41, 1_500_000));
+        queuedOrders.add(List.of(new Order.Mask("s1", false)));
+        relay.eventStreams.get(0).send(ascii(chunk("event: detach\ndata: id=8\n\n")));
+        await(() -> relay.requests().size() == 2);
+        assertTrue(
+                relay.requests().get(1).endsWith("=restore,s1"),
+                relay.requests().get(1));
     }
 
     @Test
-    void aMarkWhoseAnswersFellIntoAGapOfTheNewsIsRepeated() throws Exception {
+    void repeatsMarkWhoseAcknowledgementsWereLostInAStreamGap() throws Exception {
         relay.snapshot = "event: attach\ndata: id=8&site=b&rps=2&new=0\n\n";
         relay.answers.clear();
-        relay.answers.add(taken(2));
+        relay.answers.add(accepted(2));
         start(List.of(new Order.Mask("s1", true), new Order.Mark(41, true)));
-        hears(new Event.ProxyJoined(8, false, 2, 1));
+        awaitEvent(new Event.ProxyJoined(8, false, 2, 1));
         await(() -> counters.value("calls.taken") == 1);
-        relay.news.get(0).close();
-        await(() -> relay.asked().size() > 1);
+        relay.eventStreams.get(0).close();
+        await(() -> relay.requests().size() > 1);
         assertTrue(
-                relay.asked().get(1).endsWith("changes=mark,41,1"),
-                relay.asked().get(1));
+                relay.requests().get(1).endsWith("changes=mark,41,1"),
+                relay.requests().get(1));
     }
 
     @Test
-    void whatStandsIsToldWholeAndAReloadMovesWithoutAGap() throws Exception {
+    void reportsFullStateAndMovesToANewRelayWithoutAGap() throws Exception {
         relay.snapshot = "event: attach\ndata: id=8&site=b&rps=2&new=0\n\nevent: owner\ndata: range=1&flag=1\n\n"
                 + "event: entry\ndata: range=1&target=s1&rps=1\n\n";
         start(List.of());
-        hears(new Event.ProxyJoined(8, false, 2, 1));
-        hears(new Event.SliceCharge(1, true));
-        hears(new Event.StoredLine(1, "s1", 1));
-        Server moved = new Server();
-        moved.answers.add(taken(1));
+        awaitEvent(new Event.ProxyJoined(8, false, 2, 1));
+        awaitEvent(new Event.SliceCharge(1, true));
+        awaitEvent(new Event.StoredLine(1, "s1", 1));
+        StubServer moved = new StubServer();
+        moved.answers.add(accepted(1));
         moved.snapshot = relay.snapshot + "event: owner\ndata: range=2&flag=1\n\n";
         configure(moved);
         service.reload();
-        hears(new Event.SliceCharge(2, true));
-        moved.news.get(0).send(ascii(chunk("event: done\ndata: id=8&seq=5&ms=1.5\n\n")));
+        awaitEvent(new Event.SliceCharge(2, true));
+        moved.eventStreams.get(0).send(ascii(chunk("event: done\ndata: id=8&seq=5&ms=1.5\n\n")));
         assertEquals(
                 new Event.InForce(8, 5, 1_500_000),
-                heard.poll(20, TimeUnit.SECONDS),
-                "a proxy that stayed is not told as left");
-        // Breaks off: the news is asked for again, and a proxy gone meanwhile is told.
+                controllerEvents.poll(20, TimeUnit.SECONDS),
+                "a proxy that stayed attached is not reported as left");
+        // The stream breaks off: a new one is requested, and a proxy that left meanwhile is reported.
         moved.snapshot = "event: owner\ndata: range=1&flag=1\n\nevent: entry\ndata: range=1&target=s1&rps=1\n\n";
-        moved.news.get(0).close();
-        hears(new Event.ProxyLeft(8));
-        hears(new Event.SliceCharge(2, false));
-        assertEquals(1, relay.streams());
+        moved.eventStreams.get(0).close();
+        awaitEvent(new Event.ProxyLeft(8));
+        awaitEvent(new Event.SliceCharge(2, false));
+        assertEquals(1, relay.streamCount());
     }
 
     @Test
-    void aWatchThatFailsIsToldAndAskedForAnewWhenDecided() throws Exception {
+    void reportsFailedWatchAndStartsANewOneWhenOrdered() throws Exception {
         discovery.answers.clear();
-        discovery.answers.addAll(
-                List.of("{\"generation\":9,\"reset\":true,\"instances\":[" + ENTRY + "]}", "hold", "x", ""));
+        discovery.answers.addAll(List.of(
+                "{\"generation\":9,\"reset\":true,\"instances\":[" + ENTRY + "]}", HOLD, DISCONNECT, NO_ANSWER));
         start(List.of(new Order.Follow(true)));
-        hears(new Event.ServerList(
+        awaitEvent(new Event.ServerList(
                 Event.ListKind.WHOLE, List.of(new Event.Entry("s1", 0, 0, 3, Event.Listed.READY, 1.5, 0))));
-        toOrder.add(List.of(new Order.Follow(true)));
-        discovery.taken().send(reply("{\"generation\":"));
-        hears(new Event.ServerList(Event.ListKind.BROKEN, List.of()));
-        await(() -> discovery.asked().size() >= 3);
+        queuedOrders.add(List.of(new Order.Follow(true)));
+        discovery.awaitHeldRequest().send(reply("{\"generation\":"));
+        awaitEvent(new Event.ServerList(Event.ListKind.BROKEN, List.of()));
+        await(() -> discovery.requests().size() >= 3);
         assertTrue(
-                discovery.asked().get(0).endsWith("from=5&hold_ms=0"),
-                discovery.asked().get(0));
+                discovery.requests().get(0).endsWith("from=5&hold_ms=0"),
+                discovery.requests().get(0));
         assertTrue(
-                discovery.asked().get(2).contains("from=9&hold_ms=0"),
-                discovery.asked().get(2));
+                discovery.requests().get(2).contains("from=9&hold_ms=0"),
+                discovery.requests().get(2));
     }
 
     @Test
-    void aSpoiltConfigurationKeepsTheOldOneInUse() throws Exception {
+    void keepsCurrentConfigurationIfTheNewOneIsMalformed() throws Exception {
         start(List.of());
         Files.writeString(folder.resolve("config.json"), "{\"name\":\"n0\",\"listen\":");
         service.reload();
         await(() -> counters.value("reloads.refused") == 1);
-        toOrder.add(List.of(new Order.Mask("s1", true)));
+        queuedOrders.add(List.of(new Order.Mask("s1", true)));
         connect(message("telemetry", "site", "a"))
                 .getOutputStream()
                 .write(message("range_stats", "range", "1", "lane", "x", "count", "1", "fail", "0", "over", "1000"));
-        await(() -> relay.asked().size() == 1);
+        await(() -> relay.requests().size() == 1);
     }
 
     @Test
-    void decisionsThatFailLeaveWhatStandsAndTheNextBatchIsDecided() throws Exception {
+    void continuesWithTheNextBatchAfterTheControllerFails() throws Exception {
         start(List.of());
-        failing = true;
+        controllerFails = true;
         OutputStream out = connect(message("telemetry", "site", "a")).getOutputStream();
         out.write(message("range_stats", "range", "1", "lane", "x", "count", "1", "fail", "0", "over", "1000"));
         await(() -> counters.value("decisions.failed") >= 1);
-        failing = false;
+        controllerFails = false;
         out.write(message("range_stats", "range", "2", "lane", "x", "count", "1", "fail", "0", "over", "1000"));
-        hears(new Event.SliceDemand(2, 0, 1, 0, 1_000_000_000));
+        awaitEvent(new Event.SliceDemand(2, 0, 1, 0, 1_000_000_000));
     }
 
     @Test
-    void strangersAreTurnedAwayAndSignsOfLifeAnswered() throws Exception {
+    void rejectsClientsThatDoNotJoinAndAnswersHeartbeats() throws Exception {
         start(List.of());
-        List<Socket> strangers = new ArrayList<>();
-        for (byte[] says : List.of(
+        List<Socket> rejected = new ArrayList<>();
+        for (byte[] firstBytes : List.of(
                 "GET / HTTP/1.1\r\n\r\n".getBytes(),
                 new byte[0],
                 new byte[] {0, 1, 2},
@@ -162,19 +171,19 @@
                 message("attach", "id", "1", "site", "a", "rps", "1", "new", "1"),
                 message("share", "4", "s1", "1"),
                 message("range_stats", "range", "1", "lane", "x", "count", "1", "fail", "0", "over", "1000"))) {
-            strangers.add(connect(says));
+            rejected.add(connect(firstBytes));
         }
-        Socket sign = connect(message("hb"));
-        for (Socket stranger : strangers) {
-            assertFalse(untilClosed(stranger).equals("open"));
+        Socket heartbeat = connect(message("hb"));
+        for (Socket each : rejected) {
+            assertFalse(readUntilClosed(each).equals("open"));
         }
-        assertTrue(untilClosed(sign).startsWith("*1\r\n$5\r\nhb_ok\r\n"));
+        assertTrue(readUntilClosed(heartbeat).startsWith("*1\r\n$5\r\nhb_ok\r\n"));
         assertEquals(11, counters.value("streams.turned_away"));
-        assertTrue(heard.stream().noneMatch(e -> e instanceof Event.SliceDemand));
+        assertTrue(controllerEvents.stream().noneMatch(e -> e instanceof Event.SliceDemand));
     }
 
     @Test
-    void hundredsThatSayNothingDoNotKeepACollectorOut() throws Exception {
+    void acceptsCollectorDespiteHundredsOfSilentConnections() throws Exception {
         start(List.of());
         List<Socket> silent = new ArrayList<>();
         for (int i = 0; i < 300; i++) {
@@ -184,15 +193,15 @@
         collector
                 .getOutputStream()
                 .write(message("range_stats", "range", "1", "lane", "x", "count", "4", "fail", "9", "over", "1000"));
-        hears(new Event.SliceDemand(1, 0, 4, 9, 1_000_000_000));
+        awaitEvent(new Event.SliceDemand(1, 0, 4, 9, 1_000_000_000));
         for (Socket each : silent) {
-            assertFalse(untilClosed(each).equals("open"));
+            assertFalse(readUntilClosed(each).equals("open"));
         }
         collector.close();
     }
 
     @Test
-    void aSpoiltReportIsLeftOutAndTheSoundOnesAroundItCount() throws Exception {
+    void ignoresInvalidReportsAndTakesTheValidOnesAroundThem() throws Exception {
         start(List.of());
         Socket collector = connect(message("telemetry", "site", "a"));
         OutputStream out = collector.getOutputStream();
@@ -212,15 +221,9 @@
                 "1000.0",
                 "util",
                 "cpu_share:0.61,busy_reqs:7"));
-        hears(new Event.ServerSums(
-                "s1",
-                1,
-                1_000_000_000,
-                41_500_000,
-                1,
-                4,
-                java.util.Map.of(Event.Measure.BUSY, 0.61, Event.Measure.HELD, 7.0)));
-        String[][] spoilt = {
+        awaitEvent(new Event.ServerSums(
+                "s1", 1, 1_000_000_000, 41_500_000, 1, 4, Map.of(Event.Measure.BUSY, 0.61, Event.Measure.HELD, 7.0)));
+        String[][] invalidFields = {
             {"count", "-4"},
             {"count", "many"},
             {"fail", "5"},
@@ -231,7 +234,7 @@
             {"util", "cpu_share:x"},
             {"util", "nonsense"}
         };
-        for (String[] change : spoilt) {
+        for (String[] change : invalidFields) {
             String[] report = {
                 "upstream_stats",
                 "site",
@@ -255,9 +258,9 @@
         out.write(message("upstream_stats", "site", "b"));
         out.write(message("nonsense"));
         out.write(message("range_stats", "range", "3", "lane", "x", "count", "2", "fail", "0", "over", "500"));
-        hears(new Event.SliceDemand(3, 0, 2, 0, 500_000_000));
-        assertEquals(spoilt.length + 2, counters.value("reports.refused"));
+        awaitEvent(new Event.SliceDemand(3, 0, 2, 0, 500_000_000));
+        assertEquals(invalidFields.length + 2, counters.value("reports.refused"));
         out.write("garbage".getBytes());
-        assertTrue(untilClosed(collector).contains("reject"));
+        assertTrue(readUntilClosed(collector).contains("reject"));
     }
 }
--- a/src/test/java/puffinbarrow/resp/RespTest.java
+++ b/src/test/java/puffinbarrow/resp/RespTest.java
@@ -9,13 +9,14 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
+/** Round trip of RESP messages through writer and reader, malformed input, and the limits on a message. */
 class RespTest {
     private static ByteBuffer bytes(String text) {
         return ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8));
     }
 
     @Test
-    void messagesComeThroughSplitAtEveryPosition() {
+    void readsMessagesSplitAtEveryPosition() {
         byte[] one = RespWriter.array("telemetry", "site", "hall-ä").array();
         byte[] two = RespWriter.array("x", "", "\r\n").array();
         ByteBuffer both = ByteBuffer.allocate(one.length + two.length).put(one).put(two);
@@ -30,8 +31,8 @@
     }
 
     @Test
-    void whatIsNoArrayOfStringsOrOverItsBoundsIsRefused() {
-        for (String wrong : List.of(
+    void rejectsMalformedInputAndMessagesOverTheLimit() {
+        for (String invalid : List.of(
                 "GET / HTTP/1.1\r\n",
                 "+PING\r\n",
                 "*1\r\n:5\r\n",
@@ -45,12 +46,12 @@
                 "*1111111111111111111111",
                 "*3\r\n$40\r\n" + "x".repeat(40) + "\r\n$40\r\n" + "x".repeat(40) + "\r\n$9\r\n",
                 "\0\0\0")) {
-            assertThrows(RespException.class, () -> new RespReader(100, m -> {}).feed(bytes(wrong)), wrong);
+            assertThrows(RespException.class, () -> new RespReader(100, m -> {}).feed(bytes(invalid)), invalid);
         }
     }
 
     @Test
-    void theBoundIsOnOneMessageNotOnTheStreamAndCanBeRaised() {
+    void appliesLimitToEachMessageAndAllowsToRaiseIt() {
         List<List<String>> read = new ArrayList<>();
         RespReader reader = new RespReader(100, read::add);
         for (int i = 0; i < 50; i++) {
