--- a/src/main/java/puffinbarrow/platform/Configuration.java
+++ b/src/main/java/puffinbarrow/platform/Configuration.java
@@ -29,6 +29,8 @@
         Settings settings,
         Facts.Names names) {
 
+    /** Limit on open sockets if the configuration has none. */
+    private static final int DEFAULT_SOCKETS = 256;
     /** Shared by all JSON parsing of the process, so that its symbol tables are too. */
     private static final JsonFactory JSON = new JsonFactory();
 
@@ -44,7 +46,7 @@
                 address(all.get("discovery"), "discovery"),
                 address(object(all.get("registry"), "registry").get("address"), "registry.address"),
                 seed(String.valueOf(all.get("seed"))),
-                limits.get("sockets") instanceof Number n ? n.intValue() : 256,
+                limits.get("sockets") instanceof Number n ? n.intValue() : DEFAULT_SOCKETS,
                 new PlatformCodec(names, clock).decodeListing(all.get("known")),
                 Facts.settings(settings),
                 names);
--- a/src/main/java/puffinbarrow/platform/CounterRegistry.java
+++ b/src/main/java/puffinbarrow/platform/CounterRegistry.java
@@ -17,6 +17,13 @@
     /** Enough for the controller's decision log; a flood of bad clients shows in its counters instead. */
     private static final int MAX_LINES_PER_SECOND = 40;
 
+    /** The first increments of a counter that {@link #incrementAndLog} logs one by one. */
+    private static final int LOGGED_FIRST = 5;
+    /** After those, one in so many increments is logged. */
+    private static final int LOGGED_EVERY = 100;
+    /** Interval at which changed counters are logged. */
+    private static final int COUNTERS_LOG_INTERVAL_S = 5;
+
     private final PrintStream out;
     private final long startedNs = System.nanoTime();
     private final Map<String, AtomicLong> counters = new ConcurrentHashMap<>();
@@ -43,7 +50,7 @@
     /** Increments the counter and logs its first five and then every hundredth increment, as causes may repeat. */
     void incrementAndLog(String name, String detail) {
         long times = increment(name);
-        if (times <= 5 || times % 100 == 0) {
+        if (times <= LOGGED_FIRST || times % LOGGED_EVERY == 0) {
             log(name + " times=" + times + " " + detail);
         }
     }
@@ -56,10 +63,10 @@
         out.println("t=" + (System.nanoTime() - startedNs) / 1_000_000 + " " + line.replace('\n', ' '));
     }
 
-    /** Called once a second on the decision thread: resets the line limit; every fifth call logs changed counters. */
+    /** Called once a second on the decision thread: resets the line limit and, at intervals, logs changed counters. */
     void onSecond(String gauges) {
         linesThisSecond.set(0);
-        if (++seconds % 5 != 0) {
+        if (++seconds % COUNTERS_LOG_INTERVAL_S != 0) {
             return;
         }
         String current = gauges + " " + new TreeMap<>(counters);
--- a/src/main/java/puffinbarrow/platform/DiscoveryClient.java
+++ b/src/main/java/puffinbarrow/platform/DiscoveryClient.java
@@ -27,6 +27,11 @@
     private static final long ANSWER_TIMEOUT_MS = 2300;
 
     private static final long CONNECT_TIMEOUT_MS = 500;
+    /** How long the watch's idle connection is kept; far longer than its pauses, as each answer leads to a request. */
+    private static final long WATCH_KEEP_ALIVE_MS = 1_000_000;
+    /** No idle connection is kept for fetches: each opens its own. */
+    private static final long FETCH_KEEP_ALIVE_MS = 0;
+
     private static final int MAX_LIST_BYTES = 1 << 20;
 
     private final EventLoop loop;
@@ -47,8 +52,8 @@
         this.loop = loop;
         this.codec = codec;
         this.discovery = discovery;
-        this.watchCaller = new HttpCaller(net, CONNECT_TIMEOUT_MS, 1_000_000, MAX_LIST_BYTES, true);
-        this.fetchCaller = new HttpCaller(net, CONNECT_TIMEOUT_MS, 0, MAX_LIST_BYTES, true);
+        this.watchCaller = new HttpCaller(net, CONNECT_TIMEOUT_MS, WATCH_KEEP_ALIVE_MS, MAX_LIST_BYTES, true);
+        this.fetchCaller = new HttpCaller(net, CONNECT_TIMEOUT_MS, FETCH_KEEP_ALIVE_MS, MAX_LIST_BYTES, true);
         this.version = known.version();
         addresses.putAll(known.addresses());
     }
--- a/src/main/java/puffinbarrow/platform/PlatformCodec.java
+++ b/src/main/java/puffinbarrow/platform/PlatformCodec.java
@@ -14,9 +14,9 @@
 import puffinbarrow.wire.Json;
 
 /**
- * Translates between the platform's messages and the controller's events and orders. Proxies, slices, zones and traffic
- * groups have names or ranges on the platform and numbers here; both come from the settings. Immutable and thread-safe;
- * does no I/O.
+ * Translates between the platform's messages and the controller's events and orders. Zones, machine types and traffic
+ * groups are names on the platform and indexes into the settings' lists here; proxies and slices are numbers on both
+ * sides and are checked against the settings. Immutable and thread-safe; does no I/O.
  */
 final class PlatformCodec {
     /**
--- a/src/main/java/puffinbarrow/platform/RelayClient.java
+++ b/src/main/java/puffinbarrow/platform/RelayClient.java
@@ -114,7 +114,7 @@
     private long pendingSinceNs;
     /** Time at which the last active subscription received its last bytes. */
     private long disconnectedSinceNs;
-    /** Time that a full channel takes to drain: after a longer gap in the events nothing from before is queued in it. */
+    /** Time that a full channel takes to drain: after a longer gap in the events it holds nothing from before. */
     private final long channelDrainNs;
 
     RelayClient(Net net, EventLoop loop, PlatformCodec codec, InetSocketAddress relay, long channelDrainNs) {
@@ -435,10 +435,10 @@
     }
 
     /**
-     * Sends orders for newly assigned slices again. The relay may have accepted them while the slice belonged to another
-     * coordinator, where they have no effect, or before another coordinator set its lines; but the controller was told
-     * that they are in effect. Only orders already sent are repeated, ahead of the queued calls; setting a line twice
-     * does no harm.
+     * Sends orders for newly assigned slices again. The relay may have accepted them while the slice belonged to
+     * another coordinator, where they have no effect, or before another coordinator set its lines; but the controller
+     * was told that they are in effect. Only orders already sent are repeated, ahead of the queued calls; setting a
+     * line twice does no harm.
      */
     private void resendOrders(Set<Integer> assigned, List<Order> inFlight) {
         Set<Order> unsent = Collections.newSetFromMap(new IdentityHashMap<>());
--- a/src/main/java/puffinbarrow/platform/Service.java
+++ b/src/main/java/puffinbarrow/platform/Service.java
@@ -64,7 +64,6 @@
     private volatile boolean running = true;
     /** Whether the controller failed so often that the process is to be restarted. */
     private boolean gaveUp;
-
     /** Number of reloads requested. */
     private long reloads;
 
--- a/src/test/java/puffinbarrow/platform/OtherCustomerTest.java
+++ b/src/test/java/puffinbarrow/platform/OtherCustomerTest.java
@@ -22,8 +22,8 @@
     private static final PlatformCodec.ClockOffset CLOCK = new PlatformCodec.ClockOffset(0, 0);
 
     /**
-     * Unusual but valid settings: one or two traffic groups, one zone, names with spaces and non-ASCII letters, tenants,
-     * one second to stop sending to a draining backend, no retries.
+     * Unusual but valid settings: one or two traffic groups, one zone, names with spaces and non-ASCII letters,
+     * tenants, one second to stop sending to a draining backend, no retries.
      */
     private static Configuration configuration(String groups, int proxies, int backlog) throws Exception {
         return Configuration.read(
--- a/src/test/java/puffinbarrow/platform/ProcessTest.java
+++ b/src/test/java/puffinbarrow/platform/ProcessTest.java
@@ -20,7 +20,7 @@
 import puffinbarrow.cli.Main;
 import puffinbarrow.net.Net;
 
-/** The coordinator in service as a process of its own: signals at unfavourable moments, and lack of file descriptors. */
+/** The coordinator in service as a separate process: signals at unfavourable moments, lack of file descriptors. */
 @Timeout(120)
 class ProcessTest extends ServiceFixture {
     private Process process;
--- a/src/test/java/puffinbarrow/platform/RaceTest.java
+++ b/src/test/java/puffinbarrow/platform/RaceTest.java
@@ -23,8 +23,8 @@
 import puffinbarrow.net.Link;
 
 /**
- * Events that arrive in an unfavourable order, such as an acknowledgement before the answer that it belongs to. Scripted
- * peers on real connections force that order in every run.
+ * Events that arrive in an unfavourable order, such as an acknowledgement before the answer that it belongs to.
+ * Scripted peers on real connections force that order in every run.
  */
 @Timeout(120)
 class RaceTest extends ServiceFixture {
@@ -33,7 +33,7 @@
             "event: owner\ndata: range=1&flag=1\n\nevent: entry\ndata: range=1&target=s1&rps=1\n\n";
     private static final Event JOINED = new Event.ProxyJoined(8, false, 2, 1);
 
-    /** Makes the controller issue the orders: any relay event causes a batch, and each batch returns the next orders. */
+    /** Makes the controller issue the orders: any relay event causes a batch, which returns the next orders. */
     private void order(Order... orders) {
         queuedOrders.add(List.of(orders));
         sendEvents(relay.eventStreams.get(relay.eventStreams.size() - 1), "attach id=7&site=a&rps=1&new=1");
@@ -116,8 +116,8 @@
     // ---- Slices and proxies that move
 
     /**
-     * The relay may have accepted the orders while the slice belonged to another coordinator, where they have no effect,
-     * or before that coordinator set its lines.
+     * The relay may have accepted the orders while the slice belonged to another coordinator, where they have no
+     * effect, or before that coordinator set its lines.
      */
     @Test
     void repeatsOrdersInFlightWhileTheirSliceWasLostAndAssignedAgain() throws Exception {
@@ -315,7 +315,7 @@
                 list(9, true, "s1", "SERVING"),
                 list(10, false, "s1", "DELETED"),
                 list(11, false, "s1", "SERVING"),
-                ""));
+                NO_ANSWER));
         start(List.of(new Order.Follow(true)));
         awaitEvent(listEvent(Event.ListKind.PATCH, "s1", Event.Listed.GONE));
         awaitEvent(listEvent(Event.ListKind.PATCH, "s1", Event.Listed.READY));
--- a/src/test/java/puffinbarrow/platform/ServiceFixture.java
+++ b/src/test/java/puffinbarrow/platform/ServiceFixture.java
@@ -35,8 +35,8 @@
 import puffinbarrow.resp.RespWriter;
 
 /**
- * Runs a {@link Service} with a scripted controller, against a stub relay and a stub discovery on loopback sockets. Tests
- * connect to it as collectors or other clients.
+ * Runs a {@link Service} with a scripted controller, against a stub relay and a stub discovery on loopback sockets.
+ * Tests connect to it as collectors or other clients.
  */
 abstract class ServiceFixture {
     static final String ENTRY =
@@ -51,11 +51,11 @@
     static final String HOLD = "hold";
 
     /**
-     * HTTP server that answers each request with the next of its scripted answers and repeats the last one. Requests for
-     * the relay's event stream are answered with a stream that begins with the snapshot.
+     * HTTP server that answers each request with the next of its scripted answers and repeats the last one. Requests
+     * for the relay's event stream are answered with a stream that begins with the snapshot.
      */
     final class StubServer {
-        /** Path and decoded body of each request; this and the event streams are guarded by it. */
+        /** Path and decoded body of each request. Its monitor guards this list and {@link #eventStreams}. */
         private final List<String> requests = new ArrayList<>();
 
         final ConcurrentLinkedQueue<String> answers = new ConcurrentLinkedQueue<>();
--- a/src/test/java/puffinbarrow/platform/ServiceTest.java
+++ b/src/test/java/puffinbarrow/platform/ServiceTest.java
@@ -39,8 +39,7 @@
         String wholeCall =
                 "/api/Action=CommitChanges&changes=share,3,s1,1.0;share,2,s9,0.03;withdraw,s1;admit,*,x,0.9,1";
         // A broken connection, BUSY, an impossible count and silence: the call is repeated. Then the relay accepts the
-        // first
-        // order and refuses the second, which is dropped.
+        // first order and refuses the second, which is dropped.
         await(() -> relay.requests()
                 .equals(List.of(
                         wholeCall,
