--- a/src/main/java/puffinbarrow/coordinator/Coordinator.java
+++ b/src/main/java/puffinbarrow/coordinator/Coordinator.java
@@ -303,7 +303,7 @@
             streams.add(this);
             net.schedule(config.helloNs / 1_000_000 + 1, () -> {
                 if (hello == null && link != null) {
-                    refuse(Frame.Refused.EXPECTED_HELLO, "no hello within " + config.helloNs / 1e9 + " s");
+                    refuse(Frame.RefusalReason.EXPECTED_HELLO, "no hello within " + config.helloNs / 1e9 + " s");
                 }
             });
         }
@@ -325,7 +325,9 @@
             } catch (FrameException wrong) {
                 meters.cause("frames.refused", wrong.why());
                 refuse(
-                        wrong.why() == FrameException.Cause.VERSION ? Frame.Refused.VERSION : Frame.Refused.MALFORMED,
+                        wrong.why() == FrameException.Cause.VERSION
+                                ? Frame.RefusalReason.VERSION
+                                : Frame.RefusalReason.MALFORMED,
                         wrong.getMessage());
             }
             if (full) {
@@ -343,7 +345,7 @@
                 if (frame instanceof Frame.Hello first) {
                     hello(first);
                 } else {
-                    refuse(Frame.Refused.EXPECTED_HELLO, "the first frame was no hello");
+                    refuse(Frame.RefusalReason.EXPECTED_HELLO, "the first frame was no hello");
                 }
             } else if (frame instanceof Frame.Ping ping) {
                 send(FrameWriter.one(new Frame.Pong(ping.number())));
@@ -365,17 +367,19 @@
             } else {
                 meters.count("frames.unexpected");
                 refuse(
-                        Frame.Refused.MALFORMED,
+                        Frame.RefusalReason.MALFORMED,
                         "a " + frame.getClass().getSimpleName() + " is not for " + hello.role() + " to send");
             }
         }
 
         private void hello(Frame.Hello first) {
             if (first.major() != Frame.MAJOR) {
-                refuse(Frame.Refused.VERSION, "version " + first.major() + ", " + Frame.MAJOR + " is spoken here");
+                refuse(
+                        Frame.RefusalReason.VERSION,
+                        "version " + first.major() + ", " + Frame.MAJOR + " is spoken here");
             } else if (first.role() == Frame.Role.PEER) {
                 if (first.number() == config.number || first.number() < 0 || first.number() >= config.of) {
-                    refuse(Frame.Refused.UNKNOWN_PEER, "no peer " + first.number());
+                    refuse(Frame.RefusalReason.UNKNOWN_PEER, "no peer " + first.number());
                     return;
                 }
                 hello = first;
@@ -385,7 +389,7 @@
                 if (before != null && before.hello.incarnation() != first.incarnation()) {
                     // The first one keeps the number while it lives; it is asked whether it does.
                     before.mustAnswerWithin(1_000_000_000L);
-                    refuse(Frame.Refused.NUMBER_TAKEN, "proxy " + first.number() + " is joined already");
+                    refuse(Frame.RefusalReason.NUMBER_TAKEN, "proxy " + first.number() + " is joined already");
                     return;
                 }
                 hello = first;
@@ -393,7 +397,7 @@
                 full |= !core.offer(
                         new Input.Joined(first, this, new Frame.Welcome(Frame.MINOR, config.number, incarnation)));
             } else {
-                refuse(Frame.Refused.UNKNOWN_ROLE, first.role() + " " + first.number());
+                refuse(Frame.RefusalReason.UNKNOWN_ROLE, first.role() + " " + first.number());
             }
         }
 
@@ -401,7 +405,7 @@
             send(FrameWriter.one(new Frame.Welcome(Frame.MINOR, config.number, incarnation)));
         }
 
-        private void refuse(Frame.Refused why, String text) {
+        private void refuse(Frame.RefusalReason why, String text) {
             refused = true;
             meters.cause("streams.refused", why);
             LOG.atWarn()
@@ -424,7 +428,7 @@
                 return;
             }
             if (now - heardAt > config.idleNs || now > mustSpeakBy) {
-                meters.cause("streams.refused", Frame.Refused.TOO_SLOW);
+                meters.cause("streams.refused", Frame.RefusalReason.TOO_SLOW);
                 open.close(Link.Cause.CLOSED_HERE, "silent for " + (now - heardAt) / 1_000_000 + " ms");
             } else if (now - heardAt > config.idleNs / 3) {
                 send(FrameWriter.one(new Frame.Ping(now)));
--- a/src/main/java/puffinbarrow/net/HttpCaller.java
+++ b/src/main/java/puffinbarrow/net/HttpCaller.java
@@ -6,12 +6,18 @@
 import java.util.function.Consumer;
 
 /**
- * Calls an HTTP/1.1 server, one call at a time over a stream that is kept for the next one. Every call ends in exactly
- * one answer or failure, on a thread of the group or of the timer. After a failure nothing is known of whether the call
- * took effect, and its stream is closed. Calls come from one thread.
+ * An HTTP/1.1 client for one request at a time over a keep-alive connection. Every call completes exactly once, with a
+ * response or a failure, on a thread of the channel group or of the timer. After a failure it is unknown whether the
+ * request took effect, and its connection is closed. {@link #call} must always be called from the same thread.
  */
 public final class HttpCaller {
-    /** How a call ended: the whole answer, or null and why there is none; unsent: it surely took no effect. */
+    /**
+     * The outcome of a call.
+     *
+     * @param answer the complete response, or null if the call failed
+     * @param failure why there is no response, or null
+     * @param sent whether any of the request may have left; if false, the request took no effect
+     */
     public record Ended(HttpParser.Message answer, String failure, boolean sent) {}
 
     private final Net net;
@@ -19,13 +25,16 @@
     private final long keepNs;
     private final int bodyBytes;
     private final boolean idempotent;
-    /** Guarded by this: the caller's thread and the channels' may both replace it. */
-    private Stream kept;
+    /** The connection to reuse, or null. Guarded by this: the calling thread and channel threads both replace it. */
+    private Connection current;
 
     /**
-     * @param keepMs a stream idle for longer is not used again: the far end may be closing it just then
-     * @param idempotent whether a call may be made twice: one whose kept stream ends before the first byte of its
-     *     answer, as the far end closed it at that very moment, is then made once more over a fresh one (RFC 9112, 9.3.1)
+     * @param connectMs connect timeout in milliseconds
+     * @param keepMs a connection idle for longer than this is not reused, since the server may be closing it
+     * @param bodyBytes the largest response body accepted
+     * @param idempotent whether a request may be sent twice: if a reused connection ends before the first byte of the
+     *     response, because the server closed it as the request was sent, the request is retried once over a new
+     *     connection (RFC 9112, 9.3.1)
      */
     public HttpCaller(Net net, long connectMs, long keepMs, int bodyBytes, boolean idempotent) {
         this.net = net;
@@ -35,15 +44,20 @@
         this.idempotent = idempotent;
     }
 
-    /** @param timeoutMs for the answer, from when the request is sent */
+    /**
+     * Sends a request, over the kept connection if that is still usable.
+     *
+     * @param timeoutMs how long to wait for the response, from when the request is sent
+     * @param done receives the outcome, exactly once
+     */
     public void call(InetSocketAddress to, byte[] request, long timeoutMs, Consumer<Ended> done) {
         Call call = new Call(to, request, timeoutMs, done);
-        Stream stream;
+        Connection connection;
         synchronized (this) {
-            stream = kept != null && kept.takes(call) ? kept : null;
+            connection = current != null && current.tryReuse(call) ? current : null;
         }
-        if (stream != null) {
-            stream.send();
+        if (connection != null) {
+            connection.send();
         } else {
             close();
             dial(call);
@@ -51,9 +65,9 @@
     }
 
     private void dial(Call call) {
-        Stream fresh = new Stream(call);
+        Connection fresh = new Connection(call);
         synchronized (this) {
-            kept = fresh;
+            current = fresh;
         }
         net.dial(
                 call.to,
@@ -63,24 +77,24 @@
                 link -> {
                     fresh.link = link;
                     if (fresh.abandoned) {
-                        call.end(null, "given up");
+                        call.complete(null, "connection abandoned");
                         link.close();
                     } else {
                         fresh.send();
                     }
                 },
-                failure -> call.end(null, "no connection: " + failure.getMessage()));
+                failure -> call.complete(null, "no connection: " + failure.getMessage()));
     }
 
-    /** Gives the stream up; a call that is out fails. */
+    /** Closes the kept connection; a call in progress fails. */
     public void close() {
-        Stream stream;
+        Connection connection;
         synchronized (this) {
-            stream = kept;
-            kept = null;
+            connection = current;
+            current = null;
         }
-        if (stream != null) {
-            stream.abandon();
+        if (connection != null) {
+            connection.abandon();
         }
     }
 
@@ -89,12 +103,12 @@
         final byte[] request;
         final long timeoutMs;
         final Consumer<Ended> done;
-        final AtomicBoolean ended = new AtomicBoolean();
+        final AtomicBoolean completed = new AtomicBoolean();
         volatile boolean sent;
-        /** Over which it goes, and whether that was kept from a call before. */
-        volatile Stream over;
-
-        private volatile boolean overKept;
+        /** The connection that carries this call; null while a retry connects. */
+        volatile Connection connection;
+        /** Whether {@link #connection} was kept from an earlier call. */
+        private volatile boolean reused;
 
         Call(InetSocketAddress to, byte[] request, long timeoutMs, Consumer<Ended> done) {
             this.to = to;
@@ -103,8 +117,9 @@
             this.done = done;
         }
 
-        boolean end(HttpParser.Message answer, String failure) {
-            boolean first = ended.compareAndSet(false, true);
+        /** Reports the outcome; returns false if the call has completed already. */
+        boolean complete(HttpParser.Message answer, String failure) {
+            boolean first = completed.compareAndSet(false, true);
             if (first) {
                 done.accept(new Ended(answer, failure, sent));
             }
@@ -112,52 +127,55 @@
         }
     }
 
-    private final class Stream implements Link.Receiver {
+    private final class Connection implements Link.Receiver {
         private final InetSocketAddress to;
-        private final HttpParser parser = new HttpParser(false, bodyBytes, this::answered);
+        private final HttpParser parser = new HttpParser(false, bodyBytes, this::onMessage);
         private volatile Link link;
         private volatile Call call;
-        private volatile long idleSince;
+        /** When the last response was complete, by {@link System#nanoTime}. */
+        private volatile long idleSinceNs;
+        /** Set once the connection must not be used again. */
         private volatile boolean abandoned;
-        /** Whether a byte of the answer to the call has come. */
-        private volatile boolean answering;
-        /** The call's answer; on the channels' thread. */
+        /** Whether any byte of the response to the current call has arrived. */
+        private volatile boolean answerStarted;
+        /** The response to the current call; used on channel threads only. */
         private HttpParser.Message answer;
 
-        Stream(Call call) {
+        Connection(Call call) {
             this.to = call.to;
             this.call = call;
-            call.over = this;
+            call.connection = this;
         }
 
-        boolean takes(Call next) {
-            Call before = call;
+        /** Assigns the next call to this connection; returns false if it cannot carry that call. */
+        boolean tryReuse(Call next) {
+            Call previous = call;
             if (!to.equals(next.to)
                     || abandoned
                     || link == null
                     || link.ended()
-                    || !before.ended.get()
-                    || System.nanoTime() - idleSince > keepNs) {
+                    || !previous.completed.get()
+                    || System.nanoTime() - idleSinceNs > keepNs) {
                 return false;
             }
-            answering = false;
-            next.over = this;
-            next.overKept = true;
+            answerStarted = false;
+            next.connection = this;
+            next.reused = true;
             call = next;
             return true;
         }
 
         void send() {
-            Call now = call;
-            now.sent = true;
-            if (!link.send(ByteBuffer.wrap(now.request))) {
-                now.sent = false;
-                lost(now, true, "the stream ended just then");
+            Call pending = call;
+            pending.sent = true;
+            if (!link.send(ByteBuffer.wrap(pending.request))) {
+                pending.sent = false;
+                connectionLost(pending, true, "connection ended before the request was sent");
                 return;
             }
-            net.schedule(now.timeoutMs, () -> {
-                if (now.end(null, "no answer within " + now.timeoutMs + " ms")) {
-                    Stream last = now.over;
+            net.schedule(pending.timeoutMs, () -> {
+                if (pending.complete(null, "no answer within " + pending.timeoutMs + " ms")) {
+                    Connection last = pending.connection;
                     if (last != null) {
                         last.abandon();
                     }
@@ -165,24 +183,28 @@
             });
         }
 
-        /** The stream ended under the call. */
-        private void lost(Call now, boolean unanswered, String why) {
-            boolean again;
+        /**
+         * Fails a call whose connection ended, or retries it over a new one.
+         *
+         * @param unanswered whether the server may have closed the connection without reading the request
+         */
+        private void connectionLost(Call pending, boolean unanswered, String why) {
+            boolean retry;
             synchronized (HttpCaller.this) {
-                if (now.over != this) {
-                    // It goes on over another.
+                if (pending.connection != this) {
+                    // Already retried over another connection.
                     return;
                 }
-                again = idempotent && unanswered && now.overKept && kept == this && !now.ended.get();
-                if (again) {
-                    now.overKept = false;
-                    now.over = null;
+                retry = idempotent && unanswered && pending.reused && current == this && !pending.completed.get();
+                if (retry) {
+                    pending.reused = false;
+                    pending.connection = null;
                 }
             }
-            if (again) {
-                dial(now);
+            if (retry) {
+                dial(pending);
             } else {
-                now.end(null, why);
+                pending.complete(null, why);
             }
         }
 
@@ -196,33 +218,36 @@
 
         @Override
         public void received(Link from, ByteBuffer bytes) {
-            if (call.ended.get()) {
+            if (call.completed.get()) {
                 abandon();
                 return;
             }
-            answering = true;
+            answerStarted = true;
             parser.feed(bytes);
-            deliver();
+            deliverAnswer();
         }
 
-        private void answered(HttpParser.Message message) {
+        private void onMessage(HttpParser.Message message) {
             abandoned |= answer != null || message.header("connection").equalsIgnoreCase("close");
             answer = answer == null ? message : answer;
         }
 
-        /** Ends the call if its answer is whole; the stream is given up first, as the next call may come at once. */
-        private void deliver() {
+        /**
+         * Completes the call once its response is complete. The connection is marked as abandoned before that, since the
+         * callback may start the next call at once.
+         */
+        private void deliverAnswer() {
             if (answer == null) {
                 return;
             }
-            HttpParser.Message whole = answer;
+            HttpParser.Message complete = answer;
             answer = null;
-            idleSince = System.nanoTime();
-            // What follows unasked would be taken for the next call's answer.
+            idleSinceNs = System.nanoTime();
+            // Bytes beyond this response would be taken for the response to the next call.
             abandoned |= !parser.idle();
-            boolean over = abandoned;
-            call.end(whole, null);
-            if (over) {
+            boolean closeNow = abandoned;
+            call.complete(complete, null);
+            if (closeNow) {
                 abandon();
             }
         }
@@ -232,10 +257,10 @@
             abandoned = true;
             if (cause == Link.Cause.PEER_CLOSED) {
                 parser.closed();
-                deliver();
+                deliverAnswer();
             }
             boolean byPeer = cause == Link.Cause.PEER_CLOSED || cause == Link.Cause.BROKEN;
-            lost(call, byPeer && !answering, cause + " " + detail);
+            connectionLost(call, byPeer && !answerStarted, cause + " " + detail);
         }
     }
 }
--- a/src/main/java/puffinbarrow/net/HttpParser.java
+++ b/src/main/java/puffinbarrow/net/HttpParser.java
@@ -2,24 +2,35 @@
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
 import java.util.LinkedHashMap;
 import java.util.Locale;
 import java.util.Map;
 import java.util.function.Consumer;
 
 /**
- * An HTTP/1.1 parser that takes whatever bytes came, keeps its place, and gives whole messages out. Heads are bounded
- * in bytes and headers in number, bodies by their stated length (chunked bodies are read too); a breach throws
- * {@link Malformed}, after which the link is closed. Not thread-safe: one for each link, fed by that link's reads.
+ * An incremental HTTP/1.1 parser: it accepts bytes in pieces of any size and passes on complete messages. Heads are
+ * limited in bytes, headers in number, and bodies (chunked ones too) in bytes; a message over a limit or with invalid
+ * syntax throws {@link Malformed}, after which the connection is closed. Not thread-safe: each {@link Link} has its own,
+ * fed by that link's reads.
  */
 public final class HttpParser {
-    /** A whole message: for a request first is the method, second the target; for an answer the code and reason. */
+    /**
+     * A complete message.
+     *
+     * @param first the method of a request, or the status code of a response
+     * @param second the target of a request, or the reason phrase of a response
+     * @param headers by name in lower case
+     * @param body empty if there is none
+     */
     public record Message(String first, String second, Map<String, String> headers, byte[] body) {
+        /** Returns the value of a header, or an empty text; the name is in lower case. */
         public String header(String name) {
             return headers.getOrDefault(name, "");
         }
     }
 
+    /** Invalid syntax, or a message over one of the parser's limits. */
     public static final class Malformed extends RuntimeException {
         private static final long serialVersionUID = 1;
 
@@ -28,7 +39,8 @@
         }
     }
 
-    private enum At {
+    /** What the parser expects next. */
+    private enum State {
         START,
         HEADER,
         BODY,
@@ -39,76 +51,88 @@
         TO_CLOSE
     }
 
-    /** Heads of flows are a few hundred bytes; the usual limit of servers in the field. */
-    private static final int HEAD_BYTES = 8192;
+    /** Longest head in bytes: the usual limit of HTTP servers; the heads of flows take a few hundred bytes. */
+    private static final int MAX_HEAD_BYTES = 8192;
 
-    private static final int HEADERS = 64;
+    private static final int MAX_HEADERS = 64;
 
     private final boolean requests;
-    private final int bodyBytes;
-    private final Consumer<Message> out;
-    /** Takes bodies as they come, where an answer goes on for as long as its stream; null: they are kept whole. */
-    private final Consumer<ByteBuffer> pieces;
+    private final int maxBodyBytes;
+    private final Consumer<Message> messages;
+    /** Receives body bytes as they arrive, for responses without an end; null: bodies are collected in memory. */
+    private final Consumer<ByteBuffer> bodyPieces;
 
-    private At at = At.START;
-    /** Grows to what lines need: thousands of idle streams must not hold 8 KB each. */
+    private State state = State.START;
+    /** The line read so far. Grows as needed, so that thousands of idle connections do not hold 8 KB each. */
     private byte[] line = new byte[128];
 
     private int lineLength;
     private int headLength;
-    private String first, second;
+    private String first;
+    private String second;
     private Map<String, String> headers = new LinkedHashMap<>();
     private byte[] body = new byte[0];
-    private int bodyAt;
-    private int wanted;
+    private int bodyLength;
+    /** Bytes that the body, or the current chunk of it, still lacks. */
+    private int remaining;
 
+    /**
+     * @param requests whether requests are parsed, or else responses
+     * @param bodyBytes the largest body accepted
+     * @param out receives each complete message
+     */
     public HttpParser(boolean requests, int bodyBytes, Consumer<Message> out) {
         this(requests, bodyBytes, out, null);
     }
 
-    /** For an answer whose body has no end: its bytes go to pieces as they come, and out hears of its end alone. */
+    /**
+     * Creates a parser for a response whose body does not end: its bytes are passed to {@code pieces} as they arrive, and
+     * {@code out} receives a message with an empty body if it ends after all. Any status but 2xx is refused.
+     */
     public static HttpParser streaming(Consumer<Message> out, Consumer<ByteBuffer> pieces) {
         return new HttpParser(false, Integer.MAX_VALUE, out, pieces);
     }
 
     private HttpParser(boolean requests, int bodyBytes, Consumer<Message> out, Consumer<ByteBuffer> pieces) {
-        this.pieces = pieces;
+        this.bodyPieces = pieces;
         this.requests = requests;
-        this.bodyBytes = bodyBytes;
-        this.out = out;
+        this.maxBodyBytes = bodyBytes;
+        this.messages = out;
     }
 
-    /** Whether the parser stands between two messages. */
+    /** Returns whether the parser is between two messages. */
     public boolean idle() {
-        return at == At.START && lineLength == 0;
+        return state == State.START && lineLength == 0;
     }
 
+    /** Parses all bytes of the buffer; throws {@link Malformed} if they are not acceptable. */
     public void feed(ByteBuffer in) {
         while (in.hasRemaining()) {
-            switch (at) {
-                case BODY, CHUNK, TO_CLOSE -> takeBody(in);
+            switch (state) {
+                case BODY, CHUNK, TO_CLOSE -> readBody(in);
                 default -> {
-                    String text = takeLine(in);
+                    String text = readLine(in);
                     if (text != null) {
-                        lineDone(text);
+                        onLine(text);
                     }
                 }
             }
         }
     }
 
-    /** The peer closed: a body without a stated length ends here. */
+    /** Tells the parser that the peer closed the connection, which ends a body without a stated length. */
     public void closed() {
-        if (at == At.TO_CLOSE) {
-            emit(java.util.Arrays.copyOf(body, bodyAt));
+        if (state == State.TO_CLOSE) {
+            emit(Arrays.copyOf(body, bodyLength));
         }
     }
 
-    private String takeLine(ByteBuffer in) {
+    /** Reads up to the end of a line and returns the line, or returns null if its end has not arrived yet. */
+    private String readLine(ByteBuffer in) {
         while (in.hasRemaining()) {
             byte b = in.get();
-            if (++headLength > HEAD_BYTES) {
-                throw new Malformed("head over " + HEAD_BYTES + " bytes");
+            if (++headLength > MAX_HEAD_BYTES) {
+                throw new Malformed("head over " + MAX_HEAD_BYTES + " bytes");
             }
             if (b == '\n') {
                 int end = lineLength > 0 && line[lineLength - 1] == '\r' ? lineLength - 1 : lineLength;
@@ -120,70 +144,70 @@
                 throw new Malformed("a NUL byte in the head");
             }
             if (lineLength == line.length) {
-                line = java.util.Arrays.copyOf(line, Math.min(HEAD_BYTES, line.length * 2));
+                line = Arrays.copyOf(line, Math.min(MAX_HEAD_BYTES, line.length * 2));
             }
             line[lineLength++] = b;
         }
         return null;
     }
 
-    private void lineDone(String text) {
-        switch (at) {
+    private void onLine(String text) {
+        switch (state) {
             case START -> {
                 if (!text.isEmpty()) {
                     startLine(text);
-                    at = At.HEADER;
+                    state = State.HEADER;
                 }
             }
             case HEADER -> {
                 if (text.isEmpty()) {
-                    headDone();
+                    onHeadComplete();
                 } else {
                     header(text);
                 }
             }
             case CHUNK_SIZE -> {
                 int semicolon = text.indexOf(';');
-                wanted = length((semicolon < 0 ? text : text.substring(0, semicolon)).trim(), 16);
-                if (wanted + (long) bodyAt > bodyBytes) {
-                    throw new Malformed("body over " + bodyBytes + " bytes");
+                remaining = length((semicolon < 0 ? text : text.substring(0, semicolon)).trim(), 16);
+                if (remaining + (long) bodyLength > maxBodyBytes) {
+                    throw new Malformed("body over " + maxBodyBytes + " bytes");
                 }
                 headLength = 0;
-                at = wanted == 0 ? At.TRAILER : At.CHUNK;
+                state = remaining == 0 ? State.TRAILER : State.CHUNK;
             }
             case CHUNK_END -> {
                 if (!text.isEmpty()) {
                     throw new Malformed("chunk longer than its size");
                 }
-                at = At.CHUNK_SIZE;
+                state = State.CHUNK_SIZE;
             }
             case TRAILER -> {
                 if (text.isEmpty()) {
-                    emit(java.util.Arrays.copyOf(body, bodyAt));
+                    emit(Arrays.copyOf(body, bodyLength));
                 }
             }
-            default -> throw new IllegalStateException(at.name());
+            default -> throw new IllegalStateException(state.name());
         }
     }
 
     private void startLine(String text) {
-        int a = text.indexOf(' ');
-        int b = text.indexOf(' ', a + 1);
-        if (a <= 0) {
-            throw new Malformed("start line without parts");
+        int firstSpace = text.indexOf(' ');
+        int secondSpace = text.indexOf(' ', firstSpace + 1);
+        if (firstSpace <= 0) {
+            throw new Malformed("start line without spaces");
         }
         if (requests) {
-            if (b < 0 || !text.startsWith("HTTP/1.", b + 1)) {
+            if (secondSpace < 0 || !text.startsWith("HTTP/1.", secondSpace + 1)) {
                 throw new Malformed("not an HTTP/1 request");
             }
-            first = text.substring(0, a);
-            second = text.substring(a + 1, b);
+            first = text.substring(0, firstSpace);
+            second = text.substring(firstSpace + 1, secondSpace);
         } else {
             if (!text.startsWith("HTTP/1.")) {
-                throw new Malformed("not an HTTP/1 answer");
+                throw new Malformed("not an HTTP/1 response");
             }
-            first = b < 0 ? text.substring(a + 1) : text.substring(a + 1, b);
-            second = b < 0 ? "" : text.substring(b + 1);
+            first = secondSpace < 0 ? text.substring(firstSpace + 1) : text.substring(firstSpace + 1, secondSpace);
+            second = secondSpace < 0 ? "" : text.substring(secondSpace + 1);
             if (first.length() != 3) {
                 throw new Malformed("status code " + first);
             }
@@ -197,12 +221,12 @@
         }
         String name = text.substring(0, colon).toLowerCase(Locale.ROOT);
         String value = text.substring(colon + 1).trim();
-        String before = headers.put(name, value);
-        if (before != null && name.equals("content-length") && !before.equals(value)) {
-            throw new Malformed("two lengths");
+        String previous = headers.put(name, value);
+        if (previous != null && name.equals("content-length") && !previous.equals(value)) {
+            throw new Malformed("two different content-length headers");
         }
-        if (headers.size() > HEADERS) {
-            throw new Malformed("over " + HEADERS + " headers");
+        if (headers.size() > MAX_HEADERS) {
+            throw new Malformed("over " + MAX_HEADERS + " headers");
         }
     }
 
@@ -210,85 +234,85 @@
         try {
             int length = Integer.parseInt(text, radix);
             if (length < 0 || text.startsWith("+")) {
-                throw new Malformed("length " + text);
+                throw new Malformed("invalid length " + text);
             }
             return length;
         } catch (NumberFormatException wrong) {
-            throw new Malformed("length " + text);
+            throw new Malformed("invalid length " + text);
         }
     }
 
-    private void headDone() {
+    private void onHeadComplete() {
         headLength = 0;
         String coding = headers.getOrDefault("transfer-encoding", "");
         String length = headers.get("content-length");
         if (!coding.isEmpty()) {
             if (!coding.equalsIgnoreCase("chunked") || length != null) {
-                throw new Malformed("transfer-encoding " + coding);
+                throw new Malformed("unsupported transfer-encoding " + coding);
             }
-            at = At.CHUNK_SIZE;
+            state = State.CHUNK_SIZE;
             return;
         }
         if (length != null) {
-            wanted = length(length, 10);
-            if (wanted > bodyBytes) {
-                throw new Malformed("body over " + bodyBytes + " bytes");
+            remaining = length(length, 10);
+            if (remaining > maxBodyBytes) {
+                throw new Malformed("body over " + maxBodyBytes + " bytes");
             }
-            body = new byte[pieces == null ? wanted : 0];
-            at = At.BODY;
-            if (wanted == 0) {
+            body = new byte[bodyPieces == null ? remaining : 0];
+            state = State.BODY;
+            if (remaining == 0) {
                 emit(body);
             }
             return;
         }
-        boolean none = requests || first.startsWith("1") || first.equals("204") || first.equals("304");
-        if (none) {
+        boolean bodyless = requests || first.startsWith("1") || first.equals("204") || first.equals("304");
+        if (bodyless) {
             emit(new byte[0]);
         } else {
-            at = At.TO_CLOSE;
+            state = State.TO_CLOSE;
         }
     }
 
-    private void takeBody(ByteBuffer in) {
-        int some = at == At.TO_CLOSE ? in.remaining() : Math.min(in.remaining(), wanted);
-        if (pieces != null) {
+    private void readBody(ByteBuffer in) {
+        int count = state == State.TO_CLOSE ? in.remaining() : Math.min(in.remaining(), remaining);
+        if (bodyPieces != null) {
             if (!first.startsWith("2")) {
                 throw new Malformed("status " + first + " " + second);
             }
-            pieces.accept(in.slice(in.position(), some));
-            in.position(in.position() + some);
-            wanted -= some;
-            bodyDone();
+            bodyPieces.accept(in.slice(in.position(), count));
+            in.position(in.position() + count);
+            remaining -= count;
+            checkBodyComplete();
             return;
         }
-        if (at != At.BODY) {
-            if ((long) bodyAt + some > bodyBytes) {
-                throw new Malformed("body over " + bodyBytes + " bytes");
+        if (state != State.BODY) {
+            if ((long) bodyLength + count > maxBodyBytes) {
+                throw new Malformed("body over " + maxBodyBytes + " bytes");
             }
-            if (body.length < bodyAt + some) {
-                body = java.util.Arrays.copyOf(body, Math.max(bodyAt + some, body.length * 2));
+            if (body.length < bodyLength + count) {
+                body = Arrays.copyOf(body, Math.max(bodyLength + count, body.length * 2));
             }
         }
-        in.get(body, bodyAt, some);
-        bodyAt += some;
-        wanted -= some;
-        bodyDone();
+        in.get(body, bodyLength, count);
+        bodyLength += count;
+        remaining -= count;
+        checkBodyComplete();
     }
 
-    private void bodyDone() {
-        if (at == At.BODY && wanted == 0) {
+    private void checkBodyComplete() {
+        if (state == State.BODY && remaining == 0) {
             emit(body);
-        } else if (at == At.CHUNK && wanted == 0) {
-            at = At.CHUNK_END;
+        } else if (state == State.CHUNK && remaining == 0) {
+            state = State.CHUNK_END;
         }
     }
 
-    private void emit(byte[] whole) {
-        Message message = new Message(first, second, headers, whole);
+    private void emit(byte[] completeBody) {
+        Message message = new Message(first, second, headers, completeBody);
         headers = new LinkedHashMap<>();
         body = new byte[0];
-        bodyAt = headLength = 0;
-        at = At.START;
-        out.accept(message);
+        bodyLength = headLength = 0;
+        state = State.START;
+        messages.accept(message);
     }
 }
--- a/src/main/java/puffinbarrow/net/Link.java
+++ b/src/main/java/puffinbarrow/net/Link.java
@@ -5,67 +5,90 @@
 import java.nio.channels.AsynchronousSocketChannel;
 import java.nio.channels.CompletionHandler;
 import java.util.ArrayDeque;
+import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * One stream over an asynchronous channel. Reads are handed to the receiver on a thread of the channel group, one
- * at a time and in order; writes may come from any thread, are sent in order, and wait in a queue that is bounded in
- * bytes: a write that does not fit closes the link with {@link Cause#SLOW_READER}, since a peer that reads
- * nothing must cost its sender no more than that. The receiver hears of the end exactly once.
+ * One TCP connection over an asynchronous channel. Received bytes are passed to the receiver on a thread of the channel
+ * group, one read at a time and in order. Any thread may send; buffers are written in order from a queue that is bounded
+ * in bytes. A buffer that does not fit closes the link with {@link Cause#SLOW_READER}, which bounds the memory that a
+ * peer that reads nothing can cost. The receiver is told of the end exactly once.
  */
 public final class Link {
     /** Why a link ended. */
     public enum Cause {
         PEER_CLOSED,
         CLOSED_HERE,
+        /** A read or write failed. */
         BROKEN,
+        /** The send queue was full. */
         SLOW_READER,
+        /** The receiver refused what the peer sent. */
         BAD_INPUT
     }
 
-    /** Takes what came. The buffer is read up to its limit and is not kept. */
+    /** Handles the events of a link, on threads of the channel group. */
     public interface Receiver {
-        /** Before anything is read: a peer that never says a word can be closed too. */
+        /** Called before the first read, so that a peer that never sends anything can be closed too. */
         default void opened(Link link) {}
 
+        /** Handles the bytes of one read, all of them; the buffer is reused after the call. */
         void received(Link link, ByteBuffer bytes);
 
+        /** Called once, when the link has ended. */
         void ended(Link link, Cause cause, String detail);
     }
 
-    /** Large enough for most turns of a hundred lines in one read. */
-    private static final int READ_BYTES = 16 * 1024;
-    /** An answer of a flow; a link that carries more grows its buffer, so that idle ones stay small. */
-    private static final int FIRST_READ_BYTES = 1024;
+    /** Largest read buffer: most orders frames of a hundred lines fit into one read. */
+    private static final int MAX_READ_BYTES = 16 * 1024;
+    /**
+     * Initial read buffer: holds the response to one flow. A link whose reads fill it gets a larger one, so that idle
+     * links stay small.
+     */
+    private static final int INITIAL_READ_BYTES = 1024;
+
+    /** Buffers handed to one gathering write. */
+    private static final int BUFFERS_PER_WRITE = 16;
 
     private final AsynchronousSocketChannel channel;
     private final Receiver receiver;
+    /** The most bytes that may wait in {@link #queue}. */
     private final long queueBytes;
-    private ByteBuffer in = ByteBuffer.allocate(FIRST_READ_BYTES);
+
+    private ByteBuffer in = ByteBuffer.allocate(INITIAL_READ_BYTES);
+    /** Buffers not fully written yet, oldest first; it is also the lock for the state of reading and writing. */
     private final ArrayDeque<ByteBuffer> queue = new ArrayDeque<>();
+    /** Why the link ended; null while it is open. */
     private final AtomicReference<Cause> end = new AtomicReference<>();
+    /** Bytes in {@link #queue}. */
     private long queued;
+
     private boolean writing;
     private boolean closeWhenSent;
-    /** While true nothing more is read; the peer's bytes wait in the kernel. */
+    /** While true no read is started; the peer's bytes wait in the kernel. */
     private volatile boolean paused;
-
+    /** Whether a read is due as soon as reading is resumed. */
     private boolean readPending;
-    /** Whether the last read took all the room there was. */
+    /** Whether the last read filled the buffer. */
     private boolean filled;
 
+    /** @param queueBytes the most bytes that may wait to be written */
     public Link(AsynchronousSocketChannel channel, Receiver receiver, long queueBytes) {
         this.channel = channel;
         this.receiver = receiver;
         this.queueBytes = queueBytes;
     }
 
+    /** Tells the receiver that the link is open, and starts to read. */
     public void start() {
         receiver.opened(this);
         read();
     }
 
-    /** Stops or resumes reading: how tests and stand-ins play a peer that reads nothing. */
+    /**
+     * Pauses or resumes reading: backpressure while the decision inbox is full, and a way for tests and stand-ins to act
+     * as a peer that does not read.
+     */
     public void pauseReading(boolean on) {
         boolean resume;
         synchronized (queue) {
@@ -89,7 +112,7 @@
             return;
         }
         in.clear();
-        if (filled && in.capacity() < READ_BYTES) {
+        if (filled && in.capacity() < MAX_READ_BYTES) {
             in = ByteBuffer.allocate(in.capacity() * 4);
         }
         try {
@@ -104,8 +127,8 @@
                     in.flip();
                     try {
                         receiver.received(Link.this, in);
-                    } catch (RuntimeException wrong) {
-                        finish(Cause.BAD_INPUT, String.valueOf(wrong.getMessage()));
+                    } catch (RuntimeException refused) {
+                        finish(Cause.BAD_INPUT, String.valueOf(refused.getMessage()));
                         return;
                     }
                     read();
@@ -121,7 +144,7 @@
         }
     }
 
-    /** Queues the bytes, which the caller gives away; false if the link has ended or the queue was full. */
+    /** Queues the bytes, whose buffer now belongs to the link; returns false if the link has ended or the queue is full. */
     public boolean send(ByteBuffer bytes) {
         boolean full = false;
         synchronized (queue) {
@@ -140,13 +163,14 @@
             }
         }
         if (full) {
-            finish(Cause.SLOW_READER, "over " + queueBytes + " bytes unread");
+            finish(Cause.SLOW_READER, "over " + queueBytes + " bytes waiting to be sent");
             return false;
         }
         write();
         return true;
     }
 
+    /** Returns how many bytes wait to be written. */
     public long queuedBytes() {
         synchronized (queue) {
             return queued;
@@ -154,60 +178,53 @@
     }
 
     private void write() {
-        ByteBuffer[] some;
+        ByteBuffer[] batch;
         synchronized (queue) {
-            some = queue.stream().limit(16).toArray(ByteBuffer[]::new);
+            batch = queue.stream().limit(BUFFERS_PER_WRITE).toArray(ByteBuffer[]::new);
         }
         try {
-            channel.write(
-                    some,
-                    0,
-                    some.length,
-                    0,
-                    java.util.concurrent.TimeUnit.MILLISECONDS,
-                    null,
-                    new CompletionHandler<Long, Void>() {
-                        @Override
-                        public void completed(Long count, Void none) {
-                            boolean more;
-                            boolean last;
-                            synchronized (queue) {
-                                queued -= count;
-                                while (!queue.isEmpty() && !queue.peekFirst().hasRemaining()) {
-                                    queue.pollFirst();
-                                }
-                                more = !queue.isEmpty();
-                                writing = more;
-                                last = !more && closeWhenSent;
-                            }
-                            if (more) {
-                                write();
-                            } else if (last) {
-                                finish(Cause.CLOSED_HERE, "");
-                            }
+            channel.write(batch, 0, batch.length, 0, TimeUnit.MILLISECONDS, null, new CompletionHandler<Long, Void>() {
+                @Override
+                public void completed(Long count, Void none) {
+                    boolean more;
+                    boolean last;
+                    synchronized (queue) {
+                        queued -= count;
+                        while (!queue.isEmpty() && !queue.peekFirst().hasRemaining()) {
+                            queue.pollFirst();
                         }
+                        more = !queue.isEmpty();
+                        writing = more;
+                        last = !more && closeWhenSent;
+                    }
+                    if (more) {
+                        write();
+                    } else if (last) {
+                        finish(Cause.CLOSED_HERE, "");
+                    }
+                }
 
-                        @Override
-                        public void failed(Throwable failure, Void none) {
-                            finish(Cause.BROKEN, String.valueOf(failure.getMessage()));
-                        }
-                    });
+                @Override
+                public void failed(Throwable failure, Void none) {
+                    finish(Cause.BROKEN, String.valueOf(failure.getMessage()));
+                }
+            });
         } catch (RuntimeException closed) {
             finish(Cause.BROKEN, String.valueOf(closed.getMessage()));
         }
     }
 
-    /** Closes at once; what waits is lost. */
+    /** Closes at once; bytes still queued are discarded. */
     public void close() {
         finish(Cause.CLOSED_HERE, "");
     }
 
-    /** Closes for a stated cause, which the receiver hears. */
+    /** Closes at once, with a cause and detail for the receiver. */
     public void close(Cause cause, String detail) {
         finish(cause, detail);
     }
 
-    /** Closes once all that is queued has been handed to the system. */
+    /** Accepts no more bytes, and closes once all queued bytes have been passed to the operating system. */
     public void closeWhenSent() {
         boolean now;
         synchronized (queue) {
@@ -230,7 +247,7 @@
         try {
             channel.close();
         } catch (IOException ignored) {
-            // Nothing to mend: the system gives the handle back either way.
+            // Nothing to do: the operating system frees the handle in any case.
         }
         synchronized (queue) {
             queue.clear();
--- a/src/main/java/puffinbarrow/net/Net.java
+++ b/src/main/java/puffinbarrow/net/Net.java
@@ -8,6 +8,7 @@
 import java.nio.channels.AsynchronousSocketChannel;
 import java.nio.channels.CompletionHandler;
 import java.util.concurrent.Executors;
+import java.util.concurrent.RejectedExecutionException;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.ThreadFactory;
 import java.util.concurrent.TimeUnit;
@@ -16,22 +17,31 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 
-/** The channel group and timer that links share. Few threads serve any number of links; none may block in them. */
+/**
+ * The channel group and the timer that all links of a process part share. A few threads serve any number of links, so
+ * callbacks on them must not block.
+ */
 public final class Net implements AutoCloseable {
+    /** Connections that may wait in the kernel to be accepted. */
+    private static final int ACCEPT_BACKLOG = 1024;
+    /** Pause before accepting is tried again after a failure. */
+    private static final long ACCEPT_RETRY_MS = 100;
+
     private final AsynchronousChannelGroup group;
     private final ScheduledExecutorService timer;
 
+    /** @param name prefix of the thread names */
     public Net(String name, int threads) throws IOException {
         group = AsynchronousChannelGroup.withFixedThreadPool(threads, daemons(name + "-io-"));
         timer = Executors.newSingleThreadScheduledExecutor(daemons(name + "-timer-"));
     }
 
-    /** As settings and ids write it. */
+    /** Formats an address as ADDRESS:PORT, as settings and server ids have it. */
     public static String text(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    /** The inverse of {@link #text}; an IllegalArgumentException for what is no ADDRESS:PORT. */
+    /** Parses ADDRESS:PORT, the inverse of {@link #text}; throws IllegalArgumentException if the text is anything else. */
     public static InetSocketAddress address(String text) {
         int colon = text.lastIndexOf(':');
         if (colon < 0) {
@@ -40,6 +50,7 @@
         return new InetSocketAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
     }
 
+    /** Returns a factory of daemon threads, named with the prefix and a running number. */
     public static ThreadFactory daemons(String prefix) {
         AtomicInteger count = new AtomicInteger();
         return work -> {
@@ -53,21 +64,21 @@
         return timer;
     }
 
-    /** A listening socket. */
+    /** A bound server socket. */
     public static final class Listener implements AutoCloseable {
         private final AsynchronousServerSocketChannel channel;
         private final InetSocketAddress address;
-        private final Runnable accepting;
+        private final Runnable startAccepting;
 
-        private Listener(AsynchronousServerSocketChannel channel, Runnable accepting) throws IOException {
+        private Listener(AsynchronousServerSocketChannel channel, Runnable startAccepting) throws IOException {
             this.channel = channel;
             this.address = (InetSocketAddress) channel.getLocalAddress();
-            this.accepting = accepting;
+            this.startAccepting = startAccepting;
         }
 
-        /** Once: whoever connected since it was bound has waited in the system's queue. */
+        /** Starts to accept; to be called once. Connections made since the bind wait in the kernel's backlog. */
         public void accept() {
-            accepting.run();
+            startAccepting.run();
         }
 
         public InetSocketAddress address() {
@@ -79,12 +90,12 @@
             try {
                 channel.close();
             } catch (IOException ignored) {
-                // The handle is given back either way.
+                // The operating system frees the handle in any case.
             }
         }
     }
 
-    /** Listens; each stream that comes gets the receiver that is made for it. */
+    /** Binds and accepts at once; {@code receivers} makes the receiver of each new connection. */
     public Listener listen(
             InetSocketAddress at, long queueBytes, Function<AsynchronousSocketChannel, Link.Receiver> receivers)
             throws IOException {
@@ -93,13 +104,13 @@
         return listener;
     }
 
-    /** Takes the address; nobody is answered before {@link Listener#accept}. */
+    /** Binds the address; no connection is served before {@link Listener#accept}. */
     public Listener bind(
             InetSocketAddress at, long queueBytes, Function<AsynchronousSocketChannel, Link.Receiver> receivers)
             throws IOException {
         AsynchronousServerSocketChannel server = AsynchronousServerSocketChannel.open(group);
         server.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-        server.bind(at, 1024);
+        server.bind(at, ACCEPT_BACKLOG);
         return new Listener(server, () -> accept(server, queueBytes, receivers));
     }
 
@@ -114,7 +125,7 @@
                     try {
                         server.accept(null, this);
                     } catch (RuntimeException closed) {
-                        // Closed between the check and the call: no more streams are wanted.
+                        // The listener was closed between the check and the call.
                     }
                 }
                 noDelay(channel);
@@ -123,9 +134,9 @@
 
             @Override
             public void failed(Throwable failure, Void none) {
-                // Out of handles, say: streams already open go on, and accepting is tried again a little later.
+                // For example, no file handles are left: open connections continue, and accepting is retried later.
                 if (server.isOpen()) {
-                    schedule(100, () -> accept(server, queueBytes, receivers));
+                    schedule(ACCEPT_RETRY_MS, () -> accept(server, queueBytes, receivers));
                 }
             }
         });
@@ -135,21 +146,25 @@
         try {
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
         } catch (IOException ignored) {
-            // An option only; the link shows by itself if the stream is gone.
+            // Only an optimization; a broken connection shows at its first read or write.
         }
     }
 
+    /** Runs the task on the timer thread after the delay; does nothing once this is closed. */
     public void schedule(long afterMs, Runnable work) {
         if (!timer.isShutdown()) {
             try {
                 timer.schedule(work, afterMs, TimeUnit.MILLISECONDS);
-            } catch (java.util.concurrent.RejectedExecutionException closing) {
-                // The timer was shut down in between: its owner is closing.
+            } catch (RejectedExecutionException closing) {
+                // The timer was shut down since the check, as this is being closed.
             }
         }
     }
 
-    /** Dials and gives up after that long: a far end that vanished says nothing, and would hold the handle. */
+    /**
+     * Connects with a timeout in milliseconds; exactly one of the two callbacks is called. Without the timeout a host that
+     * disappeared would hold the file handle, as it never answers.
+     */
     public void dial(
             InetSocketAddress to,
             Link.Receiver receiver,
@@ -172,13 +187,16 @@
                 try {
                     channel.close();
                 } catch (IOException ignored) {
-                    // Its handler hears of the end either way.
+                    // The completion handler is told of the failure in any case.
                 }
             }
         });
     }
 
-    /** Dials; one of the two is called on a thread of the group. The channel is null if none could be opened. */
+    /**
+     * Connects. One of the two callbacks is called: {@code up} on a thread of the group before the first read, or {@code
+     * failed}. Returns the channel, or null if none could be opened.
+     */
     public AsynchronousSocketChannel dial(
             InetSocketAddress to,
             Link.Receiver receiver,
@@ -188,8 +206,8 @@
         AsynchronousSocketChannel channel;
         try {
             channel = AsynchronousSocketChannel.open(group);
-        } catch (IOException | RuntimeException full) {
-            failed.accept(full);
+        } catch (IOException | RuntimeException unopened) {
+            failed.accept(unopened);
             return null;
         }
         channel.connect(to, null, new CompletionHandler<Void, Void>() {
@@ -206,7 +224,7 @@
                 try {
                     channel.close();
                 } catch (IOException ignored) {
-                    // Never was open.
+                    // The channel was never connected.
                 }
                 failed.accept(failure);
             }
@@ -220,7 +238,7 @@
         try {
             group.shutdownNow();
         } catch (IOException ignored) {
-            // The group's threads end with the process at the latest.
+            // The group's daemon threads end with the process at the latest.
         }
     }
 }
--- a/src/main/java/puffinbarrow/proto/FrameException.java
+++ b/src/main/java/puffinbarrow/proto/FrameException.java
@@ -1,10 +1,10 @@
 package puffinbarrow.proto;
 
-/** A frame that cannot be read. The cause names its counter; the stream it came on ends. */
+/** A frame that cannot be decoded. The connection it came on is refused, and a counter named by the cause goes up. */
 public final class FrameException extends RuntimeException {
     private static final long serialVersionUID = 1;
 
-    /** One counter each. */
+    /** What was wrong; each cause is a label value of the counter {@code frames.refused}. */
     public enum Cause {
         OVERSIZED,
         CHECKSUM,
--- a/src/main/java/puffinbarrow/proto/FrameReader.java
+++ b/src/main/java/puffinbarrow/proto/FrameReader.java
@@ -15,70 +15,83 @@
 import puffinbarrow.proto.FrameException.Cause;
 
 /**
- * Reads frames from whatever bytes came, split anywhere. It never trusts a length: a frame over the limit ends the
- * stream before any of it is kept, counts within a frame are checked against the bytes that are there. Any frame that
- * cannot be read throws {@link FrameException}; after that the reader must not be fed again. Server ids are kept once
- * each, so a line read costs its record only. Not thread-safe: one for each link.
+ * Decodes frames from bytes that arrive in pieces of any size. Lengths are never trusted: a frame over the limit is
+ * refused before any of it is buffered, and counts within a frame are checked against the bytes present. A frame that
+ * cannot be decoded throws {@link FrameException}; after that the reader must not be fed again. Server ids are cached, so
+ * that decoding a line allocates only its record. Not thread-safe: each link has its own.
  */
 public final class FrameReader {
-    /** The longest payload unless the settings say otherwise: a whole list of 10,000 servers fits. */
+    /** Default limit for a frame's body in bytes: a whole list of 10,000 servers fits. */
     public static final int USUAL_LIMIT = 1 << 20;
 
-    /** Takes the lines of an orders frame without a record for each; see {@link #lines}. */
+    private static final int INITIAL_BUFFER_BYTES = 4096;
+    /** The longest text of a peer message, in bytes of UTF-8. */
+    private static final int MAX_PEER_MESSAGE_BYTES = 256;
+
+    /** Receives the parts of an orders frame without a record for each line; see {@link #lines}. */
     public interface Lines {
+        /** One {@link Order.SetLine}. */
         void line(int table, String server, double weight);
 
+        /** Any other order. */
         void other(Order order);
     }
 
+    /** The longest body in bytes. */
     private final int limit;
+
     private final Consumer<Frame> out;
     private final CRC32C crc = new CRC32C();
-    private final Names names = new Names();
-    private ByteBuffer kept = ByteBuffer.allocate(4096);
+    private final TextCache texts = new TextCache();
+    /** The beginning of a frame whose end has not arrived. */
+    private ByteBuffer partial = ByteBuffer.allocate(INITIAL_BUFFER_BYTES);
+
     private boolean midFrame;
 
+    /** @param limit the longest frame body accepted, in bytes; {@code out} receives each frame */
     public FrameReader(int limit, Consumer<Frame> out) {
         this.limit = limit;
         this.out = out;
     }
 
-    /** Whether the bytes so far end within a frame. */
+    /** Returns whether the bytes fed so far end within a frame. */
     public boolean midFrame() {
         return midFrame;
     }
 
+    /** Decodes all bytes of the buffer and passes on each complete frame. */
     public void feed(ByteBuffer in) {
-        if (kept.position() == 0) {
-            // Nothing waits: frames that came whole are read where they lie.
-            while (in.remaining() >= FrameWriter.HEADER && in.remaining() >= FrameWriter.HEADER + length(in)) {
-                one(in);
+        if (partial.position() == 0) {
+            // No partial frame is buffered, so complete frames are decoded in place.
+            while (in.remaining() >= FrameWriter.HEADER && in.remaining() >= FrameWriter.HEADER + bodyLength(in)) {
+                decode(in);
             }
         }
         while (in.hasRemaining()) {
-            int need = kept.position() < FrameWriter.HEADER
+            int need = partial.position() < FrameWriter.HEADER
                     ? FrameWriter.HEADER
-                    : FrameWriter.HEADER + checked(kept.getInt(0));
-            ensure(need);
-            int some = Math.min(in.remaining(), need - kept.position());
-            int before = in.limit();
-            in.limit(in.position() + some);
-            kept.put(in);
-            in.limit(before);
-            if (kept.position() >= FrameWriter.HEADER
-                    && kept.position() == FrameWriter.HEADER + checked(kept.getInt(0))) {
-                kept.flip();
-                one(kept);
-                kept.clear();
+                    : FrameWriter.HEADER + checked(partial.getInt(0));
+            ensureCapacity(need);
+            int count = Math.min(in.remaining(), need - partial.position());
+            int limitBefore = in.limit();
+            in.limit(in.position() + count);
+            partial.put(in);
+            in.limit(limitBefore);
+            if (partial.position() >= FrameWriter.HEADER
+                    && partial.position() == FrameWriter.HEADER + checked(partial.getInt(0))) {
+                partial.flip();
+                decode(partial);
+                partial.clear();
             }
         }
-        midFrame = kept.position() > 0;
+        midFrame = partial.position() > 0;
     }
 
-    private int length(ByteBuffer in) {
+    private int bodyLength(ByteBuffer in) {
         return checked(in.getInt(in.position()));
     }
 
+    /** Returns the length of a frame's body, if it is within the limit. */
     private int checked(int length) {
         if (length < 0 || length > limit) {
             throw new FrameException(
@@ -88,24 +101,24 @@
         return length;
     }
 
-    private void ensure(int bytes) {
-        if (kept.capacity() < bytes) {
+    private void ensureCapacity(int bytes) {
+        if (partial.capacity() < bytes) {
             ByteBuffer larger =
-                    ByteBuffer.allocate(Math.min(FrameWriter.HEADER + limit, Math.max(bytes, kept.capacity() * 2)));
-            kept.flip();
-            larger.put(kept);
-            kept = larger;
+                    ByteBuffer.allocate(Math.min(FrameWriter.HEADER + limit, Math.max(bytes, partial.capacity() * 2)));
+            partial.flip();
+            larger.put(partial);
+            partial = larger;
         }
     }
 
-    /** Reads one whole frame and leaves the cursor behind it. */
-    private void one(ByteBuffer in) {
+    /** Decodes the complete frame at the buffer's position and moves the position behind it. */
+    private void decode(ByteBuffer in) {
         int start = in.position();
         int length = in.getInt();
         int type = in.get() & 0xff;
         int major = in.get() & 0xff;
         int flags = in.getShort() & 0xffff;
-        int stated = in.getInt();
+        int statedChecksum = in.getInt();
         int limitBefore = in.limit();
         int end = start + FrameWriter.HEADER + length;
         in.limit(end);
@@ -117,7 +130,7 @@
             crc.update(in.slice(start, 8));
             crc.update(in.slice(start + FrameWriter.HEADER, length));
         }
-        if ((int) crc.getValue() != stated) {
+        if ((int) crc.getValue() != statedChecksum) {
             throw new FrameException(Cause.CHECKSUM, "checksum of a frame of type " + type);
         }
         if (major != Frame.MAJOR) {
@@ -126,13 +139,13 @@
         Frame frame;
         try {
             frame = body(type, in);
-        } catch (BufferUnderflowException | IndexOutOfBoundsException | CharacterCodingException cut) {
+        } catch (BufferUnderflowException | IndexOutOfBoundsException | CharacterCodingException truncated) {
             throw new FrameException(Cause.MALFORMED, "a frame of type " + type + " ends within a field");
         }
-        if (frame == null && (flags & Types.OPTIONAL) == 0) {
+        if (frame == null && (flags & FrameTypes.FLAG_OPTIONAL) == 0) {
             throw new FrameException(Cause.UNKNOWN_TYPE, "unknown frame type " + type);
         }
-        // What a newer minor version adds stands behind the fields known here and is passed over.
+        // Fields added by a newer minor version follow the ones known here and are skipped.
         in.limit(limitBefore);
         in.position(end);
         if (frame != null) {
@@ -140,9 +153,10 @@
         }
     }
 
+    /** Decodes a frame's body, the frequent types first; null for an unknown type. */
     private Frame body(int type, ByteBuffer in) throws CharacterCodingException {
         switch (type) {
-            case Types.ORDERS: {
+            case FrameTypes.ORDERS: {
                 long turn = in.getLong();
                 long at = in.getLong();
                 int carried = in.getInt();
@@ -156,15 +170,15 @@
                 }
                 List<Frame.Term> terms = List.of();
                 if (in.hasRemaining()) {
-                    int fenced = count(in, 12);
-                    terms = new ArrayList<>(fenced);
-                    for (int i = 0; i < fenced; i++) {
-                        terms.add(new Frame.Term(in.getInt(), positive(in.getLong(), "term")));
+                    int termCount = count(in, 12);
+                    terms = new ArrayList<>(termCount);
+                    for (int i = 0; i < termCount; i++) {
+                        terms.add(new Frame.Term(in.getInt(), notNegative(in.getLong(), "term")));
                     }
                 }
                 return new Frame.Orders(turn, at, carried, orders, terms);
             }
-            case Types.SUMS: {
+            case FrameTypes.SUMS: {
                 int zone = in.getInt();
                 long round = in.getLong();
                 long span = in.getLong();
@@ -182,7 +196,7 @@
                 }
                 return new Frame.Sums(zone, round, span, met);
             }
-            case Types.DEMAND: {
+            case FrameTypes.DEMAND: {
                 long round = in.getLong();
                 long span = in.getLong();
                 int count = count(in, 21);
@@ -196,20 +210,21 @@
                 }
                 return new Frame.Demand(round, span, came);
             }
-            case Types.APPLIED:
+            case FrameTypes.APPLIED:
                 return new Frame.Applied(in.getInt(), in.getLong());
-            case Types.PING:
+            case FrameTypes.PING:
                 return new Frame.Ping(in.getLong());
-            case Types.PONG:
+            case FrameTypes.PONG:
                 return new Frame.Pong(in.getLong());
             default:
-                return rare(type, in);
+                return rareBody(type, in);
         }
     }
 
-    private Frame rare(int type, ByteBuffer in) throws CharacterCodingException {
+    /** Decodes the frame types that are not sent in every round; null for an unknown type. */
+    private Frame rareBody(int type, ByteBuffer in) throws CharacterCodingException {
         switch (type) {
-            case Types.HELLO: {
+            case FrameTypes.HELLO: {
                 if (in.getInt() != Frame.MAGIC) {
                     throw malformed("hello without the magic number");
                 }
@@ -223,13 +238,13 @@
                         in.get() != 0,
                         finite(in.getDouble()));
             }
-            case Types.WELCOME:
+            case FrameTypes.WELCOME:
                 return new Frame.Welcome(in.get(), in.getInt(), in.getLong());
-            case Types.REFUSAL:
-                return new Frame.Refusal(pick(Frame.Refused.values(), in.get(), "refusal"), text(in));
-            case Types.BYE:
+            case FrameTypes.REFUSAL:
+                return new Frame.Refusal(pick(Frame.RefusalReason.values(), in.get(), "refusal"), text(in));
+            case FrameTypes.BYE:
                 return new Frame.Bye();
-            case Types.LIST: {
+            case FrameTypes.SERVER_LIST: {
                 Event.ListKind kind = pick(Event.ListKind.values(), in.get(), "list kind");
                 long version = in.getLong();
                 int count = count(in, 31);
@@ -246,13 +261,13 @@
                 }
                 return new Frame.ServerList(kind, version, entries);
             }
-            case Types.FOLLOW:
+            case FrameTypes.FOLLOW:
                 return new Frame.Follow(in.get() != 0);
-            case Types.FETCH:
+            case FrameTypes.FETCH:
                 return new Frame.Fetch();
-            case Types.CHARGE:
+            case FrameTypes.CHARGE:
                 return new Frame.Charge(in.getInt(), in.get() != 0);
-            case Types.STORED: {
+            case FrameTypes.STORED: {
                 int slice = in.getInt();
                 int count = count(in, 10);
                 List<Frame.Line> lines = new ArrayList<>(count);
@@ -261,23 +276,23 @@
                 }
                 return new Frame.Stored(slice, lines);
             }
-            case Types.READ_SLICE:
+            case FrameTypes.READ_SLICE:
                 return new Frame.ReadSlice(in.getInt());
-            case Types.OWNER:
+            case FrameTypes.OWNER:
                 return new Frame.Owner(
-                        in.getInt(), in.getInt(), in.hasRemaining() ? positive(in.getLong(), "term") : 0);
-            case Types.STALE:
-                return new Frame.Stale(in.getInt(), positive(in.getLong(), "term"));
-            case Types.WATCH:
+                        in.getInt(), in.getInt(), in.hasRemaining() ? notNegative(in.getLong(), "term") : 0);
+            case FrameTypes.STALE:
+                return new Frame.Stale(in.getInt(), notNegative(in.getLong(), "term"));
+            case FrameTypes.WATCH:
                 return new Frame.Watch();
-            case Types.SYNCED:
+            case FrameTypes.SYNCED:
                 return new Frame.Synced();
-            case Types.MEMBER: {
+            case FrameTypes.MEMBER_RECORD: {
                 long id = in.getLong();
                 long revision = in.getLong();
                 int number = in.getInt();
                 long incarnation = in.getLong();
-                long beat = positive(in.getLong(), "beat");
+                long beat = notNegative(in.getLong(), "beat");
                 int flags = in.get();
                 return new Frame.MemberRecord(
                         id,
@@ -290,21 +305,21 @@
                         (flags & 4) != 0,
                         in.getInt());
             }
-            case Types.VOICE:
+            case FrameTypes.VOICE_RECORD:
                 return new Frame.VoiceRecord(
                         in.getLong(),
                         in.getLong(),
                         in.getInt(),
                         in.getInt(),
                         in.getLong(),
-                        positive(in.getLong(), "term"));
-            case Types.WRITTEN:
+                        notNegative(in.getLong(), "term"));
+            case FrameTypes.WRITTEN:
                 return new Frame.Written(in.getLong(), in.get() != 0);
-            case Types.PEER: {
+            case FrameTypes.PEER: {
                 int sender = in.getInt();
                 String text = text(in);
-                // WIRE allows a message of 256 bytes; the text is what two coordinators agreed on.
-                if (text.getBytes(StandardCharsets.UTF_8).length > 256) {
+                // The limit is the interface's own; the content is up to the decisions of the two coordinators.
+                if (text.getBytes(StandardCharsets.UTF_8).length > MAX_PEER_MESSAGE_BYTES) {
                     throw malformed("a peer message over 256 bytes");
                 }
                 return new Frame.Peer(sender, text);
@@ -314,7 +329,7 @@
         }
     }
 
-    private static long positive(long number, String what) {
+    private static long notNegative(long number, String what) {
         if (number < 0) {
             throw malformed("a negative " + what);
         }
@@ -324,37 +339,37 @@
     private Order order(ByteBuffer in) throws CharacterCodingException {
         byte kind = in.get();
         switch (kind) {
-            case Types.LINE:
+            case FrameTypes.ORDER_SET_LINE:
                 return new Order.SetLine(in.getInt(), text(in), weight(in.getDouble()));
-            case Types.CLEAR:
+            case FrameTypes.ORDER_CLEAR_TABLE:
                 return new Order.ClearTable(in.getInt());
-            case Types.BIND:
+            case FrameTypes.ORDER_BIND:
                 return new Order.Bind(in.getInt(), in.getInt(), in.getInt());
-            case Types.MASK: {
+            case FrameTypes.ORDER_MASK: {
                 boolean on = in.get() != 0;
                 return new Order.Mask(text(in), on);
             }
-            case Types.LEVEL:
+            case FrameTypes.ORDER_SET_LEVEL:
                 return new Order.SetLevel(
                         in.getInt(),
                         in.getInt(),
                         weight(in.getDouble()),
                         pick(Order.Retry.values(), in.get(), "way of trying again"));
-            case Types.MARK:
+            case FrameTypes.ORDER_MARK:
                 return new Order.Mark(in.getInt(), in.get() != 0);
             default:
                 throw malformed("unknown order " + kind);
         }
     }
 
-    /** Walks the lines of one whole orders frame without a record for each line: the fast way for large tables. */
+    /** Decodes one complete orders frame without a record for each line: the fast way to read large tables. */
     public void lines(ByteBuffer frame, Lines to) {
         int at = frame.position() + FrameWriter.HEADER + 20;
         try {
             ByteBuffer in = frame.duplicate().position(at);
             int count = count(in, 2);
             for (int i = 0; i < count; i++) {
-                if (in.get(in.position()) == Types.LINE) {
+                if (in.get(in.position()) == FrameTypes.ORDER_SET_LINE) {
                     in.get();
                     int table = in.getInt();
                     String server = text(in);
@@ -363,11 +378,12 @@
                     to.other(order(in));
                 }
             }
-        } catch (BufferUnderflowException | IndexOutOfBoundsException | CharacterCodingException cut) {
+        } catch (BufferUnderflowException | IndexOutOfBoundsException | CharacterCodingException truncated) {
             throw new FrameException(Cause.MALFORMED, "orders end within a line");
         }
     }
 
+    /** Reads a load report: a bit set of measures, then their values. Measures unknown here are skipped. */
     private static Map<Event.Measure, Double> report(ByteBuffer in) {
         int bits = in.get() & 0xff;
         if (bits == 0) {
@@ -377,15 +393,15 @@
         for (int bit = 0; bit < 8; bit++) {
             if ((bits & 1 << bit) != 0) {
                 double value = finite(in.getDouble());
-                if (bit < Types.MEASURES.length) {
-                    report.put(Types.MEASURES[bit], value);
+                if (bit < FrameTypes.MEASURES.length) {
+                    report.put(FrameTypes.MEASURES[bit], value);
                 }
             }
         }
         return report;
     }
 
-    /** A count of parts that take at least so many bytes each; more than can be there is refused unread. */
+    /** Reads a count of parts, each at least {@code leastBytes} long; refuses more parts than the frame has bytes for. */
     private static int count(ByteBuffer in, int leastBytes) {
         int count = in.getInt();
         if (count < 0 || (long) count * leastBytes > in.remaining()) {
@@ -394,14 +410,16 @@
         return count;
     }
 
+    /** Reads a text: its length in two bytes, then UTF-8. */
     private String text(ByteBuffer in) throws CharacterCodingException {
         int length = in.getShort() & 0xffff;
         if (length > in.remaining()) {
             throw new BufferUnderflowException();
         }
-        return names.read(in, length);
+        return texts.read(in, length);
     }
 
+    /** Returns the enum constant with that ordinal, or refuses the frame. */
     private static <T> T pick(T[] values, int number, String what) {
         if (number < 0 || number >= values.length) {
             throw malformed(what + " " + number);
@@ -416,6 +434,7 @@
         return value;
     }
 
+    /** Refuses a weight that is negative, infinite or not a number. */
     private static double weight(double value) {
         if (!(value >= 0) || Double.isInfinite(value)) {
             throw malformed("a weight of " + value);
--- a/src/main/java/puffinbarrow/proto/FrameWriter.java
+++ b/src/main/java/puffinbarrow/proto/FrameWriter.java
@@ -12,39 +12,44 @@
 import puffinbarrow.control.Order;
 
 /**
- * Writes frames into one growing buffer, which is used again: {@link #bytes} gives a copy that the caller owns,
- * {@link #write} leaves the frame in the buffer. Lines are written without allocation once a server's id has been
- * written before. Not thread-safe: one for each thread.
+ * Encodes frames into a growing buffer that is reused: {@link #bytes} returns a copy that the caller owns, {@link #write}
+ * a view of the buffer. Encoding a line allocates nothing if its server id has been written before. Not thread-safe: each
+ * thread has its own.
  */
 public final class FrameWriter {
+    /** Header length in bytes: body length 4, type 1, major version 1, flags 2, checksum 4. */
     static final int HEADER = 12;
+    /** The header bytes that the checksum covers. */
+    private static final int CHECKED_HEADER = 8;
 
     private Bytes to = new Bytes();
     private final CRC32C crc = new CRC32C();
-    /** Far above the servers of one fleet; a clash costs encoding the text anew. Longer texts are messages, not ids. */
-    private static final int KEPT = 1024;
+    /** A power of two, far above the number of servers of one fleet; a collision only costs encoding the text again. */
+    private static final int CACHE_SLOTS = 1024;
+    /** Longer texts are messages rather than server ids, and are not cached. */
+    private static final int MAX_CACHED_BYTES = 64;
 
-    private static final int LONGEST_KEPT = 64;
-    private final String[] keptTexts;
-    private final byte[][] keptBytes;
+    private final String[] cachedTexts;
+    private final byte[][] cachedBytes;
 
+    /** Creates a writer with a cache for server ids. */
     public FrameWriter() {
-        this(KEPT);
+        this(CACHE_SLOTS);
     }
 
-    private FrameWriter(int kept) {
-        keptTexts = new String[kept];
-        keptBytes = new byte[kept][];
+    private FrameWriter(int cacheSlots) {
+        cachedTexts = new String[cacheSlots];
+        cachedBytes = new byte[cacheSlots][];
     }
 
-    /** One frame where no writer is at hand; keeps nothing. */
+    /** Encodes a single frame with a writer of its own, for callers without one. */
     public static ByteBuffer one(Frame frame) {
         FrameWriter writer = new FrameWriter(1);
         writer.to.bytes = new byte[128];
         return writer.write(frame);
     }
 
-    /** A frame in a buffer of its own, ready to be sent. */
+    /** Encodes a frame into a new buffer, ready to be sent. */
     public ByteBuffer bytes(Frame frame) {
         ByteBuffer written = write(frame);
         ByteBuffer own = ByteBuffer.allocate(written.remaining());
@@ -52,38 +57,39 @@
         return own;
     }
 
-    /** The frame, readable until the next call. */
+    /** Encodes a frame; the returned buffer is valid until the next call. */
     public ByteBuffer write(Frame frame) {
-        to.at = HEADER;
+        to.position = HEADER;
         int type = body(frame);
         return seal(type, 0);
     }
 
-    /** Lays header and checksum around what was written; tests use it to make odd frames. */
+    /** Completes the frame whose body was written with header and checksum; tests call it to make invalid frames. */
     ByteBuffer seal(int type, int flags) {
-        int end = to.at;
-        to.at = 0;
+        int end = to.position;
+        to.position = 0;
         to.putInt(end - HEADER).put((byte) type).put((byte) Frame.MAJOR).putShort((short) flags);
         crc.reset();
-        crc.update(to.bytes, 0, 8);
+        crc.update(to.bytes, 0, CHECKED_HEADER);
         crc.update(to.bytes, HEADER, end - HEADER);
         to.putInt((int) crc.getValue());
-        to.at = end;
+        to.position = end;
         return ByteBuffer.wrap(to.bytes, 0, end);
     }
 
-    /** The frame's body written so far, to be changed by tests before {@link #seal}. */
+    /** Removes bytes from the end of the body written so far and appends others; for tests, before {@link #seal}. */
     void cutAndAdd(int cut, byte... more) {
-        to.at -= cut;
+        to.position -= cut;
         for (byte each : more) {
-            room(1);
+            ensureRoom(1);
             to.put(each);
         }
     }
 
+    /** Writes a frame's body, the frequent types first; returns the type. */
     private int body(Frame frame) {
         if (frame instanceof Frame.Orders f) {
-            room(24);
+            ensureRoom(24);
             to.putLong(f.turn())
                     .putLong(f.orderedAtNs())
                     .putInt(f.carried())
@@ -92,15 +98,15 @@
                 order(f.orders().get(i));
             }
             if (!f.terms().isEmpty()) {
-                room(4 + 12 * f.terms().size());
+                ensureRoom(4 + 12 * f.terms().size());
                 to.putInt(f.terms().size());
                 for (int i = 0; i < f.terms().size(); i++) {
                     to.putInt(f.terms().get(i).slice()).putLong(f.terms().get(i).term());
                 }
             }
-            return Types.ORDERS;
+            return FrameTypes.ORDERS;
         } else if (frame instanceof Frame.Sums f) {
-            room(24);
+            ensureRoom(24);
             to.putInt(f.zone())
                     .putLong(f.round())
                     .putLong(f.spanNs())
@@ -108,13 +114,13 @@
             for (int i = 0; i < f.met().size(); i++) {
                 Frame.Met met = f.met().get(i);
                 text(met.server());
-                room(24);
+                ensureRoom(24);
                 to.putLong(met.tries()).putLong(met.dropped()).putLong(met.tookNs());
                 report(met.report());
             }
-            return Types.SUMS;
+            return FrameTypes.SUMS;
         } else if (frame instanceof Frame.Demand f) {
-            room(20 + 24 * f.came().size());
+            ensureRoom(20 + 24 * f.came().size());
             to.putLong(f.round()).putLong(f.spanNs()).putInt(f.came().size());
             for (int i = 0; i < f.came().size(); i++) {
                 Frame.Came came = f.came().get(i);
@@ -123,25 +129,26 @@
                         .putLong(came.flows())
                         .putLong(came.dropped());
             }
-            return Types.DEMAND;
+            return FrameTypes.DEMAND;
         } else if (frame instanceof Frame.Applied f) {
-            room(12);
+            ensureRoom(12);
             to.putInt(f.mark()).putLong(f.tookNs());
-            return Types.APPLIED;
+            return FrameTypes.APPLIED;
         } else if (frame instanceof Frame.Ping f) {
-            room(8);
+            ensureRoom(8);
             to.putLong(f.number());
-            return Types.PING;
+            return FrameTypes.PING;
         } else if (frame instanceof Frame.Pong f) {
-            room(8);
+            ensureRoom(8);
             to.putLong(f.number());
-            return Types.PONG;
+            return FrameTypes.PONG;
         }
-        return rare(frame);
+        return rareBody(frame);
     }
 
-    private int rare(Frame frame) {
-        room(64);
+    /** Writes the frame types that are not sent in every round; returns the type. */
+    private int rareBody(Frame frame) {
+        ensureRoom(64);
         if (frame instanceof Frame.Hello f) {
             to.putInt(Frame.MAGIC)
                     .put((byte) f.major())
@@ -152,23 +159,23 @@
                     .putLong(f.incarnation())
                     .put(bit(f.fresh()))
                     .putDouble(f.flowsPerS());
-            return Types.HELLO;
+            return FrameTypes.HELLO;
         } else if (frame instanceof Frame.Welcome f) {
             to.put((byte) f.minor()).putInt(f.coordinator()).putLong(f.incarnation());
-            return Types.WELCOME;
+            return FrameTypes.WELCOME;
         } else if (frame instanceof Frame.Refusal f) {
             to.put((byte) f.why().ordinal());
             text(f.text());
-            return Types.REFUSAL;
+            return FrameTypes.REFUSAL;
         } else if (frame instanceof Frame.Bye) {
-            return Types.BYE;
+            return FrameTypes.BYE;
         } else if (frame instanceof Frame.ServerList f) {
             to.put((byte) f.kind().ordinal())
                     .putLong(f.version())
                     .putInt(f.entries().size());
             for (Event.Entry e : f.entries()) {
                 text(e.server());
-                room(32);
+                ensureRoom(32);
                 to.putInt(e.zone())
                         .putInt(e.kind())
                         .putInt(e.cell())
@@ -176,36 +183,36 @@
                         .putDouble(e.size())
                         .putLong(e.startedNs());
             }
-            return Types.LIST;
+            return FrameTypes.SERVER_LIST;
         } else if (frame instanceof Frame.Follow f) {
             to.put(bit(f.on()));
-            return Types.FOLLOW;
+            return FrameTypes.FOLLOW;
         } else if (frame instanceof Frame.Fetch) {
-            return Types.FETCH;
+            return FrameTypes.FETCH;
         } else if (frame instanceof Frame.Charge f) {
             to.putInt(f.slice()).put(bit(f.given()));
-            return Types.CHARGE;
+            return FrameTypes.CHARGE;
         } else if (frame instanceof Frame.Stored f) {
             to.putInt(f.slice()).putInt(f.lines().size());
             for (Frame.Line line : f.lines()) {
                 text(line.server());
-                room(8);
+                ensureRoom(8);
                 to.putDouble(line.weight());
             }
-            return Types.STORED;
+            return FrameTypes.STORED;
         } else if (frame instanceof Frame.ReadSlice f) {
             to.putInt(f.slice());
-            return Types.READ_SLICE;
+            return FrameTypes.READ_SLICE;
         } else if (frame instanceof Frame.Owner f) {
             to.putInt(f.slice()).putInt(f.coordinator()).putLong(f.term());
-            return Types.OWNER;
+            return FrameTypes.OWNER;
         } else if (frame instanceof Frame.Stale f) {
             to.putInt(f.slice()).putLong(f.term());
-            return Types.STALE;
+            return FrameTypes.STALE;
         } else if (frame instanceof Frame.Watch) {
-            return Types.WATCH;
+            return FrameTypes.WATCH;
         } else if (frame instanceof Frame.Synced) {
-            return Types.SYNCED;
+            return FrameTypes.SYNCED;
         } else if (frame instanceof Frame.MemberRecord f) {
             to.putLong(f.id())
                     .putLong(f.revision())
@@ -214,7 +221,7 @@
                     .putLong(f.beat())
                     .put((byte) (bit(f.settled()) | bit(f.leaving()) << 1 | bit(f.dead()) << 2))
                     .putInt(f.flaps());
-            return Types.MEMBER;
+            return FrameTypes.MEMBER_RECORD;
         } else if (frame instanceof Frame.VoiceRecord f) {
             to.putLong(f.id())
                     .putLong(f.revision())
@@ -222,58 +229,60 @@
                     .putInt(f.owner())
                     .putLong(f.incarnation())
                     .putLong(f.term());
-            return Types.VOICE;
+            return FrameTypes.VOICE_RECORD;
         } else if (frame instanceof Frame.Written f) {
             to.putLong(f.id()).put(bit(f.applied()));
-            return Types.WRITTEN;
+            return FrameTypes.WRITTEN;
         } else if (frame instanceof Frame.Peer f) {
             to.putInt(f.sender());
             text(f.text());
-            return Types.PEER;
+            return FrameTypes.PEER;
         }
         throw new IllegalArgumentException(frame.getClass().getName());
     }
 
+    /** Writes one order of an orders frame. */
     private void order(Order order) {
         if (order instanceof Order.SetLine o) {
-            room(5);
-            to.put(Types.LINE).putInt(o.table());
+            ensureRoom(5);
+            to.put(FrameTypes.ORDER_SET_LINE).putInt(o.table());
             text(o.server());
-            room(8);
+            ensureRoom(8);
             to.putDouble(o.weight());
         } else if (order instanceof Order.Mask o) {
-            room(2);
-            to.put(Types.MASK).put(bit(o.out()));
+            ensureRoom(2);
+            to.put(FrameTypes.ORDER_MASK).put(bit(o.out()));
             text(o.server());
         } else if (order instanceof Order.SetLevel o) {
-            room(18);
-            to.put(Types.LEVEL)
+            ensureRoom(18);
+            to.put(FrameTypes.ORDER_SET_LEVEL)
                     .putInt(o.table())
                     .putInt(o.groups())
                     .putDouble(o.level())
                     .put((byte) o.retry().ordinal());
         } else if (order instanceof Order.Mark o) {
-            room(6);
-            to.put(Types.MARK).putInt(o.number()).put(bit(o.everyProxy()));
+            ensureRoom(6);
+            to.put(FrameTypes.ORDER_MARK).putInt(o.number()).put(bit(o.everyProxy()));
         } else if (order instanceof Order.ClearTable o) {
-            room(5);
-            to.put(Types.CLEAR).putInt(o.table());
+            ensureRoom(5);
+            to.put(FrameTypes.ORDER_CLEAR_TABLE).putInt(o.table());
         } else if (order instanceof Order.Bind o) {
-            room(13);
-            to.put(Types.BIND).putInt(o.table()).putInt(o.proxy()).putInt(o.groups());
+            ensureRoom(13);
+            to.put(FrameTypes.ORDER_BIND).putInt(o.table()).putInt(o.proxy()).putInt(o.groups());
         } else {
-            throw new IllegalArgumentException("not for proxies: " + order);
+            throw new IllegalArgumentException("not an order for proxies: " + order);
         }
     }
 
+    /** Writes a load report: a bit set of measures, then their values. */
     private void report(Map<Event.Measure, Double> report) {
         int bits = 0;
-        for (Event.Measure measure : Types.MEASURES) {
+        for (Event.Measure measure : FrameTypes.MEASURES) {
             bits |= report.containsKey(measure) ? 1 << measure.ordinal() : 0;
         }
-        room(1 + 8 * Types.MEASURES.length);
+        ensureRoom(1 + 8 * FrameTypes.MEASURES.length);
         to.put((byte) bits);
-        for (Event.Measure measure : Types.MEASURES) {
+        for (Event.Measure measure : FrameTypes.MEASURES) {
             if ((bits & 1 << measure.ordinal()) != 0) {
                 to.putDouble(report.get(measure));
             }
@@ -284,72 +293,73 @@
         return (byte) (on ? 1 : 0);
     }
 
-    /** Length in two bytes, then UTF-8; the bytes of texts that come again are kept. */
+    /** Writes a text: its length in two bytes, then UTF-8. The encoded bytes of short texts are cached. */
     private void text(String text) {
-        int place = text.hashCode() & keptTexts.length - 1;
-        byte[] utf = keptBytes[place];
-        if (utf == null || !text.equals(keptTexts[place])) {
-            utf = text.getBytes(StandardCharsets.UTF_8);
-            if (utf.length > 0xffff) {
+        int slot = text.hashCode() & cachedTexts.length - 1;
+        byte[] utf8 = cachedBytes[slot];
+        if (utf8 == null || !text.equals(cachedTexts[slot])) {
+            utf8 = text.getBytes(StandardCharsets.UTF_8);
+            if (utf8.length > 0xffff) {
                 throw new IllegalArgumentException("text over 65535 bytes");
             }
-            if (utf.length <= LONGEST_KEPT) {
-                keptTexts[place] = text;
-                keptBytes[place] = utf;
+            if (utf8.length <= MAX_CACHED_BYTES) {
+                cachedTexts[slot] = text;
+                cachedBytes[slot] = utf8;
             }
         }
-        room(2 + utf.length);
-        to.putShort((short) utf.length);
-        System.arraycopy(utf, 0, to.bytes, to.at, utf.length);
-        to.at += utf.length;
+        ensureRoom(2 + utf8.length);
+        to.putShort((short) utf8.length);
+        System.arraycopy(utf8, 0, to.bytes, to.position, utf8.length);
+        to.position += utf8.length;
     }
 
-    private void room(int bytes) {
-        if (to.bytes.length - to.at < bytes) {
-            to.bytes = Arrays.copyOf(to.bytes, Math.max(to.bytes.length * 2, to.at + bytes));
+    /** Grows the array if it has no room for that many more bytes. */
+    private void ensureRoom(int bytes) {
+        if (to.bytes.length - to.position < bytes) {
+            to.bytes = Arrays.copyOf(to.bytes, Math.max(to.bytes.length * 2, to.position + bytes));
         }
     }
 
-    /** An array and a cursor: plain stores at a known place cost less than a buffer's checks for each field. */
+    /** A byte array with a write position: cheaper than a ByteBuffer, which checks its bounds and state for each field. */
     private static final class Bytes {
-        private static final VarHandle SHORTS = view(short[].class),
-                INTS = view(int[].class),
-                LONGS = view(long[].class),
-                DOUBLES = view(double[].class);
+        private static final VarHandle SHORTS = view(short[].class);
+        private static final VarHandle INTS = view(int[].class);
+        private static final VarHandle LONGS = view(long[].class);
+        private static final VarHandle DOUBLES = view(double[].class);
 
         byte[] bytes = new byte[4096];
-        int at;
+        int position;
 
         private static VarHandle view(Class<?> of) {
             return MethodHandles.byteArrayViewVarHandle(of, ByteOrder.BIG_ENDIAN);
         }
 
         Bytes put(byte value) {
-            bytes[at++] = value;
+            bytes[position++] = value;
             return this;
         }
 
         Bytes putShort(short value) {
-            SHORTS.set(bytes, at, value);
-            at += 2;
+            SHORTS.set(bytes, position, value);
+            position += 2;
             return this;
         }
 
         Bytes putInt(int value) {
-            INTS.set(bytes, at, value);
-            at += 4;
+            INTS.set(bytes, position, value);
+            position += 4;
             return this;
         }
 
         Bytes putLong(long value) {
-            LONGS.set(bytes, at, value);
-            at += 8;
+            LONGS.set(bytes, position, value);
+            position += 8;
             return this;
         }
 
         Bytes putDouble(double value) {
-            DOUBLES.set(bytes, at, value);
-            at += 8;
+            DOUBLES.set(bytes, position, value);
+            position += 8;
             return this;
         }
     }
--- a/src/main/java/puffinbarrow/proto/Names.java
+++ b/src/main/java/puffinbarrow/proto/TextCache.java
@@ -6,37 +6,39 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Gives texts that came before as the same String, without decoding them again. Direct mapped: a text that falls on a
- * taken place replaces what is there, so memory stays bounded whatever is sent.
+ * A cache of decoded texts: a text that was read before is returned as the same String without decoding it again. Direct
+ * mapped: a text whose slot is taken replaces the text there, so that memory is bounded whatever a peer sends.
  */
-final class Names {
-    /** Far above the servers of one fleet that a stream names in turn; a clash costs a decode only. */
-    private static final int PLACES = 4096;
-    /** Longer texts are messages, not ids; they are not kept. */
-    private static final int LONGEST = 64;
+final class TextCache {
+    /** A power of two, far above the number of servers that one connection names; a collision only costs a decode. */
+    private static final int SLOTS = 4096;
+    /** Longer texts, in bytes, are messages rather than server ids, and are not cached. */
+    private static final int MAX_CACHED_BYTES = 64;
 
-    private final String[] kept = new String[PLACES];
+    private final String[] cached = new String[SLOTS];
 
+    /** Reads a UTF-8 text of that many bytes and moves the buffer's position behind it. */
     String read(ByteBuffer in, int length) throws CharacterCodingException {
         int start = in.position();
-        if (length <= LONGEST) {
+        if (length <= MAX_CACHED_BYTES) {
             int hash = length;
             for (int i = 0; i < length; i++) {
                 hash = hash * 31 + in.get(start + i);
             }
             hash ^= hash >>> 15;
-            String known = kept[hash & PLACES - 1];
+            String known = cached[hash & SLOTS - 1];
             if (known != null && same(known, in, start, length)) {
                 in.position(start + length);
                 return known;
             }
             String read = decode(in, start, length);
-            kept[hash & PLACES - 1] = read;
+            cached[hash & SLOTS - 1] = read;
             return read;
         }
         return decode(in, start, length);
     }
 
+    /** Returns whether the text equals the bytes; only ASCII texts ever match. */
     private static boolean same(String known, ByteBuffer in, int start, int length) {
         if (known.length() != length) {
             return false;
--- a/src/test/java/puffinbarrow/coordinator/CoordinatorTest.java
+++ b/src/test/java/puffinbarrow/coordinator/CoordinatorTest.java
@@ -167,7 +167,7 @@
             return this;
         }
 
-        boolean refused(Frame.Refused why) {
+        boolean refused(Frame.RefusalReason why) {
             return heard.stream().anyMatch(f -> f instanceof Frame.Refusal r && r.why() == why);
         }
 
@@ -208,14 +208,14 @@
         damaged[13] ^= 1;
         Raw broken = new Raw(coordinator).read().bytes(damaged);
         Raw wrong = new Raw(coordinator).hello(6, 1).send(new Frame.Owner(1, 1));
-        until("the silent one", () -> silent.refused(Frame.Refused.EXPECTED_HELLO));
-        until("the early one", () -> early.refused(Frame.Refused.EXPECTED_HELLO));
-        until("the other version", () -> version.refused(Frame.Refused.VERSION));
-        until("the second of a number", () -> taken.refused(Frame.Refused.NUMBER_TAKEN));
-        until("the unknown peer", () -> stranger.refused(Frame.Refused.UNKNOWN_PEER));
-        until("the oversized one", () -> huge.refused(Frame.Refused.MALFORMED));
-        until("the damaged one", () -> broken.refused(Frame.Refused.MALFORMED));
-        until("the misplaced one", () -> wrong.refused(Frame.Refused.MALFORMED));
+        until("the silent one", () -> silent.refused(Frame.RefusalReason.EXPECTED_HELLO));
+        until("the early one", () -> early.refused(Frame.RefusalReason.EXPECTED_HELLO));
+        until("the other version", () -> version.refused(Frame.RefusalReason.VERSION));
+        until("the second of a number", () -> taken.refused(Frame.RefusalReason.NUMBER_TAKEN));
+        until("the unknown peer", () -> stranger.refused(Frame.RefusalReason.UNKNOWN_PEER));
+        until("the oversized one", () -> huge.refused(Frame.RefusalReason.MALFORMED));
+        until("the damaged one", () -> broken.refused(Frame.RefusalReason.MALFORMED));
+        until("the misplaced one", () -> wrong.refused(Frame.RefusalReason.MALFORMED));
         assertEquals(1, value(coordinator, "frames.refused{cause=oversized}"));
         assertEquals(1, value(coordinator, "frames.refused{cause=checksum}"));
         assertEquals(1, value(coordinator, "streams.refused{cause=number_taken}"));
--- a/src/test/java/puffinbarrow/proto/FrameTest.java
+++ b/src/test/java/puffinbarrow/proto/FrameTest.java
@@ -8,18 +8,21 @@
 
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
+import java.util.zip.CRC32C;
 import org.junit.jupiter.api.Test;
 import puffinbarrow.control.Event;
 import puffinbarrow.control.Order;
 import puffinbarrow.proto.FrameException.Cause;
 
+/** Encoding and decoding of frames: every type split at any position, and the refusal of damaged or invalid ones. */
 class FrameTest {
     static final List<Frame> ALL = List.of(
             new Frame.Hello(1, 0, Frame.Role.PROXY, 41, 2, 99, true, 6.5),
             new Frame.Welcome(0, 1, 7),
-            new Frame.Refusal(Frame.Refused.NUMBER_TAKEN, "číslo 41"),
+            new Frame.Refusal(Frame.RefusalReason.NUMBER_TAKEN, "číslo 41"),
             new Frame.Bye(),
             new Frame.Ping(5),
             new Frame.Pong(6),
@@ -74,13 +77,14 @@
         return bytes.flip();
     }
 
+    /** Feeds the bytes, expects a refusal and returns its cause. */
     private static Cause refused(ByteBuffer bytes, int limit) {
         return assertThrows(FrameException.class, () -> new FrameReader(limit, f -> {}).feed(bytes))
                 .why();
     }
 
     @Test
-    void everyFrameComesThroughSplitAtEveryPosition() {
+    void everyFrameIsDecodedWhenSplitAtAnyPosition() {
         int length = all().remaining();
         for (int cut = 0; cut <= length; cut++) {
             List<Frame> read = new ArrayList<>();
@@ -93,7 +97,7 @@
     }
 
     @Test
-    void byteByByteIsTheSame() {
+    void framesAreDecodedByteByByte() {
         List<Frame> read = new ArrayList<>();
         FrameReader reader = new FrameReader(FrameReader.USUAL_LIMIT, read::add);
         for (ByteBuffer bytes = all(); bytes.hasRemaining(); ) {
@@ -103,31 +107,32 @@
     }
 
     @Test
-    void everyDamagedByteIsNoticed() {
+    void everyDamagedByteIsDetected() {
         ByteBuffer whole = FrameWriter.one(ALL.get(6));
         for (int at = 0; at < whole.limit(); at++) {
-            ByteBuffer bytes = ByteBuffer.wrap(java.util.Arrays.copyOf(whole.array(), whole.limit()));
+            ByteBuffer bytes = ByteBuffer.wrap(Arrays.copyOf(whole.array(), whole.limit()));
             bytes.put(at, (byte) (bytes.get(at) ^ 0x20));
             List<Frame> read = new ArrayList<>();
             FrameReader reader = new FrameReader(1 << 12, read::add);
             try {
                 reader.feed(bytes);
-                // A longer length than sent waits for bytes that never come; nothing may come out of it.
+                // A damaged length may be longer than what was sent: the reader waits, and must not pass on a frame.
                 assertTrue(at < 4 && reader.midFrame(), "byte " + at);
-            } catch (FrameException noticed) {
-                assertTrue(noticed.why() == Cause.CHECKSUM || noticed.why() == Cause.OVERSIZED, "byte " + at);
+            } catch (FrameException detected) {
+                assertTrue(detected.why() == Cause.CHECKSUM || detected.why() == Cause.OVERSIZED, "byte " + at);
             }
             assertTrue(read.isEmpty());
         }
     }
 
     @Test
-    void aLengthOverTheLimitIsRefusedBeforeItIsKept() {
+    void aLengthOverTheLimitIsRefusedBeforeItIsBuffered() {
         assertEquals(Cause.OVERSIZED, refused(ByteBuffer.allocate(12).putInt(0, 1 << 30), 1 << 20));
         assertEquals(Cause.OVERSIZED, refused(ByteBuffer.allocate(12).putInt(0, -1), 1 << 20));
     }
 
-    private static ByteBuffer odd(Frame frame, int type, int flags, int cut, byte... more) {
+    /** Encodes a frame with another type and flags, with bytes cut off its body and others appended. */
+    private static ByteBuffer altered(Frame frame, int type, int flags, int cut, byte... more) {
         FrameWriter writer = new FrameWriter();
         writer.write(frame);
         writer.cutAndAdd(cut, more);
@@ -137,42 +142,48 @@
     }
 
     @Test
-    void anUnknownTypeIsRefusedUnlessItIsMarkedOptional() {
-        assertEquals(Cause.UNKNOWN_TYPE, refused(odd(new Frame.Ping(1), 200, 0, 0), 1 << 12));
+    void anUnknownTypeIsRefusedUnlessMarkedOptional() {
+        assertEquals(Cause.UNKNOWN_TYPE, refused(altered(new Frame.Ping(1), 200, 0, 0), 1 << 12));
         List<Frame> read = new ArrayList<>();
         FrameReader reader = new FrameReader(1 << 12, read::add);
-        reader.feed(odd(new Frame.Ping(1), 200, Types.OPTIONAL, 0));
+        reader.feed(altered(new Frame.Ping(1), 200, FrameTypes.FLAG_OPTIONAL, 0));
         reader.feed(FrameWriter.one(new Frame.Bye()));
         assertEquals(List.of(new Frame.Bye()), read);
     }
 
     @Test
-    void whatANewerMinorVersionAddsIsPassedOver() {
+    void fieldsAddedByANewerMinorVersionAreSkipped() {
         List<Frame> read = new ArrayList<>();
         FrameReader reader = new FrameReader(1 << 12, read::add);
-        reader.feed(odd(new Frame.Applied(3, 4), Types.APPLIED, 0, 0, (byte) 1, (byte) 2, (byte) 3));
+        reader.feed(altered(new Frame.Applied(3, 4), FrameTypes.APPLIED, 0, 0, (byte) 1, (byte) 2, (byte) 3));
         reader.feed(FrameWriter.one(new Frame.Bye()));
         assertEquals(List.of(new Frame.Applied(3, 4), new Frame.Bye()), read);
     }
 
     @Test
-    void anotherMajorVersionIsNamed() {
+    void anotherMajorVersionIsRefused() {
         ByteBuffer bytes = FrameWriter.one(new Frame.Bye());
         bytes.put(5, (byte) 2);
-        java.util.zip.CRC32C crc = new java.util.zip.CRC32C();
+        CRC32C crc = new CRC32C();
         crc.update(bytes.array(), 0, 8);
         bytes.putInt(8, (int) crc.getValue());
         assertEquals(Cause.VERSION, refused(bytes, 1 << 12));
     }
 
     @Test
-    void fieldsThatEndTooSoonAndCountsThatCannotBeAreRefused() {
+    void truncatedFieldsAndImpossibleValuesAreRefused() {
         for (int cut = 1; cut < 20; cut++) {
-            assertEquals(Cause.MALFORMED, refused(odd(ALL.get(8), Types.SUMS, 0, cut), 1 << 12), "cut " + cut);
+            assertEquals(Cause.MALFORMED, refused(altered(ALL.get(8), FrameTypes.SUMS, 0, cut), 1 << 12), "cut " + cut);
         }
-        ByteBuffer many = odd(
-                new Frame.Orders(1, 1, 0, List.of()), Types.ORDERS, 0, 4, (byte) 0x7f, (byte) 0xff, (byte) 0xff, (byte)
-                        0xff);
+        ByteBuffer many = altered(
+                new Frame.Orders(1, 1, 0, List.of()),
+                FrameTypes.ORDERS,
+                0,
+                4,
+                (byte) 0x7f,
+                (byte) 0xff,
+                (byte) 0xff,
+                (byte) 0xff);
         assertEquals(Cause.MALFORMED, refused(many, 1 << 12));
         assertEquals(
                 Cause.MALFORMED,
@@ -183,7 +194,7 @@
     }
 
     @Test
-    void aServerIdIsKeptOnce() {
+    void aServerIdIsDecodedOnce() {
         List<Frame> read = new ArrayList<>();
         FrameReader reader = new FrameReader(1 << 12, read::add);
         reader.feed(FrameWriter.one(new Frame.Stored(1, List.of(new Frame.Line("10.0.0.1:80", 1)))));
