--- a/src/main/java/puffinbarrow/coordinator/Coordinator.java
+++ b/src/main/java/puffinbarrow/coordinator/Coordinator.java
@@ -8,6 +8,7 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
@@ -21,6 +22,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 import puffinbarrow.config.CoordinatorConfig;
+import puffinbarrow.config.Problem;
 import puffinbarrow.control.Controller;
 import puffinbarrow.control.Event;
 import puffinbarrow.memory.Keeper;
@@ -32,55 +34,76 @@
 import puffinbarrow.proto.FrameWriter;
 
 /**
- * A running coordinator: listeners, streams and the decision thread around one {@link Core}. Threads of the channel
- * group parse what comes and put it into the core's inbox; only the decision thread touches the core.
+ * The coordinator daemon: listeners, connections and the decision thread around one {@link Core}. Threads of the channel
+ * group decode frames and put them into the core's inbox; only the decision thread calls the core otherwise. Started by
+ * the command line, by days in one process, by replays and by tests.
  */
 public final class Coordinator implements AutoCloseable, Core.Surroundings {
     private static final Logger LOG = LoggerFactory.getLogger("puffinbarrow.coordinator");
-    /** Batches kept for replay; the first ones tell the cause, the rest repeat it. */
-    private static final int BATCHES_KEPT = 20;
-    /** Facts that may wait for the disk: ten thousand servers with their slices, some tens of megabytes. */
-    private static final int MEMORY_KEYS = 200_000;
-    /** A replay answers a probe when its record does, in whatever real time that takes. */
-    private static final long REPLAY_PROBE_MS = 3_600_000;
+    /** Failed batches saved for replay; the first ones show the cause, later ones repeat it. */
+    private static final int MAX_SAVED_BATCHES = 20;
+    /** Facts that may wait to be written: those of 10,000 servers and their slices, some tens of megabytes. */
+    private static final int MAX_PENDING_FACTS = 200_000;
+    /** A replay answers probes in recorded time, so that they must not time out in real time. */
+    private static final long REPLAY_PROBE_TIMEOUT_MS = 3_600_000;
 
-    /** An ordered end hands its charges on, for so long at most: what is left falls silent for a lease. */
-    private static final long LEAVE_NS = 2_000_000_000L;
+    /**
+     * How long an orderly shutdown waits for its slices to be handed on. Slices left after that have no coordinator until
+     * the lease expires.
+     */
+    private static final long LEAVE_TIMEOUT_NS = 2_000_000_000L;
+    /** How long an orderly shutdown waits for the decision thread to end. */
+    private static final long DECISION_END_TIMEOUT_S = 2;
+    /** How long an orderly shutdown waits for queued bytes to be sent. */
+    private static final long FLUSH_TIMEOUT_NS = 1_000_000_000L;
+    /** The longest sleep of the decision thread. */
+    private static final long MAX_SLEEP_NS = 100_000_000L;
+    /** How long a connected proxy has to answer a ping when another process claims its number. */
+    private static final long CLAIMED_NUMBER_ANSWER_NS = 1_000_000_000L;
+    /** Proxy numbers are below this. */
+    private static final int MAX_PROXIES = 65_536;
+    /** The longest request to the admin listener, in characters. */
+    private static final int MAX_ADMIN_REQUEST = 1024;
 
     private final CoordinatorConfig config;
     private final Meters meters = new Meters();
     private final Net net;
     private final Core core;
     private final Keeper keeper;
-    /** Null where the store deals the charges. */
-    private final Holder holder;
+    /** Null if the store assigns slices to coordinators, instead of leases. */
+    private final Holder leaseHolder;
 
     private final Prober prober;
+    /** Tells this process from earlier ones of the same coordinator number. */
     private final long incarnation;
-    private final Map<Integer, Stream> proxies = new ConcurrentHashMap<>();
-    private final Set<Stream> streams = ConcurrentHashMap.newKeySet();
+    /** Connections of proxies by proxy number. */
+    private final Map<Integer, ClientConnection> proxies = new ConcurrentHashMap<>();
+    /** Accepted connections, whether welcomed or not. */
+    private final Set<ClientConnection> connections = ConcurrentHashMap.newKeySet();
+
     private final List<Dialer> dialers = new ArrayList<>();
     private final TreeMap<Integer, Dialer> peerDialers = new TreeMap<>();
     private final Failures failures = new Failures();
-    private final AtomicLong batches = new AtomicLong();
-    private final CountDownLatch ended = new CountDownLatch(1);
+    private final AtomicLong failedBatches = new AtomicLong();
+    private final CountDownLatch decisionThreadEnded = new CountDownLatch(1);
     private Dialer storeDialer;
     private Dialer registryDialer;
     private Net.Listener listener;
     private Net.Listener admin;
-    private Thread thread;
+    private Thread decisionThread;
     private volatile boolean running = true;
-    private volatile boolean orderly;
+    private volatile boolean orderlyShutdown;
     private volatile Consumer<Integer> onGivingUp = code -> {};
 
+    /** Creates a coordinator with the configured rates; {@link #start} makes it run. */
     public Coordinator(CoordinatorConfig config, Controller.Factory factory) throws IOException {
         this(config, factory, Core.Tempo.of(config), null);
     }
 
     /**
-     * For a replay: its own tempo, and its own way from a backend's id to where it is probed.
+     * Creates a coordinator for a replay, with rates and probe addresses of its own.
      *
-     * @param addresses null: ids are addresses
+     * @param addresses maps a server id to the address to probe; null if ids are addresses
      */
     public Coordinator(
             CoordinatorConfig config,
@@ -91,20 +114,20 @@
         this.config = config;
         this.incarnation = System.nanoTime() ^ (long) config.number << 48;
         this.net = new Net("c" + config.number, 2);
-        this.prober = addresses == null ? new Prober(net) : new Prober(net, addresses, REPLAY_PROBE_MS);
-        this.keeper = config.memory == null ? null : Keeper.open(config.memory, config.memoryBytes, MEMORY_KEYS);
+        this.prober = addresses == null ? new Prober(net) : new Prober(net, addresses, REPLAY_PROBE_TIMEOUT_MS);
+        this.keeper = config.memory == null ? null : Keeper.open(config.memory, config.memoryBytes, MAX_PENDING_FACTS);
         this.core = new Core(
                 config,
                 factory,
                 this,
-                keeper == null ? Core.Memory.NONE : new Remembering(keeper, incarnation),
+                keeper == null ? Core.Memory.NONE : new KeeperMemory(keeper, incarnation),
                 meters,
                 tempo);
-        this.holder = config.leaseNs > 0 && config.slices > 0
+        this.leaseHolder = config.leaseNs > 0 && config.slices > 0
                 ? new Holder(config, incarnation, new SystemTiming(), core::offer, meters)
                 : null;
-        if (holder != null) {
-            core.fence(holder);
+        if (leaseHolder != null) {
+            core.fence(leaseHolder);
         }
         if (keeper != null) {
             meters.gauge("memory.well", keeper, k -> k.well() ? 1 : 0);
@@ -115,35 +138,35 @@
         }
     }
 
-    /** Listens, dials and decides from now on. */
+    /** Opens all sockets and starts the decision thread. */
     public Coordinator start() throws IOException {
         open();
-        thread = new Thread(this::run, "decisions-" + config.number);
-        thread.setDaemon(true);
-        core.reader(thread);
-        thread.start();
+        decisionThread = new Thread(this::run, "decisions-" + config.number);
+        decisionThread.setDaemon(true);
+        core.reader(decisionThread);
+        decisionThread.start();
         return this;
     }
 
-    /** Opens all sockets but leaves the decisions to {@link #turnAt}: the caller's clock is the only one. */
+    /** Opens all sockets without a decision thread: the caller runs turns with {@link #turnAt}, by its own clock. */
     public Coordinator startByHand() throws IOException {
         open();
         return this;
     }
 
-    /** One turn at that time, on the caller's thread; only after {@link #startByHand}. */
+    /** Runs one turn at the given time on the caller's thread; only after {@link #startByHand}. */
     public void turnAt(long now) {
         core.turn(now);
     }
 
-    /** How many inputs have come into the inbox so far. */
+    /** Returns how many inputs the inbox has received so far. */
     public long offered() {
         return core.offered();
     }
 
     private void open() throws IOException {
-        listener = net.listen(config.listen, config.outboundBytes, channel -> new Stream());
-        admin = net.listen(config.admin, 1 << 20, channel -> new Admin());
+        listener = net.listen(config.listen, config.outboundBytes, channel -> new ClientConnection());
+        admin = net.listen(config.admin, 1 << 20, channel -> new AdminConnection());
         Frame.Hello hello = new Frame.Hello(
                 Frame.MAJOR,
                 Frame.MINOR,
@@ -154,7 +177,7 @@
                 true,
                 0);
         if (config.store != null) {
-            if (holder == null) {
+            if (leaseHolder == null) {
                 storeDialer = dialer(
                         "store",
                         config.store,
@@ -162,11 +185,11 @@
                         f -> core.offer(new Input.FromStore(f)),
                         up -> core.offer(new Input.StoreUp(up)));
             } else {
-                storeDialer = dialer("store", config.store, hello, holder::frame, up -> {
+                storeDialer = dialer("store", config.store, hello, leaseHolder::frame, up -> {
                     core.offer(new Input.StoreUp(up));
-                    holder.store(up == null ? null : frame -> up.send(FrameWriter.one(frame)));
+                    leaseHolder.store(up == null ? null : frame -> up.send(FrameWriter.one(frame)));
                 });
-                holder.start();
+                leaseHolder.start();
             }
         }
         if (config.registry != null) {
@@ -182,7 +205,7 @@
                     up -> core.offer(new Input.RegistryUp(up)));
         }
         config.peers.forEach(this::connectPeer);
-        net.schedule(1000, this::watchStreams);
+        net.schedule(1000, this::checkConnections);
         if (config.portFile != null) {
             new Ports(listener.address(), admin.address()).write(config.portFile);
         }
@@ -193,7 +216,7 @@
                 .log("ready");
     }
 
-    /** Dials a peer; called by those that learn its address after the start. */
+    /** Connects to a peer; for callers that learn its address only after the start. */
     public void connectPeer(int number, InetSocketAddress address) {
         Frame.Hello asPeer = new Frame.Hello(
                 Frame.MAJOR, Frame.MINOR, Frame.Role.PEER, config.number, config.zoneIndex(), incarnation, true, 0);
@@ -203,31 +226,37 @@
     }
 
     private Dialer dialer(
-            String name, InetSocketAddress to, Frame.Hello hello, Consumer<Frame> frames, Consumer<Outlet> upOrDown) {
-        Dialer dialer =
-                new Dialer(net, name, to, () -> hello, config.outboundBytes, config.frameBytes, frames, upOrDown);
+            String name,
+            InetSocketAddress to,
+            Frame.Hello hello,
+            Consumer<Frame> frames,
+            Consumer<Outlet> connectionChanged) {
+        Dialer dialer = new Dialer(
+                net, name, to, () -> hello, config.outboundBytes, config.frameBytes, frames, connectionChanged);
         dialers.add(dialer);
         return dialer.start();
     }
 
+    /** Runs the decision thread until the coordinator ends. */
     private void run() {
-        // Times are counted from the system's monotonic clock; the epoch does not matter to the decisions.
+        // The decisions use the system's monotonic clock; its origin does not matter to them.
         while (running) {
             long now = System.nanoTime();
             long next = core.turn(now);
-            long pause = Math.min(next - System.nanoTime(), 100_000_000L);
-            if (pause > 0 && running) {
-                // Something new is decided at the next tick, so a wake-up costs one look.
-                LockSupport.parkNanos(core.idle() ? pause : Math.min(pause, config.tickNs));
+            long sleepNs = Math.min(next - System.nanoTime(), MAX_SLEEP_NS);
+            if (sleepNs > 0 && running) {
+                // With inputs waiting, sleeps no longer than a tick: they are decided at the next one.
+                LockSupport.parkNanos(core.idle() ? sleepNs : Math.min(sleepNs, config.tickNs));
             }
         }
-        if (orderly) {
-            core.bye();
-            core.remember();
+        if (orderlyShutdown) {
+            core.sendBye();
+            core.saveMemory();
         }
-        ended.countDown();
+        decisionThreadEnded.countDown();
     }
 
+    /** The clock and timer of the lease leaseHolder: monotonic time and the network timer. */
     private final class SystemTiming implements Holder.Timing {
         @Override
         public long now() {
@@ -240,7 +269,7 @@
         }
     }
 
-    // ---- What the core asks for.
+    // ---- Core.Surroundings, on the decision thread.
 
     @Override
     public void probe(String server, Consumer<Event.Probed> answer) {
@@ -249,13 +278,13 @@
 
     @Override
     public void failed(long now, List<Event> batch, RuntimeException failure) {
-        long number = batches.incrementAndGet();
+        long number = failedBatches.incrementAndGet();
         String saved = "not kept";
-        if (config.failedBatches != null && number <= BATCHES_KEPT) {
+        if (config.failedBatches != null && number <= MAX_SAVED_BATCHES) {
             try {
                 Files.createDirectories(config.failedBatches);
                 Path file = config.failedBatches.resolve("batch-" + number + ".json");
-                BatchFile.write(file, now, batch);
+                FailedBatchFile.write(file, now, batch);
                 saved = file.toString();
             } catch (IOException unwritable) {
                 saved = "not kept: " + unwritable.getMessage();
@@ -265,42 +294,50 @@
                 .addKeyValue("batch", saved)
                 .addKeyValue("events", batch.size())
                 .setCause(failure)
-                .log("the decisions failed; what stands is left");
+                .log("decision turn failed; tables and levels stay as they are");
         if (failures.tooMany(now)) {
-            LOG.atError().addKeyValue("failures", Failures.MOST).log("giving up");
+            LOG.atError().addKeyValue("failures", Failures.MAX_FAILURES).log("giving up");
             running = false;
             onGivingUp.accept(1);
         }
     }
 
+    /** Sets what to call, with an exit code, once decisions have failed too often for this process to go on. */
     public void onGivingUp(Consumer<Integer> exit) {
         onGivingUp = exit;
     }
 
-    // ---- Streams of proxies and peers.
+    // ---- Connections from proxies and peers.
 
-    private void watchStreams() {
+    /** Pings or closes silent connections, several times within the idle limit. */
+    private void checkConnections() {
         long now = System.nanoTime();
-        for (Stream stream : streams) {
-            stream.watch(now);
+        for (ClientConnection connection : connections) {
+            connection.checkIdle(now);
         }
         if (running) {
-            net.schedule(Math.max(50, Math.min(1000, config.idleNs / 4_000_000)), this::watchStreams);
+            net.schedule(Math.max(50, Math.min(1000, config.idleNs / 4_000_000)), this::checkConnections);
         }
     }
 
-    private final class Stream implements Link.Receiver, Outlet {
-        private final FrameReader reader = new FrameReader(config.frameBytes, this::frame);
-        private final long openedAt = System.nanoTime();
+    /** A connection from a proxy or a peer: handshake, dispatch of frames, and backpressure while the inbox is full. */
+    private final class ClientConnection implements Link.Receiver, Outlet {
+        private final FrameReader reader = new FrameReader(config.frameBytes, this::onFrame);
+        private final long openedAtNs = System.nanoTime();
         private volatile Link link;
+        /** The peer's hello, once it was accepted. */
         private volatile Frame.Hello hello;
-        private volatile long heardAt = openedAt;
-        private volatile long mustSpeakBy = Long.MAX_VALUE;
-        private volatile boolean full;
+
+        private volatile long lastReceivedNs = openedAtNs;
+        /** Closed if nothing is received by then. */
+        private volatile long answerDeadlineNs = Long.MAX_VALUE;
+        /** Whether the inbox was full at the last input, so that reading must pause. */
+        private volatile boolean inboxFull;
+
         private boolean refused;
 
-        Stream() {
-            streams.add(this);
+        ClientConnection() {
+            connections.add(this);
             net.schedule(config.helloNs / 1_000_000 + 1, () -> {
                 if (hello == null && link != null) {
                     refuse(Frame.RefusalReason.EXPECTED_HELLO, "no hello within " + config.helloNs / 1e9 + " s");
@@ -315,35 +352,35 @@
 
         @Override
         public void received(Link from, ByteBuffer bytes) {
-            heardAt = System.nanoTime();
-            mustSpeakBy = Long.MAX_VALUE;
+            lastReceivedNs = System.nanoTime();
+            answerDeadlineNs = Long.MAX_VALUE;
             if (refused) {
                 return;
             }
             try {
                 reader.feed(bytes);
-            } catch (FrameException wrong) {
-                meters.cause("frames.refused", wrong.why());
+            } catch (FrameException invalid) {
+                meters.countCause("frames.refused", invalid.why());
                 refuse(
-                        wrong.why() == FrameException.Cause.VERSION
+                        invalid.why() == FrameException.Cause.VERSION
                                 ? Frame.RefusalReason.VERSION
                                 : Frame.RefusalReason.MALFORMED,
-                        wrong.getMessage());
+                        invalid.getMessage());
             }
-            if (full) {
-                full = false;
+            if (inboxFull) {
+                inboxFull = false;
                 from.pauseReading(true);
                 core.stopped(this);
             }
         }
 
-        private void frame(Frame frame) {
+        private void onFrame(Frame frame) {
             if (refused) {
                 return;
             }
             if (hello == null) {
                 if (frame instanceof Frame.Hello first) {
-                    hello(first);
+                    onHello(first);
                 } else {
                     refuse(Frame.RefusalReason.EXPECTED_HELLO, "the first frame was no hello");
                 }
@@ -357,13 +394,13 @@
                     && (frame instanceof Frame.Sums
                             || frame instanceof Frame.Demand
                             || frame instanceof Frame.Applied)) {
-                full |= !core.offer(new Input.FromProxy(hello.number(), this, frame));
-            } else if (hello.role() == Frame.Role.PROXY && frame instanceof Frame.Stale stale && holder != null) {
-                holder.stale(stale.slice(), stale.term());
+                inboxFull |= !core.offer(new Input.FromProxy(hello.number(), this, frame));
+            } else if (hello.role() == Frame.Role.PROXY && frame instanceof Frame.Stale stale && leaseHolder != null) {
+                leaseHolder.stale(stale.slice(), stale.term());
             } else if (hello.role() == Frame.Role.PEER
                     && frame instanceof Frame.Peer peer
                     && peer.sender() == hello.number()) {
-                full |= !core.offer(new Input.FromPeer(peer.sender(), peer.text()));
+                inboxFull |= !core.offer(new Input.FromPeer(peer.sender(), peer.text()));
             } else {
                 meters.count("frames.unexpected");
                 refuse(
@@ -372,7 +409,7 @@
             }
         }
 
-        private void hello(Frame.Hello first) {
+        private void onHello(Frame.Hello first) {
             if (first.major() != Frame.MAJOR) {
                 refuse(
                         Frame.RefusalReason.VERSION,
@@ -384,17 +421,17 @@
                 }
                 hello = first;
                 welcome();
-            } else if (first.role() == Frame.Role.PROXY && first.number() >= 0 && first.number() < 65_536) {
-                Stream before = proxies.get(first.number());
-                if (before != null && before.hello.incarnation() != first.incarnation()) {
-                    // The first one keeps the number while it lives; it is asked whether it does.
-                    before.mustAnswerWithin(1_000_000_000L);
+            } else if (first.role() == Frame.Role.PROXY && first.number() >= 0 && first.number() < MAX_PROXIES) {
+                ClientConnection existing = proxies.get(first.number());
+                if (existing != null && existing.hello.incarnation() != first.incarnation()) {
+                    // The existing connection keeps the number as long as it answers pings.
+                    existing.requireAnswerWithin(CLAIMED_NUMBER_ANSWER_NS);
                     refuse(Frame.RefusalReason.NUMBER_TAKEN, "proxy " + first.number() + " is joined already");
                     return;
                 }
                 hello = first;
                 proxies.put(first.number(), this);
-                full |= !core.offer(
+                inboxFull |= !core.offer(
                         new Input.Joined(first, this, new Frame.Welcome(Frame.MINOR, config.number, incarnation)));
             } else {
                 refuse(Frame.RefusalReason.UNKNOWN_ROLE, first.role() + " " + first.number());
@@ -407,7 +444,7 @@
 
         private void refuse(Frame.RefusalReason why, String text) {
             refused = true;
-            meters.cause("streams.refused", why);
+            meters.countCause("streams.refused", why);
             LOG.atWarn()
                     .addKeyValue("why", why)
                     .addKeyValue("proxy", hello == null ? -1 : hello.number())
@@ -416,34 +453,36 @@
             link.closeWhenSent();
         }
 
-        private void mustAnswerWithin(long ns) {
-            mustSpeakBy = System.nanoTime() + ns;
-            send(FrameWriter.one(new Frame.Ping(mustSpeakBy)));
-            net.schedule(ns / 1_000_000 + 10, () -> watch(System.nanoTime()));
+        /** Sends a ping, and closes the connection if nothing is received within that time. */
+        private void requireAnswerWithin(long ns) {
+            answerDeadlineNs = System.nanoTime() + ns;
+            send(FrameWriter.one(new Frame.Ping(answerDeadlineNs)));
+            net.schedule(ns / 1_000_000 + 10, () -> checkIdle(System.nanoTime()));
         }
 
-        void watch(long now) {
+        /** Pings a peer that has been silent for a third of the idle limit, and closes it after the whole of it. */
+        void checkIdle(long now) {
             Link open = link;
             if (open == null || hello == null) {
                 return;
             }
-            if (now - heardAt > config.idleNs || now > mustSpeakBy) {
-                meters.cause("streams.refused", Frame.RefusalReason.TOO_SLOW);
-                open.close(Link.Cause.CLOSED_HERE, "silent for " + (now - heardAt) / 1_000_000 + " ms");
-            } else if (now - heardAt > config.idleNs / 3) {
+            if (now - lastReceivedNs > config.idleNs || now > answerDeadlineNs) {
+                meters.countCause("streams.refused", Frame.RefusalReason.TOO_SLOW);
+                open.close(Link.Cause.CLOSED_HERE, "silent for " + (now - lastReceivedNs) / 1_000_000 + " ms");
+            } else if (now - lastReceivedNs > config.idleNs / 3) {
                 send(FrameWriter.one(new Frame.Ping(now)));
             }
         }
 
         @Override
         public void ended(Link from, Link.Cause cause, String detail) {
-            streams.remove(this);
+            connections.remove(this);
             if (cause == Link.Cause.SLOW_READER || cause == Link.Cause.BAD_INPUT) {
-                meters.cause("streams.cut", cause);
+                meters.countCause("streams.cut", cause);
                 LOG.atWarn()
                         .addKeyValue("proxy", hello == null ? -1 : hello.number())
                         .addKeyValue("cause", cause)
-                        .log("stream cut off: {}", detail);
+                        .log("connection closed: {}", detail);
             }
             if (hello != null && hello.role() == Frame.Role.PROXY) {
                 proxies.remove(hello.number(), this);
@@ -468,30 +507,31 @@
         }
     }
 
-    // ---- Status requests: one line in, lines out, then the end.
+    // ---- Admin listener.
 
-    private final class Admin implements Link.Receiver {
-        private final StringBuilder asked = new StringBuilder();
+    /** A connection to the admin listener: one line of request, one answer, then it is closed. */
+    private final class AdminConnection implements Link.Receiver {
+        private final StringBuilder input = new StringBuilder();
 
         @Override
         public void received(Link link, ByteBuffer bytes) {
-            asked.append(StandardCharsets.UTF_8.decode(bytes));
-            if (asked.length() > 1024) {
+            input.append(StandardCharsets.UTF_8.decode(bytes));
+            if (input.length() > MAX_ADMIN_REQUEST) {
                 meters.count("admin.refused");
                 link.close(Link.Cause.BAD_INPUT, "a request over 1024 bytes");
                 return;
             }
-            int end = asked.indexOf("\n");
+            int end = input.indexOf("\n");
             if (end < 0) {
                 return;
             }
-            String request = asked.substring(0, end).trim();
-            asked.setLength(0);
+            String request = input.substring(0, end).trim();
+            input.setLength(0);
             if (request.equals("status")) {
-                core.offer(new Input.Ask(state -> answer(link, status(state))));
+                core.offer(new Input.StatusRequest(state -> answer(link, status(state))));
             } else if (request.equals("leave")) {
                 leave();
-                answer(link, holder == null ? "error leave: no leases are held here\n" : "ok\n");
+                answer(link, leaseHolder == null ? "error leave: no leases are held here\n" : "ok\n");
             } else if (request.startsWith("pace ")) {
                 answer(link, pace(request.substring(5)));
             } else {
@@ -507,8 +547,8 @@
                     core.offer(new Input.Pace(part));
                     return "ok\n";
                 }
-            } catch (NumberFormatException notOne) {
-                // Said below.
+            } catch (NumberFormatException notANumber) {
+                // Answered with the error below.
             }
             return "error pace: found '" + text + "', expected a share above 0 and up to 1\n";
         }
@@ -524,8 +564,8 @@
 
     private String status(Map<String, Object> state) {
         StringBuilder text = new StringBuilder();
-        if (holder != null) {
-            state.putAll(holder.state());
+        if (leaseHolder != null) {
+            state.putAll(leaseHolder.state());
         }
         state.forEach(
                 (name, value) -> text.append(name).append(": ").append(value).append('\n'));
@@ -534,31 +574,34 @@
                 .append(
                         value == Math.rint(value)
                                 ? Long.toString(value.longValue())
-                                : String.format(java.util.Locale.ROOT, "%.3f", value))
+                                : String.format(Locale.ROOT, "%.3f", value))
                 .append('\n'));
         return text.toString();
     }
 
-    // ---- For the daemon, the day and tests.
+    // ---- For the command line, days and tests.
 
+    /** Returns where proxies and peers connect. */
     public InetSocketAddress address() {
         return listener.address();
     }
 
+    /** Returns where the admin listener is. */
     public InetSocketAddress adminAddress() {
         return admin.address();
     }
 
+    /** Returns the counters and gauges of this coordinator. */
     public Meters meters() {
         return meters;
     }
 
-    /** The channel sends at this part of its pace from now on. */
+    /** Slows the channel to the proxies to this fraction of its configured rate, above 0 and up to 1. */
     public void pace(double part) {
         core.offer(new Input.Pace(part));
     }
 
-    /** Cuts or heals the stream to a peer, the store or the registry: a partition seen from here. */
+    /** Cuts or restores the connection to a peer, as a network partition would. */
     public void cutPeer(int number, boolean on) {
         Dialer dialer = peerDialers.get(number);
         if (dialer != null) {
@@ -566,79 +609,81 @@
         }
     }
 
+    /** Cuts or restores the connection to the store. */
     public void cutStore(boolean on) {
         storeDialer.cut(on);
     }
 
+    /** Cuts or restores the connection to the registry. */
     public void cutRegistry(boolean on) {
         registryDialer.cut(on);
     }
 
-    /** The settings read again: what may change alive is taken up, the rest is told with its line. */
-    public List<puffinbarrow.config.Problem> reload(CoordinatorConfig again) {
-        List<puffinbarrow.config.Problem> refused = config.refusedChanges(again);
+    /** Applies settings that were read again; returns the changes that need a restart, each with its line. */
+    public List<Problem> reload(CoordinatorConfig again) {
+        List<Problem> refused = config.refusedChanges(again);
         refused.forEach(p -> LOG.atWarn().log(p.toString()));
         config.adopt(again);
         core.inboxLimit(config.inbox);
         return refused;
     }
 
-    /** Hands all charges on, so that this coordinator can end without a slice falling silent for a lease. */
+    /** Hands all slices on to other coordinators, so that none is without one until a lease expires. */
     public void leave() {
-        if (holder != null) {
-            holder.leave();
+        if (leaseHolder != null) {
+            leaseHolder.leave();
         }
     }
 
-    /** As a killed process: no goodbye, all sockets closed, all state gone. */
+    /** Ends as a killed process would: without a goodbye, with all sockets closed and unsaved state lost. */
     public void kill() {
         running = false;
-        LockSupport.unpark(thread);
-        end();
+        LockSupport.unpark(decisionThread);
+        closeSockets();
         if (keeper != null) {
             keeper.kill();
         }
     }
 
-    /** In order: no new streams, a goodbye on each, what is queued is sent. */
+    /** Shuts down in order: hands slices on, accepts no more connections, says goodbye and sends what is queued. */
     @Override
     public void close() {
-        if (holder != null) {
-            holder.leaveWithin(LEAVE_NS);
+        if (leaseHolder != null) {
+            leaseHolder.leaveWithin(LEAVE_TIMEOUT_NS);
         }
-        orderly = true;
+        orderlyShutdown = true;
         running = false;
         listener.close();
-        LockSupport.unpark(thread);
+        LockSupport.unpark(decisionThread);
         try {
-            if (ended.await(2, TimeUnit.SECONDS)) {
-                streams.forEach(s -> {
-                    if (s.link != null) {
-                        s.link.closeWhenSent();
+            if (decisionThreadEnded.await(DECISION_END_TIMEOUT_S, TimeUnit.SECONDS)) {
+                connections.forEach(c -> {
+                    if (c.link != null) {
+                        c.link.closeWhenSent();
                     }
                 });
-                long until = System.nanoTime() + 1_000_000_000L;
-                while (!streams.isEmpty() && System.nanoTime() < until) {
+                long deadlineNs = System.nanoTime() + FLUSH_TIMEOUT_NS;
+                while (!connections.isEmpty() && System.nanoTime() < deadlineNs) {
                     Thread.sleep(5);
                 }
             }
-        } catch (InterruptedException hurried) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
-        end();
+        closeSockets();
         if (keeper != null) {
             keeper.close();
         }
         LOG.atInfo().addKeyValue("coordinator", config.number).log("ended");
     }
 
-    private void end() {
+    private void closeSockets() {
         listener.close();
         admin.close();
         dialers.forEach(Dialer::close);
-        streams.forEach(s -> {
-            if (s.link != null) {
-                s.link.close();
+        connections.forEach(c -> {
+            if (c.link != null) {
+                c.link.close();
             }
         });
         net.close();
--- a/src/main/java/puffinbarrow/coordinator/Core.java
+++ b/src/main/java/puffinbarrow/coordinator/Core.java
@@ -5,6 +5,7 @@
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.TreeMap;
@@ -21,21 +22,31 @@
 import puffinbarrow.proto.FrameWriter;
 
 /**
- * The one place where what came meets the decisions. {@link #offer} takes inputs from any thread; all else runs on
- * the decision thread, which calls {@link #turn} with the time and sleeps until the time it answers. The core keeps
- * no policy: it hands events to the Controller, carries its orders out in their order, and holds the channel's limits.
+ * The decision loop of a coordinator, without sockets, threads or a clock of its own. {@link #offer} accepts inputs from
+ * any thread; all other methods run on the decision thread, which calls {@link #turn} with the current time and sleeps
+ * until the time that it returns. The core contains no policy: it passes events to the {@link Controller}, carries out
+ * the returned orders in sequence, and enforces the limits of the channel to the proxies. {@link Coordinator} drives it
+ * over sockets, the emulator in virtual time.
  */
 public final class Core {
-    /** Where the core reaches what is not a proxy's stream. */
+    /** What the core needs from its host besides connections; called on the decision thread. */
     public interface Surroundings {
+        /** Probes a server; the answer may come on any thread. */
         void probe(String server, Consumer<Event.Probed> answer);
 
-        /** The Controller threw; the batch is given as it was. */
+        /** Called when the Controller threw an exception, with the batch of events it was given. */
         void failed(long now, List<Event> batch, RuntimeException failure);
     }
 
-    /** How fast the channel sends and sums are handed on; a replay, whose recorder did both, sets them free. */
+    /**
+     * Rate limits for messages to proxies and for reports from them.
+     *
+     * @param linesPerS lines that the channel sends a second
+     * @param intakePerS merged report lines passed to the Controller a second
+     * @param gatherNs the proxies' reporting interval; 0 passes reports on without waiting for the rest of a round
+     */
     public record Tempo(double linesPerS, double intakePerS, long gatherNs) {
+        /** No limits: for a replay, whose recorded run was subject to them already. */
         public static final Tempo FREE = new Tempo(1e15, 1e15, 0);
 
         static Tempo of(CoordinatorConfig config) {
@@ -43,16 +54,18 @@
         }
     }
 
-    /** What outlives a restart; all calls come on the decision thread and none may wait. */
+    /** State that outlives a restart; called on the decision thread, which no method may block. */
     public interface Memory {
-        /** What a former life knew that is still worth something, given the first list of this one. */
+        /** Returns what an earlier process learned and is still valid, given the first server list of this process. */
         List<Event.Recalled> recall(List<Event.Entry> list);
 
+        /** Notes the events and orders of a turn. */
         void decided(long now, List<Event> events, List<Order> orders, Controller controller);
 
-        /** An ordered end. */
+        /** Called at an orderly shutdown. */
         default void ends(Controller controller) {}
 
+        /** Remembers nothing. */
         Memory NONE = new Memory() {
             @Override
             public List<Event.Recalled> recall(List<Event.Entry> list) {
@@ -64,33 +77,37 @@
         };
     }
 
-    /** Whether this coordinator may speak, and under which terms; asked on the decision thread. */
+    /** Fences off a coordinator that has lost its lease; asked on the decision thread. */
     public interface Fence {
-        boolean open(long now);
+        /** Returns whether this coordinator's lease is valid, so that it may send orders. */
+        boolean mayWrite(long now);
 
-        /** Of a slice, or 0 where it may not be spoken for. */
+        /** Returns the lease term of a slice, or 0 if this coordinator may not write to it. */
         long term(int slice);
     }
 
-    private record Wake(long atNs, long label, long number) implements Comparable<Wake> {
+    /** A timer that the Controller asked for; {@code sequence} keeps timers of the same time in their order. */
+    private record PendingTimer(long atNs, long label, long sequence) implements Comparable<PendingTimer> {
         @Override
-        public int compareTo(Wake other) {
-            return atNs != other.atNs ? Long.compare(atNs, other.atNs) : Long.compare(number, other.number);
+        public int compareTo(PendingTimer other) {
+            return atNs != other.atNs ? Long.compare(atNs, other.atNs) : Long.compare(sequence, other.sequence);
         }
     }
 
+    /** A joined proxy. */
     private static final class Proxy {
         final Outlet outlet;
-        /** Marks sent and not answered yet, oldest first; the queue's limit bounds them. */
+        /** Marks sent and not acknowledged yet, oldest first; bounded by the channel's limits. */
         final ArrayDeque<Integer> marks = new ArrayDeque<>();
-        /** Sites without slices: the table for each traffic group (by its bit). */
-        final TreeMap<Integer, Integer> bound = new TreeMap<>();
+        /** For sites without slices: the table that each traffic group (by its bit number) is bound to. */
+        final TreeMap<Integer, Integer> tableByGroup = new TreeMap<>();
 
         Proxy(Outlet outlet) {
             this.outlet = outlet;
         }
     }
 
+    /** A table of a site without slices: weights by server, and levels by their set of traffic groups. */
     private static final class Table {
         final TreeMap<String, Double> lines = new TreeMap<>();
         final TreeMap<Integer, Order.SetLevel> levels = new TreeMap<>();
@@ -101,36 +118,54 @@
 
     private final CoordinatorConfig config;
     private final Controller controller;
-    private final Surroundings around;
+    private final Surroundings environment;
     private final Memory memory;
+    /** Whether the memory has been asked what it recalls; it is once, at the first server list. */
     private boolean recalled;
+
     private final Meters meters;
+    /** Whether tables are those of slices, kept in the store; otherwise proxies are bound to tables kept here. */
     private final boolean sliced;
+
     private final Inbox<Input> inbox;
     private final PacedChannel channel;
-    private final Gather gather;
+    private final ReportAggregator aggregator;
     private final FrameWriter writer = new FrameWriter();
-    private final TreeMap<Integer, Proxy> joined = new TreeMap<>();
+    /** Joined proxies by number. */
+    private final TreeMap<Integer, Proxy> proxies = new TreeMap<>();
+    /** Connected peer coordinators by number. */
     private final TreeMap<Integer, Outlet> peers = new TreeMap<>();
-    private final PriorityQueue<Wake> wakes = new PriorityQueue<>();
-    private final TreeSet<Integer> mine = new TreeSet<>();
+
+    private final PriorityQueue<PendingTimer> timers = new PriorityQueue<>();
+    /** Slices that this coordinator is in charge of. */
+    private final TreeSet<Integer> ownedSlices = new TreeSet<>();
+    /** Tables by number; for sites without slices only. */
     private final TreeMap<Integer, Table> tables = new TreeMap<>();
-    private final TreeMap<Integer, Order.SetLevel> standing = new TreeMap<>();
+    /** Levels in force for all tables, by their set of traffic groups; restated in every message. */
+    private final TreeMap<Integer, Order.SetLevel> globalLevels = new TreeMap<>();
+
     private final TreeSet<String> masked = new TreeSet<>();
-    /** Lines that the store has not been given yet, by slice and server; bounded by what tables can hold. */
-    private final Map<Integer, TreeMap<String, Order>> unstored = new TreeMap<>();
-    /** Null: charges come from the store and carry no terms. */
+    /** Orders not sent to the store yet, by slice and server; bounded by the size of the tables. */
+    private final Map<Integer, TreeMap<String, Order>> pendingStoreWrites = new TreeMap<>();
+    /** Null if the store assigns slices to coordinators; orders then carry no lease terms. */
     private Fence fence;
-    /** Between two owners of a slice; null where slices have several. */
-    private Pause pause;
+    /** Delays a change of a slice's only owner; null where a slice may have several owners. */
+    private Pause ownerPause;
 
+    /** The connection to the registry, or null while there is none. */
     private Outlet registry;
+    /** The connection to the store, or null while there is none. */
     private Outlet store;
-    private Boolean following;
-    private long wakeNumber;
+    /** The last subscription ordered; null if none was, or if it ended with its connection. */
+    private Boolean subscribed;
+
+    private long timerSequence;
+    /** Number of the latest decision turn. */
     private long turn;
-    private long tickAt = Long.MIN_VALUE;
+    /** Nothing is decided before this time. */
+    private long tickAtNs = Long.MIN_VALUE;
 
+    /** Creates the core and starts a Controller with the configured settings and seed. */
     public Core(
             CoordinatorConfig config,
             Controller.Factory factory,
@@ -140,49 +175,52 @@
             Tempo tempo) {
         this.memory = memory;
         this.config = config;
-        this.around = around;
+        this.environment = around;
         this.meters = meters;
         this.sliced = config.slices > 0;
         this.inbox = new Inbox<>(config.inbox);
         this.channel = new PacedChannel(config.queueLines, tempo.linesPerS(), config.messages, config.messagesSpanNs);
-        this.gather = new Gather(tempo.intakePerS(), tempo.gatherNs());
+        this.aggregator = new ReportAggregator(tempo.intakePerS(), tempo.gatherNs());
         this.controller = factory.start(config.settings(), config.seed);
-        meters.gauge("streams.joined", this, c -> c.joined.size());
+        meters.gauge("streams.joined", this, c -> c.proxies.size());
         meters.gauge("inbox.waiting", inbox, Inbox::size);
         meters.gauge("inbox.overflows", inbox, Inbox::overflows);
         meters.gauge("channel.lines.waiting", channel, PacedChannel::waitingLines);
-        meters.gauge("channel.lines.most", channel, PacedChannel::mostWaiting);
+        meters.gauge("channel.lines.most", channel, PacedChannel::peakWaitingLines);
         meters.gauge("channel.messages.sent", channel, PacedChannel::sentMessages);
         meters.gauge("channel.lines.sent", channel, PacedChannel::sentLines);
-        meters.gauge("intake.lines.waiting", gather, Gather::waitingLines);
-        meters.gauge("intake.lines.merged", gather, Gather::mergedLines);
-        meters.gauge("slices.charge", mine, TreeSet::size);
+        meters.gauge("intake.lines.waiting", aggregator, ReportAggregator::waitingLines);
+        meters.gauge("intake.lines.merged", aggregator, ReportAggregator::mergedLines);
+        meters.gauge("slices.charge", ownedSlices, TreeSet::size);
     }
 
+    /** Makes sending depend on a lease; called before the first turn. */
     public void fence(Fence with) {
         fence = with;
         if (config.soleOwner) {
-            pause = new Pause(
+            ownerPause = new Pause(
                     config.proxyLeaseNs,
                     config.groups.stream()
                             .filter(g -> g.repeats() != CoordinatorConfig.Repeats.RETRIABLE)
                             .mapToLong(CoordinatorConfig.Group::expiryNs)
                             .max()
                             .orElse(0));
-            meters.gauge("slices.pausing", pause, Pause::pausing);
-            meters.gauge("slices.owner_changes", pause, Pause::changes);
+            meters.gauge("slices.pausing", ownerPause, Pause::pausing);
+            meters.gauge("slices.owner_changes", ownerPause, Pause::changes);
         }
     }
 
-    /** From any thread; false asks the caller's stream to stop reading, see {@link #stopped}. */
+    /** Queues an input, from any thread; if false, the caller stops reading and calls {@link #stopped}. */
     public boolean offer(Input input) {
         return inbox.offer(input);
     }
 
+    /** Notes a connection that stopped reading; it is resumed once the inbox has been drained. */
     public void stopped(Outlet outlet) {
         inbox.stopped(outlet::resume);
     }
 
+    /** Sets the thread to wake when an input is offered. */
     void reader(Thread thread) {
         inbox.reader(thread);
     }
@@ -195,55 +233,60 @@
         inbox.limit(frames);
     }
 
-    /** No earlier than this will {@link #turn} decide anything. */
+    /** Returns the time before which {@link #turn} decides nothing. */
     public long nextTickNs() {
-        return tickAt;
+        return tickAtNs;
     }
 
     boolean idle() {
         return inbox.isEmpty();
     }
 
-    /** One turn; the time to be called again at the latest. Something in the inbox is a reason to come sooner. */
+    /**
+     * Runs one turn: sends what is due and, once a tick, passes all inputs to the Controller and carries out its orders.
+     * Returns the time of the next call at the latest; a new input in the inbox is a reason to call earlier.
+     */
     public long turn(long now) {
         send(now);
-        // Events are decided on at the tick, as on the bench; between ticks only the channel runs.
-        if (now < tickAt) {
-            return Math.min(tickAt, channelNext(now));
+        // Events are decided once a tick; between ticks only the channel runs.
+        if (now < tickAtNs) {
+            return Math.min(tickAtNs, nextSendNs(now));
         }
-        long began = System.nanoTime();
+        long startedNs = System.nanoTime();
         List<Event> events = new ArrayList<>();
         for (Input input : inbox.drain()) {
-            take(now, input, events);
+            process(now, input, events);
         }
-        gather.release(now, joined.size(), events);
-        while (!wakes.isEmpty() && wakes.peek().atNs <= now) {
-            events.add(new Event.Timer(wakes.poll().label));
+        aggregator.release(now, proxies.size(), events);
+        while (!timers.isEmpty() && timers.peek().atNs <= now) {
+            events.add(new Event.Timer(timers.poll().label));
         }
         if (!events.isEmpty()) {
-            tickAt = now + config.tickNs;
+            tickAtNs = now + config.tickNs;
             decide(now, events);
-            meters.turn(System.nanoTime() - began);
+            meters.turn(System.nanoTime() - startedNs);
             send(now);
         }
-        if (pause != null) {
-            List<Order> due = pause.due(now);
+        if (ownerPause != null) {
+            List<Order> due = ownerPause.due(now);
             if (!due.isEmpty()) {
                 carryOut(now, due);
                 send(now);
             }
         }
-        long next = Math.min(channelNext(now), gather.nextAtNs());
-        next = pause == null ? next : Math.min(next, pause.nextAtNs());
-        next = wakes.isEmpty() ? next : Math.min(next, wakes.peek().atNs);
-        return Math.max(next, Math.min(tickAt, channelNext(now)));
+        long next = Math.min(nextSendNs(now), aggregator.nextAtNs());
+        next = ownerPause == null ? next : Math.min(next, ownerPause.nextAtNs());
+        next = timers.isEmpty() ? next : Math.min(next, timers.peek().atNs);
+        return Math.max(next, Math.min(tickAtNs, nextSendNs(now)));
     }
 
-    /** While it may not speak the channel stands; whether it may is looked at this often. */
-    private static final long SILENT_NS = 10_000_000;
+    /** How often to check for a valid lease while the channel is stopped for want of one. */
+    private static final long LEASE_CHECK_NS = 10_000_000;
 
-    private long channelNext(long now) {
-        return fence == null || fence.open(now) ? channel.nextAtNs() : Math.max(channel.nextAtNs(), now + SILENT_NS);
+    private long nextSendNs(long now) {
+        return fence == null || fence.mayWrite(now)
+                ? channel.nextAtNs()
+                : Math.max(channel.nextAtNs(), now + LEASE_CHECK_NS);
     }
 
     private void decide(long now, List<Event> events) {
@@ -252,20 +295,20 @@
             orders = controller.handle(now, events);
         } catch (RuntimeException failure) {
             meters.count("decision.failures");
-            around.failed(now, events, failure);
-            // The timer it would have asked for is lost with its orders: it is woken after a round all the same.
-            wakes.add(new Wake(now + config.roundNs, 0, wakeNumber++));
+            environment.failed(now, events, failure);
+            // The timers of the failed turn are lost with its orders, so the Controller is called after a round anyway.
+            timers.add(new PendingTimer(now + config.roundNs, 0, timerSequence++));
             return;
         }
         turn++;
         LOG.debug("turn {}: events {}", turn, events);
         LOG.debug("turn {}: orders {}", turn, orders);
-        carryOut(now, pause == null ? orders : pause.orders(now, orders, joined.keySet()));
+        carryOut(now, ownerPause == null ? orders : ownerPause.orders(now, orders, proxies.keySet()));
         memory.decided(now, events, orders, controller);
     }
 
     private void send(long now) {
-        if (fence != null && !fence.open(now)) {
+        if (fence != null && !fence.mayWrite(now)) {
             return;
         }
         for (PacedChannel.Message next = channel.poll(now); next != null; next = channel.poll(now)) {
@@ -275,23 +318,24 @@
         }
     }
 
-    // ---- What came.
+    // ---- Inputs.
 
-    private void take(long now, Input input, List<Event> events) {
+    /** Turns one input into events, or handles it here. */
+    private void process(long now, Input input, List<Event> events) {
         if (input instanceof Input.FromProxy in) {
-            Proxy proxy = joined.get(in.proxy());
+            Proxy proxy = proxies.get(in.proxy());
             if (proxy == null || proxy.outlet != in.outlet()) {
-                // The stream was replaced or cut off while this waited.
+                // The connection was replaced or cut off while this frame waited.
                 meters.count("frames.late");
                 return;
             }
-            fromProxy(now, in.proxy(), proxy, in.frame(), events);
+            onProxyFrame(now, in.proxy(), proxy, in.frame(), events);
         } else if (input instanceof Input.Joined in) {
-            joined(now, in, events);
+            onJoined(now, in, events);
         } else if (input instanceof Input.Left in) {
-            Proxy proxy = joined.get(in.proxy());
+            Proxy proxy = proxies.get(in.proxy());
             if (proxy != null && proxy.outlet == in.outlet()) {
-                left(now, in.proxy(), events);
+                onLeft(now, in.proxy(), events);
             }
         } else if (input instanceof Input.FromRegistry in) {
             events.add(new Event.ServerList(in.list().kind(), in.list().entries()));
@@ -299,16 +343,16 @@
                 recalled = true;
                 events.addAll(memory.recall(in.list().entries()));
             }
-            meters.count("lists." + in.list().kind().name().toLowerCase(java.util.Locale.ROOT));
+            meters.count("lists." + in.list().kind().name().toLowerCase(Locale.ROOT));
         } else if (input instanceof Input.RegistryUp in) {
-            registryUp(in.outlet(), events);
+            onRegistryConnection(in.outlet(), events);
         } else if (input instanceof Input.StoreUp in) {
             store = in.outlet();
             if (store != null) {
-                flushStore(now);
+                flushStoreWrites(now);
             }
         } else if (input instanceof Input.FromStore in) {
-            fromStore(now, in.frame(), events);
+            onStoreFrame(now, in.frame(), events);
         } else if (input instanceof Input.FromPeer in) {
             events.add(new Event.PeerMessage(in.sender(), in.text()));
         } else if (input instanceof Input.PeerUp in) {
@@ -319,25 +363,25 @@
             }
         } else if (input instanceof Input.ProbeEnded in) {
             events.add(in.probed());
-        } else if (input instanceof Input.Ask in) {
-            in.answer().accept(state());
+        } else if (input instanceof Input.StatusRequest in) {
+            in.answer().accept(status());
         } else if (input instanceof Input.Pace in) {
-            channel.pace(now, in.part());
+            channel.setPace(now, in.part());
             LOG.atWarn().addKeyValue("part", in.part()).log("channel pace changed");
         }
     }
 
-    private void joined(long now, Input.Joined in, List<Event> events) {
+    private void onJoined(long now, Input.Joined in, List<Event> events) {
         int number = in.hello().number();
-        Proxy before = joined.get(number);
-        if (before != null) {
-            left(now, number, events);
-            before.outlet.close("a new stream of the same proxy");
+        Proxy previous = proxies.get(number);
+        if (previous != null) {
+            onLeft(now, number, events);
+            previous.outlet.close("replaced by a new connection of the same proxy");
         }
-        // Welcomed only now that it is joined: a proxy reads the store at its welcome, and an order carried out
-        // between that reading and the joining would have reached neither the reading nor the stream.
+        // The welcome is sent only now, as the proxy joins: a proxy reads the store when it is welcomed, and an order
+        // carried out between that read and the join would be missing from both the read and the connection.
         in.outlet().send(writer.bytes(in.welcome()));
-        joined.put(number, new Proxy(in.outlet()));
+        proxies.put(number, new Proxy(in.outlet()));
         events.add(new Event.ProxyJoined(
                 number, in.hello().fresh(), in.hello().flowsPerS(), in.hello().zone()));
         meters.count("streams.joins");
@@ -348,25 +392,25 @@
                 .log("proxy joined");
     }
 
-    private void left(long now, int number, List<Event> events) {
-        joined.remove(number);
-        channel.forget(number);
-        if (pause != null) {
-            pause.left(now, number);
+    private void onLeft(long now, int number, List<Event> events) {
+        proxies.remove(number);
+        channel.removeProxy(number);
+        if (ownerPause != null) {
+            ownerPause.left(now, number);
         }
         events.add(new Event.ProxyLeft(number));
         meters.count("streams.leaves");
         LOG.atInfo().addKeyValue("proxy", number).log("proxy left");
     }
 
-    private void fromProxy(long now, int number, Proxy proxy, Frame frame, List<Event> events) {
+    private void onProxyFrame(long now, int number, Proxy proxy, Frame frame, List<Event> events) {
         if (frame instanceof Frame.Sums f) {
-            gather.sums(now, number, f);
+            aggregator.addSums(now, number, f);
         } else if (frame instanceof Frame.Demand f) {
-            gather.demand(now, number, sliced, f);
+            aggregator.addDemand(now, number, sliced, f);
         } else if (frame instanceof Frame.Applied f) {
-            if (f.mark() < 0 && pause != null) {
-                pause.applied(now, number, f.mark());
+            if (f.mark() < 0 && ownerPause != null) {
+                ownerPause.applied(now, number, f.mark());
                 return;
             }
             if (!proxy.marks.contains(f.mark())) {
@@ -380,7 +424,7 @@
         }
     }
 
-    private void registryUp(Outlet outlet, List<Event> events) {
+    private void onRegistryConnection(Outlet outlet, List<Event> events) {
         boolean lost = registry != null && outlet == null;
         registry = outlet;
         if (outlet == null) {
@@ -389,27 +433,27 @@
             }
         } else if (!config.listOnRequest) {
             outlet.send(writer.bytes(new Frame.Follow(true)));
-        } else if (Boolean.TRUE.equals(following)) {
-            // The subscription ended with the stream; the decisions ask again when they see fit.
-            following = null;
+        } else if (Boolean.TRUE.equals(subscribed)) {
+            // The subscription ended with the connection; the Controller orders a new one when it wants to.
+            subscribed = null;
         }
     }
 
-    private void fromStore(long now, Frame frame, List<Event> events) {
+    private void onStoreFrame(long now, Frame frame, List<Event> events) {
         if (frame instanceof Frame.Charge f && f.slice() >= 0 && f.slice() < config.slices) {
             if (f.given()) {
-                mine.add(f.slice());
+                ownedSlices.add(f.slice());
             } else {
-                mine.remove(f.slice());
-                if (pause != null) {
-                    pause.lost(f.slice());
+                ownedSlices.remove(f.slice());
+                if (ownerPause != null) {
+                    ownerPause.lost(f.slice());
                 }
-                unstored.remove(f.slice());
+                pendingStoreWrites.remove(f.slice());
             }
             events.add(new Event.SliceCharge(f.slice(), f.given()));
         } else if (frame instanceof Frame.Stored f && f.slice() >= 0 && f.slice() < config.slices) {
-            if (pause != null) {
-                pause.charged(
+            if (ownerPause != null) {
+                ownerPause.charged(
                         now,
                         f.slice(),
                         f.lines().isEmpty() ? null : f.lines().get(0).server());
@@ -422,27 +466,28 @@
         }
     }
 
-    // ---- What was decided.
+    // ---- Orders.
 
+    /** Sorts the orders by receiver and carries them out; orders for proxies become one message for each proxy. */
     private void carryOut(long now, List<Order> orders) {
         List<Order> common = new ArrayList<>();
-        Map<Integer, List<Order>> own = new HashMap<>();
-        List<Order> stored = new ArrayList<>();
+        Map<Integer, List<Order>> perProxy = new HashMap<>();
+        List<Order> storeWrites = new ArrayList<>();
         Order.Mark mark = null;
-        boolean levels = false;
+        boolean levelsChanged = false;
         for (Order order : orders) {
             if (order instanceof Order.SetLine o) {
-                if (sliced && (!mine.contains(o.table()) || fence != null && fence.term(o.table()) == 0)) {
+                if (sliced && (!ownedSlices.contains(o.table()) || fence != null && fence.term(o.table()) == 0)) {
                     meters.count("orders.not_in_charge");
                     continue;
                 }
                 if (sliced) {
                     common.add(o);
-                    stored.add(o);
+                    storeWrites.add(o);
                 } else {
                     TreeMap<String, Double> lines = table(o.table()).lines;
-                    lines.compute(o.server(), (s, was) -> o.weight() > 0 ? o.weight() : null);
-                    bound(o.table()).forEach(p -> own.computeIfAbsent(p, n -> new ArrayList<>())
+                    lines.compute(o.server(), (server, previous) -> o.weight() > 0 ? o.weight() : null);
+                    proxiesBoundTo(o.table()).forEach(p -> perProxy.computeIfAbsent(p, n -> new ArrayList<>())
                             .add(o));
                 }
             } else if (order instanceof Order.ClearTable o) {
@@ -450,75 +495,75 @@
                     meters.count("orders.not_in_charge");
                 } else if (sliced) {
                     common.add(o);
-                    stored.add(o);
+                    storeWrites.add(o);
                 } else {
                     tables.remove(o.table());
-                    bound(o.table()).forEach(p -> own.computeIfAbsent(p, n -> new ArrayList<>())
+                    proxiesBoundTo(o.table()).forEach(p -> perProxy.computeIfAbsent(p, n -> new ArrayList<>())
                             .add(o));
                 }
             } else if (order instanceof Order.Bind o) {
-                bind(o, own);
+                bind(o, perProxy);
             } else if (order instanceof Order.Mask o) {
                 boolean changed = o.out() ? masked.add(o.server()) : masked.remove(o.server());
                 common.add(o);
                 meters.count(changed ? "orders.masks" : "orders.masks.restated");
             } else if (order instanceof Order.SetLevel o) {
                 if (o.table() == Order.ALL_TABLES) {
-                    if (!levels) {
-                        standing.clear();
+                    if (!levelsChanged) {
+                        globalLevels.clear();
                     }
-                    levels = true;
-                    standing.put(o.groups(), o);
+                    levelsChanged = true;
+                    globalLevels.put(o.groups(), o);
                     common.add(o);
                 } else if (sliced) {
                     common.add(o);
                 } else {
                     table(o.table()).levels.put(o.groups(), o);
-                    bound(o.table()).forEach(p -> own.computeIfAbsent(p, n -> new ArrayList<>())
+                    proxiesBoundTo(o.table()).forEach(p -> perProxy.computeIfAbsent(p, n -> new ArrayList<>())
                             .add(o));
                 }
             } else if (order instanceof Order.Mark o) {
                 if (o.number() < 0) {
-                    // The pause's own; it goes along with the lines it is about.
+                    // A mark of the owner change itself; it is sent along with the lines that it follows.
                     common.add(o);
                 } else {
                     mark = o;
                 }
             } else {
-                elsewhere(now, order);
+                carryOutLocally(now, order);
             }
         }
-        if (!stored.isEmpty()) {
-            keep(now, stored);
+        if (!storeWrites.isEmpty()) {
+            writeToStore(now, storeWrites);
         }
-        messages(now, common, own, mark, levels);
+        enqueueMessages(now, common, perProxy, mark, levelsChanged);
     }
 
     private Table table(int number) {
         return tables.computeIfAbsent(number, n -> new Table());
     }
 
-    private List<Integer> bound(int table) {
-        return joined.entrySet().stream()
-                .filter(e -> e.getValue().bound.containsValue(table))
+    private List<Integer> proxiesBoundTo(int table) {
+        return proxies.entrySet().stream()
+                .filter(e -> e.getValue().tableByGroup.containsValue(table))
                 .map(Map.Entry::getKey)
                 .toList();
     }
 
-    /** A binding brings the whole table along: its lines, its levels and the masks on its servers. */
-    private void bind(Order.Bind order, Map<Integer, List<Order>> own) {
-        Proxy proxy = joined.get(order.proxy());
+    /** Binds a proxy to a table, and sends it the whole table: its lines, its levels and the masks on its servers. */
+    private void bind(Order.Bind order, Map<Integer, List<Order>> perProxy) {
+        Proxy proxy = proxies.get(order.proxy());
         if (proxy == null || sliced) {
             meters.count("orders.bind_odd");
             return;
         }
-        int bits = order.groups() == 0 ? -1 : order.groups();
+        int groupBits = order.groups() == 0 ? -1 : order.groups();
         for (int group = 0; group < config.groups.size(); group++) {
-            if ((bits & 1 << group) != 0) {
-                proxy.bound.put(group, order.table());
+            if ((groupBits & 1 << group) != 0) {
+                proxy.tableByGroup.put(group, order.table());
             }
         }
-        List<Order> list = own.computeIfAbsent(order.proxy(), p -> new ArrayList<>());
+        List<Order> list = perProxy.computeIfAbsent(order.proxy(), p -> new ArrayList<>());
         list.add(order);
         Table table = table(order.table());
         table.lines.forEach((server, weight) -> {
@@ -530,42 +575,43 @@
         list.addAll(table.levels.values());
     }
 
-    private void messages(
-            long now, List<Order> common, Map<Integer, List<Order>> own, Order.Mark mark, boolean levels) {
-        if (common.isEmpty() && own.isEmpty() && (mark == null || !mark.everyProxy())) {
-            // Most turns order nothing: a thousand proxies need not be looked at for that.
+    /** Enqueues one message for each proxy that the orders concern; proxies without orders of their own share its bytes. */
+    private void enqueueMessages(
+            long now, List<Order> common, Map<Integer, List<Order>> perProxy, Order.Mark mark, boolean levelsChanged) {
+        if (common.isEmpty() && perProxy.isEmpty() && (mark == null || !mark.everyProxy())) {
+            // Most turns order nothing, and then need not iterate over a thousand proxies.
             return;
         }
-        List<Order> carried = levels ? List.of() : List.copyOf(standing.values());
-        ByteBuffer shared = null;
+        List<Order> carried = levelsChanged ? List.of() : List.copyOf(globalLevels.values());
+        ByteBuffer sharedBytes = null;
         int sharedLines = 0;
-        for (Map.Entry<Integer, Proxy> each : List.copyOf(joined.entrySet())) {
-            List<Order> mineToo = own.getOrDefault(each.getKey(), List.of());
-            boolean nothing = common.isEmpty() && mineToo.isEmpty();
-            if (nothing && !(mark != null && mark.everyProxy())) {
+        for (Map.Entry<Integer, Proxy> each : List.copyOf(proxies.entrySet())) {
+            List<Order> ownOrders = perProxy.getOrDefault(each.getKey(), List.of());
+            boolean noOrders = common.isEmpty() && ownOrders.isEmpty();
+            if (noOrders && !(mark != null && mark.everyProxy())) {
                 continue;
             }
             ByteBuffer bytes;
             int lines;
-            if (mineToo.isEmpty()) {
-                if (shared == null) {
-                    List<Order> all = join(common, mineToo, mark, carried);
+            if (ownOrders.isEmpty()) {
+                if (sharedBytes == null) {
+                    List<Order> all = concatenate(common, ownOrders, mark, carried);
                     sharedLines = all.size();
-                    shared = writer.bytes(new Frame.Orders(turn, now, carried.size(), all, terms(all)));
+                    sharedBytes = writer.bytes(new Frame.Orders(turn, now, carried.size(), all, terms(all)));
                 }
-                bytes = shared.duplicate();
+                bytes = sharedBytes.duplicate();
                 lines = sharedLines;
             } else {
-                List<Order> all = join(mineToo, common, mark, carried);
+                List<Order> all = concatenate(ownOrders, common, mark, carried);
                 bytes = writer.bytes(new Frame.Orders(turn, now, carried.size(), all, terms(all)));
                 lines = all.size();
             }
-            post(now, each.getKey(), each.getValue(), bytes, config.headLines + lines, mark);
+            enqueue(now, each.getKey(), each.getValue(), bytes, config.headLines + lines, mark);
         }
         meters.add("orders.lines", common.size());
     }
 
-    /** The term of each slice that the orders write to. */
+    /** Returns the lease term of each slice that the orders write to. */
     private List<Frame.Term> terms(List<Order> orders) {
         if (fence == null) {
             return List.of();
@@ -583,7 +629,8 @@
                 .toList();
     }
 
-    private static List<Order> join(List<Order> first, List<Order> second, Order.Mark mark, List<Order> carried) {
+    private static List<Order> concatenate(
+            List<Order> first, List<Order> second, Order.Mark mark, List<Order> carried) {
         List<Order> all = new ArrayList<>(first);
         all.addAll(second);
         if (mark != null) {
@@ -593,41 +640,42 @@
         return all;
     }
 
-    private void post(long now, int number, Proxy proxy, ByteBuffer bytes, double lines, Order.Mark mark) {
-        PacedChannel.Taken taken =
+    private void enqueue(long now, int number, Proxy proxy, ByteBuffer bytes, double lines, Order.Mark mark) {
+        PacedChannel.OfferResult result =
                 channel.offer(now, new PacedChannel.Message(number, proxy.outlet, bytes, lines, now));
-        if (taken == PacedChannel.Taken.QUEUED) {
+        if (result == PacedChannel.OfferResult.QUEUED) {
             if (mark != null) {
                 proxy.marks.addLast(mark.number());
             }
             return;
         }
-        // Guards the limits against any orders whatever; the proxy joins again and is told anew.
-        meters.cause("channel.cut_off", taken);
+        // Enforces the limits whatever is ordered; the proxy reconnects and is sent the full state again.
+        meters.countCause("channel.cut_off", result);
         LOG.atError()
                 .addKeyValue("proxy", number)
                 .addKeyValue("lines", lines)
                 .addKeyValue("waiting", channel.waitingLines())
-                .addKeyValue("cause", taken)
-                .log("a message would break the channel's limit, its proxy is cut off");
-        channel.forget(number);
-        proxy.outlet.close("the channel is full");
+                .addKeyValue("cause", result)
+                .log("message over the limits of the channel to the proxies; disconnecting its proxy");
+        channel.removeProxy(number);
+        proxy.outlet.close("message over the limits of the channel");
     }
 
-    private void elsewhere(long now, Order order) {
+    /** Carries out an order that does not go to proxies. */
+    private void carryOutLocally(long now, Order order) {
         if (order instanceof Order.WakeAt o) {
-            wakes.add(new Wake(o.atNs(), o.label(), wakeNumber++));
+            timers.add(new PendingTimer(o.atNs(), o.label(), timerSequence++));
         } else if (order instanceof Order.Log o) {
             DECISIONS.atInfo().addKeyValue("turn", turn).log(o.text());
         } else if (order instanceof Order.Follow o) {
-            following = o.on();
-            ask(new Frame.Follow(o.on()));
+            subscribed = o.on();
+            askRegistry(new Frame.Follow(o.on()));
         } else if (order instanceof Order.FetchList) {
-            ask(new Frame.Fetch());
+            askRegistry(new Frame.Fetch());
         } else if (order instanceof Order.Probe o) {
             meters.count("probes.sent");
             if (config.probes) {
-                around.probe(o.server(), probed -> offer(new Input.ProbeEnded(probed)));
+                environment.probe(o.server(), probed -> offer(new Input.ProbeEnded(probed)));
             }
         } else if (order instanceof Order.Tell o) {
             ByteBuffer bytes = writer.bytes(new Frame.Peer(config.number, o.text()));
@@ -640,65 +688,69 @@
         }
     }
 
-    private void ask(Frame frame) {
+    private void askRegistry(Frame frame) {
         if (registry != null && registry.send(writer.bytes(frame))) {
             meters.count("registry.asked");
         } else {
             meters.count("registry.unreachable");
-            // Answered as a call that failed, so that the decisions ask again in their own time.
+            // Answered as a broken list, so that the Controller asks again after its own delay.
             offer(new Input.FromRegistry(new Frame.ServerList(Event.ListKind.BROKEN, 0, List.of())));
         }
     }
 
-    private void keep(long now, List<Order> lines) {
+    /** Sends table changes to the store; if they cannot be sent, the latest one for each line is kept for later. */
+    private void writeToStore(long now, List<Order> lines) {
         if (store != null
-                && unstored.isEmpty()
+                && pendingStoreWrites.isEmpty()
                 && store.send(writer.bytes(new Frame.Orders(turn, now, 0, lines, terms(lines))))) {
             return;
         }
         for (Order order : lines) {
             if (order instanceof Order.SetLine o) {
-                unstored.computeIfAbsent(o.table(), t -> new TreeMap<>()).put(o.server(), o);
+                pendingStoreWrites
+                        .computeIfAbsent(o.table(), t -> new TreeMap<>())
+                        .put(o.server(), o);
             } else if (order instanceof Order.ClearTable o) {
-                unstored.put(o.table(), new TreeMap<>(Map.of("", o)));
+                pendingStoreWrites.put(o.table(), new TreeMap<>(Map.of("", o)));
             }
         }
         meters.count("store.delayed");
-        flushStore(now);
+        flushStoreWrites(now);
     }
 
-    private void flushStore(long now) {
+    private void flushStoreWrites(long now) {
         List<Order> all = new ArrayList<>();
-        unstored.values().forEach(slice -> all.addAll(slice.values()));
+        pendingStoreWrites.values().forEach(slice -> all.addAll(slice.values()));
         if (!all.isEmpty()
                 && store != null
                 && store.send(writer.bytes(new Frame.Orders(turn, now, 0, all, terms(all))))) {
-            unstored.clear();
+            pendingStoreWrites.clear();
         }
     }
 
-    /** Says goodbye to all; on the decision thread, at an ordered end. */
-    void bye() {
+    /** Sends a goodbye on all connections; on the decision thread, at an orderly shutdown. */
+    void sendBye() {
         ByteBuffer bytes = writer.bytes(new Frame.Bye());
-        joined.values().forEach(p -> p.outlet.send(bytes.duplicate()));
+        proxies.values().forEach(p -> p.outlet.send(bytes.duplicate()));
         peers.values().forEach(p -> p.send(bytes.duplicate()));
     }
 
-    /** The last word to memory; on the decision thread, at an ordered end. */
-    void remember() {
+    /** Lets the memory save its final state; on the decision thread, at an orderly shutdown. */
+    void saveMemory() {
         memory.ends(controller);
     }
 
-    private Map<String, Object> state() {
-        Map<String, Object> state = new TreeMap<>();
-        state.put("coordinator", config.number + " of " + config.of);
-        state.put("proxies", List.copyOf(joined.keySet()));
-        state.put("slices in charge", mine.size() + " of " + config.slices);
-        state.put("masked", List.copyOf(masked));
-        state.put("registry", registry != null ? "up" : "down");
-        state.put("store", store != null ? "up" : config.store == null ? "none" : "down");
-        state.put("peers", List.copyOf(peers.keySet()));
-        state.put("turn", turn);
-        return state;
+    /** Returns the lines of the admin listener's status answer. */
+    private Map<String, Object> status() {
+        Map<String, Object> status = new TreeMap<>();
+        status.put("coordinator", config.number + " of " + config.of);
+        status.put("proxies", List.copyOf(proxies.keySet()));
+        status.put("slices in charge", ownedSlices.size() + " of " + config.slices);
+        status.put("masked", List.copyOf(masked));
+        status.put("registry", registry != null ? "up" : "down");
+        status.put("store", store != null ? "up" : config.store == null ? "none" : "down");
+        status.put("peers", List.copyOf(peers.keySet()));
+        status.put("turn", turn);
+        return status;
     }
 }
--- a/src/main/java/puffinbarrow/coordinator/Dialer.java
+++ b/src/main/java/puffinbarrow/coordinator/Dialer.java
@@ -14,16 +14,16 @@
 import puffinbarrow.proto.FrameWriter;
 
 /**
- * Keeps one stream to a far end: dials, says hello, waits for the welcome, hands on what comes, and dials again with
- * a growing pause when the stream breaks. Used by coordinators towards registry, store and peers, and by proxies.
- * Calls come on threads of the channel group, one at a time for a stream.
+ * Maintains one connection to a server of the control protocol: connects, sends a hello, waits for the welcome, passes on
+ * frames, and reconnects with growing delays after the connection ends. Coordinators use it towards registry, store and
+ * peers, proxies towards coordinators. Callbacks run on threads of the channel group, one at a time for a connection.
  */
 public final class Dialer implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger("puffinbarrow.net");
-    /** From soon to a second: a registry that restarts is found again at once, one that is gone costs little. */
-    private static final long LEAST_MS = 50;
-
-    private static final long MOST_MS = 1000;
+    /** First delay before reconnecting: a server that restarts is found again soon. It doubles after each attempt. */
+    private static final long MIN_RETRY_MS = 50;
+    /** Longest delay before reconnecting: keeps attempts cheap while a server is gone. */
+    private static final long MAX_RETRY_MS = 1000;
 
     private final Net net;
     private final String name;
@@ -32,14 +32,23 @@
     private final long queueBytes;
     private final int frameBytes;
     private final Consumer<Frame> frames;
-    private final Consumer<Outlet> upOrDown;
+    private final Consumer<Outlet> connectionChanged;
     private volatile Link link;
     private volatile boolean closed;
+    /** While true, no connection is made: simulates a network partition. */
     private volatile boolean cut;
-    private volatile long incarnation;
-    private long pauseMs = LEAST_MS;
 
-    /** @param hello asked for at each dialling; @param upOrDown gets the outlet once welcomed, and null once the stream is gone */
+    private volatile long incarnation;
+    private long retryMs = MIN_RETRY_MS;
+
+    /**
+     * @param name of the server, for the log
+     * @param hello called for each connection attempt
+     * @param queueBytes the most bytes that may wait to be sent
+     * @param frameBytes the longest frame accepted
+     * @param frames receives the frames that come after the welcome
+     * @param upOrDown receives the connection once it is welcomed, and null once it has ended
+     */
     public Dialer(
             Net net,
             String name,
@@ -56,14 +65,15 @@
         this.queueBytes = queueBytes;
         this.frameBytes = frameBytes;
         this.frames = frames;
-        this.upOrDown = upOrDown;
+        this.connectionChanged = upOrDown;
     }
 
-    /** Of the far end that welcomed last: another one is another life of it. */
+    /** Returns the incarnation stated by the last welcome; a new one means that the server has restarted. */
     public long incarnation() {
         return incarnation;
     }
 
+    /** Starts to connect. */
     public Dialer start() {
         dial();
         return this;
@@ -74,103 +84,103 @@
             return;
         }
         if (cut) {
-            later();
+            scheduleRetry();
             return;
         }
-        Stream stream = new Stream();
+        Connection connection = new Connection();
         net.dial(
                 to,
-                stream,
+                connection,
                 queueBytes,
                 up -> {
                     link = up;
-                    stream.link = up;
+                    connection.link = up;
                     up.send(FrameWriter.one(hello.get()));
                     if (closed) {
                         up.close();
                     }
                 },
-                failed -> later());
+                failed -> scheduleRetry());
     }
 
-    private void later() {
+    private void scheduleRetry() {
         if (!closed) {
-            net.schedule(pauseMs, this::dial);
-            pauseMs = Math.min(MOST_MS, pauseMs * 2);
+            net.schedule(retryMs, this::dial);
+            retryMs = Math.min(MAX_RETRY_MS, retryMs * 2);
         }
     }
 
-    /** Cuts the stream and lets none stand until it is healed: how tests and days play a partition. */
+    /** Closes the connection and makes none until this is undone: how tests and days simulate a partition. */
     public void cut(boolean on) {
         cut = on;
-        Link now = link;
-        if (on && now != null) {
-            now.close();
+        Link open = link;
+        if (on && open != null) {
+            open.close();
         }
     }
 
     @Override
     public void close() {
         closed = true;
-        Link now = link;
-        if (now != null) {
-            now.close();
+        Link open = link;
+        if (open != null) {
+            open.close();
         }
     }
 
-    private final class Stream implements Link.Receiver, Outlet {
-        private final FrameReader reader = new FrameReader(frameBytes, this::frame);
+    private final class Connection implements Link.Receiver, Outlet {
+        private final FrameReader reader = new FrameReader(frameBytes, this::onFrame);
         private volatile Link link;
-        private volatile boolean welcome;
+        private volatile boolean welcomed;
 
         @Override
         public void received(Link from, ByteBuffer bytes) {
             try {
                 reader.feed(bytes);
-            } catch (FrameException wrong) {
+            } catch (FrameException invalid) {
                 LOG.atWarn()
                         .addKeyValue("to", name)
-                        .addKeyValue("cause", wrong.why())
-                        .log(wrong.getMessage());
-                from.close(Link.Cause.BAD_INPUT, wrong.getMessage());
+                        .addKeyValue("cause", invalid.why())
+                        .log(invalid.getMessage());
+                from.close(Link.Cause.BAD_INPUT, invalid.getMessage());
             }
         }
 
-        private void frame(Frame frame) {
+        private void onFrame(Frame frame) {
             if (frame instanceof Frame.Welcome w) {
                 incarnation = w.incarnation();
-                pauseMs = LEAST_MS;
-                welcome = true;
-                upOrDown.accept(this);
+                retryMs = MIN_RETRY_MS;
+                welcomed = true;
+                connectionChanged.accept(this);
             } else if (frame instanceof Frame.Ping ping) {
                 send(FrameWriter.one(new Frame.Pong(ping.number())));
             } else if (frame instanceof Frame.Refusal refusal) {
                 LOG.atWarn()
                         .addKeyValue("to", name)
                         .addKeyValue("why", refusal.why())
-                        .log("refused: {}", refusal.text());
+                        .log("connection refused: {}", refusal.text());
                 link.close();
             } else if (frame instanceof Frame.Bye) {
                 link.close();
-            } else if (welcome) {
+            } else if (welcomed) {
                 frames.accept(frame);
             }
         }
 
         @Override
         public void ended(Link from, Link.Cause cause, String detail) {
-            if (welcome) {
-                welcome = false;
-                upOrDown.accept(null);
-                LOG.atInfo().addKeyValue("to", name).addKeyValue("cause", cause).log("stream ended {}", detail);
+            if (welcomed) {
+                welcomed = false;
+                connectionChanged.accept(null);
+                LOG.atInfo().addKeyValue("to", name).addKeyValue("cause", cause).log("connection ended {}", detail);
             }
-            later();
+            scheduleRetry();
         }
 
         @Override
         public boolean send(ByteBuffer bytes) {
-            Link now = link;
-            return now != null && now.send(bytes);
+            Link open = link;
+            return open != null && open.send(bytes);
         }
 
         @Override
--- a/src/main/java/puffinbarrow/coordinator/BatchFile.java
+++ b/src/main/java/puffinbarrow/coordinator/FailedBatchFile.java
@@ -11,9 +11,12 @@
 import java.util.Map;
 import puffinbarrow.control.Event;
 
-/** Keeps a batch that the decisions failed on, as JSON: the time, and each event by its record's names. */
-final class BatchFile {
-    private BatchFile() {}
+/**
+ * Writes a batch of events that a decision turn failed on as JSON: the time, and each event under the names of its record
+ * type and components.
+ */
+final class FailedBatchFile {
+    private FailedBatchFile() {}
 
     static void write(Path file, long now, List<Event> batch) throws IOException {
         try (JsonGenerator out = new JsonFactory().createGenerator(Files.newOutputStream(file), JsonEncoding.UTF8)) {
@@ -22,37 +25,37 @@
             out.writeNumberField("now", now);
             out.writeArrayFieldStart("events");
             for (Event event : batch) {
-                value(out, event);
+                writeValue(out, event);
             }
             out.writeEndArray();
             out.writeEndObject();
         }
     }
 
-    private static void value(JsonGenerator out, Object value) throws IOException {
+    private static void writeValue(JsonGenerator out, Object value) throws IOException {
         if (value instanceof Record record) {
             out.writeStartObject();
             out.writeStringField("is", record.getClass().getSimpleName());
-            for (RecordComponent part : record.getClass().getRecordComponents()) {
-                out.writeFieldName(part.getName());
+            for (RecordComponent component : record.getClass().getRecordComponents()) {
+                out.writeFieldName(component.getName());
                 try {
-                    value(out, part.getAccessor().invoke(record));
-                } catch (ReflectiveOperationException hidden) {
-                    throw new IOException(hidden);
+                    writeValue(out, component.getAccessor().invoke(record));
+                } catch (ReflectiveOperationException inaccessible) {
+                    throw new IOException(inaccessible);
                 }
             }
             out.writeEndObject();
         } else if (value instanceof List<?> list) {
             out.writeStartArray();
             for (Object each : list) {
-                value(out, each);
+                writeValue(out, each);
             }
             out.writeEndArray();
         } else if (value instanceof Map<?, ?> map) {
             out.writeStartObject();
             for (Map.Entry<?, ?> each : map.entrySet()) {
                 out.writeFieldName(each.getKey().toString());
-                value(out, each.getValue());
+                writeValue(out, each.getValue());
             }
             out.writeEndObject();
         } else if (value instanceof Number || value instanceof Boolean) {
--- a/src/main/java/puffinbarrow/coordinator/Failures.java
+++ b/src/main/java/puffinbarrow/coordinator/Failures.java
@@ -2,22 +2,24 @@
 
 import java.util.ArrayDeque;
 
-/** Counts failures of the decisions; for the one thread that calls them. */
+/** Counts failed decision turns within a sliding window. Used on the decision thread of a coordinator or service only. */
 public final class Failures {
-    /** Within {@link #SPAN_NS}, after which a host gives up: a state that throws five times in a minute will not mend
-     * itself, and a restart begins with what stands. */
-    static final int MOST = 5;
+    /**
+     * Failures within {@link #WINDOW_NS} after which the process gives up: a state that fails five times in a minute will
+     * not recover by itself, while a restart begins with the tables in force.
+     */
+    static final int MAX_FAILURES = 5;
 
-    private static final long SPAN_NS = 60_000_000_000L;
+    private static final long WINDOW_NS = 60_000_000_000L;
 
     private final ArrayDeque<Long> times = new ArrayDeque<>();
 
-    /** Another one at that time; true if it is time to give up. */
+    /** Notes a failure at that time; returns whether there have been too many. */
     public boolean tooMany(long now) {
         times.addLast(now);
-        while (now - times.peekFirst() > SPAN_NS) {
+        while (now - times.peekFirst() > WINDOW_NS) {
             times.pollFirst();
         }
-        return times.size() >= MOST;
+        return times.size() >= MAX_FAILURES;
     }
 }
--- a/src/main/java/puffinbarrow/coordinator/Holder.java
+++ b/src/main/java/puffinbarrow/coordinator/Holder.java
@@ -18,127 +18,140 @@
 import puffinbarrow.proto.Frame;
 
 /**
- * The lease core with the store's stream and a timer around it. Its steps become frames to the store and charges for the
- * coordinator's core; a slice's charge is given once its table has been read, which is after its voice was written. The
- * decision thread reads terms and the end of the lease without waiting; all else is guarded by this.
+ * Holds the slice leases of one coordinator: connects the lease state machine ({@link Lease}) to the store and a timer.
+ * Its steps become frames to the store, and inputs that give slices to the coordinator's core or take them away. A slice
+ * is given once its table has been read from the store, which happens after its ownership record was written. The
+ * decision thread reads terms and the end of the lease without locking; everything else is guarded by this.
  */
 public final class Holder implements Core.Fence {
-    /** Its clock and timer: the system's, or an emulator's. */
+    /** A clock and timer: the system's, or the emulator's. */
     public interface Timing {
+        /** Returns the time in nanoseconds. */
         long now();
 
+        /** Runs the task after that many nanoseconds. */
         void after(long ns, Runnable work);
     }
 
     private static final Logger LOG = LoggerFactory.getLogger("puffinbarrow.lease");
-    /** Ticks in a lease: a silence ends at most a twentieth of a lease late. */
-    private static final int TICKS = 20;
+    /** Timer ticks in one lease duration: an expired lease is noticed at most a twentieth of its duration late. */
+    private static final int TICKS_PER_LEASE = 20;
+    /** Poll interval while slices are handed on. */
+    private static final long LEAVE_POLL_MS = 10;
 
     private final CoordinatorConfig config;
     private final Timing timing;
-    private final Predicate<Input> charges;
+    private final Predicate<Input> inbox;
     private final Meters meters;
     private final Lease lease;
+    /** The lease term of each slice, or 0 if the slice may not be written to. */
     private final AtomicLongArray terms;
-    /** Begun, but their tables have not come from the store yet. */
-    private final Map<Integer, Long> beginning = new HashMap<>();
+    /** Terms by slice, for slices whose lease began but whose table has not arrived from the store. */
+    private final Map<Integer, Long> awaitingTable = new HashMap<>();
 
-    private volatile long speakUntil = Long.MIN_VALUE;
+    /** When the lease ends, by the clock of {@link #timing}. */
+    private volatile long leaseEndsNs = Long.MIN_VALUE;
+    /** Sends a frame to the store; null while there is no connection. */
     private Consumer<Frame> store;
 
+    /** @param charges the core's inbox */
     public Holder(CoordinatorConfig config, long incarnation, Timing timing, Predicate<Input> charges, Meters meters) {
         this.config = config;
         this.timing = timing;
-        this.charges = charges;
+        this.inbox = charges;
         this.meters = meters;
         meters.gauge("lease.voices", this, Holder::held);
         this.terms = new AtomicLongArray(config.slices);
         this.lease = new Lease(
-                new Lease.Settings(config.number, config.slices, config.leaseNs, Math.max(8, config.slices / TICKS)),
+                new Lease.Settings(
+                        config.number, config.slices, config.leaseNs, Math.max(8, config.slices / TICKS_PER_LEASE)),
                 incarnation);
     }
 
+    /** Starts the timer. */
     public void start() {
-        timing.after(config.leaseNs / TICKS, this::tick);
+        timing.after(config.leaseNs / TICKS_PER_LEASE, this::tick);
     }
 
     private void tick() {
         synchronized (this) {
-            carry(lease.tick(timing.now()));
+            carryOut(lease.tick(timing.now()));
         }
         start();
     }
 
-    /** The store's stream stands, and takes frames; or it is gone (null). */
+    /** Notes a new connection to the store, which takes frames, or its end (null). */
     public synchronized void store(Consumer<Frame> up) {
         store = up;
-        beginning.clear();
+        awaitingTable.clear();
         if (up == null) {
-            carry(lease.disconnected(timing.now()));
+            carryOut(lease.disconnected(timing.now()));
         } else {
-            carry(lease.connected(timing.now()));
+            carryOut(lease.connected(timing.now()));
             up.accept(new Frame.Watch());
-            // Tables asked for on the former stream.
+            // Ask again for tables that were asked for over the previous connection.
             for (int slice = 0; slice < config.slices; slice++) {
                 if (lease.speaks(slice) && terms.get(slice) == 0) {
-                    begin(slice, lease.term(slice));
+                    requestTable(slice, lease.term(slice));
                 }
             }
         }
     }
 
+    /** Handles a frame from the store. */
     public synchronized void frame(Frame frame) {
         long now = timing.now();
         if (frame instanceof Frame.MemberRecord f) {
-            carry(lease.member(
+            carryOut(lease.member(
                     now,
                     f.revision(),
                     new Member(f.number(), f.incarnation(), f.beat(), f.settled(), f.leaving(), f.flaps(), f.dead())));
         } else if (frame instanceof Frame.VoiceRecord f && f.slice() >= 0 && f.slice() < config.slices) {
-            carry(lease.voice(now, f.slice(), f.revision(), new Voice(f.owner(), f.incarnation(), f.term())));
+            carryOut(lease.voice(now, f.slice(), f.revision(), new Voice(f.owner(), f.incarnation(), f.term())));
         } else if (frame instanceof Frame.Written f) {
             meters.count(f.applied() ? "lease.writes" : "lease.writes.lost");
-            carry(lease.answered(now, f.id(), f.applied()));
+            carryOut(lease.answered(now, f.id(), f.applied()));
         } else if (frame instanceof Frame.Synced) {
-            carry(lease.synced(now));
+            carryOut(lease.synced(now));
         } else if (frame instanceof Frame.Stale f) {
             stale(f.slice(), f.term());
         } else if (frame instanceof Frame.Stored f) {
-            Long term = beginning.remove(f.slice());
+            Long term = awaitingTable.remove(f.slice());
             if (term != null && lease.speaks(f.slice())) {
                 terms.set(f.slice(), term);
-                charges.test(new Input.FromStore(new Frame.Charge(f.slice(), true)));
-                charges.test(new Input.FromStore(f));
+                inbox.test(new Input.FromStore(new Frame.Charge(f.slice(), true)));
+                inbox.test(new Input.FromStore(f));
             }
         }
     }
 
-    /** A proxy or the store has seen a later term. */
+    /** Notes that a proxy or the store has seen a later term of a slice. */
     public synchronized void stale(int slice, long term) {
         meters.count("lease.told_stale");
         if (slice >= 0 && slice < config.slices) {
-            carry(lease.toldStale(timing.now(), slice, term));
+            carryOut(lease.toldStale(timing.now(), slice, term));
         }
     }
 
+    /** Starts to hand all slices on to other coordinators. */
     public synchronized void leave() {
-        carry(lease.leave(timing.now()));
+        carryOut(lease.leave(timing.now()));
     }
 
-    /** Hands on what others can take, and waits for it that long at most. */
+    /** Hands all slices on, and waits up to the given time while there are other members to take them. */
     void leaveWithin(long ns) {
         leave();
-        long until = timing.now() + ns;
+        long deadlineNs = timing.now() + ns;
         try {
-            while (timing.now() < until && others() && held() > 0) {
-                Thread.sleep(10);
+            while (timing.now() < deadlineNs && otherMembersAlive() && held() > 0) {
+                Thread.sleep(LEAVE_POLL_MS);
             }
-        } catch (InterruptedException hurried) {
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private synchronized boolean others() {
+    private synchronized boolean otherMembersAlive() {
         return lease.living(timing.now()).size() > 1;
     }
 
@@ -146,7 +159,8 @@
         return lease.held();
     }
 
-    private void carry(List<Step> steps) {
+    /** Carries out the steps that the lease state machine returned. */
+    private void carryOut(List<Step> steps) {
         for (Step step : steps) {
             if (step instanceof Step.WriteMember s) {
                 Member m = s.value();
@@ -161,7 +175,7 @@
                         m.dead(),
                         m.flaps()));
                 if (m.dead()) {
-                    LOG.atWarn().addKeyValue("member", m.number()).log("its lease ran out, its record is closed");
+                    LOG.atWarn().addKeyValue("member", m.number()).log("lease of a member expired; closing its record");
                 }
             } else if (step instanceof Step.WriteVoice s) {
                 send(new Frame.VoiceRecord(
@@ -172,23 +186,24 @@
                         s.value().incarnation(),
                         s.value().term()));
             } else if (step instanceof Step.Begin s) {
-                begin(s.slice(), s.term());
+                requestTable(s.slice(), s.term());
             } else if (step instanceof Step.End s) {
-                beginning.remove(s.slice());
-                meters.cause("lease.ended", s.why());
+                awaitingTable.remove(s.slice());
+                meters.countCause("lease.ended", s.why());
                 if (terms.getAndSet(s.slice(), 0) != 0) {
-                    charges.test(new Input.FromStore(new Frame.Charge(s.slice(), false)));
+                    inbox.test(new Input.FromStore(new Frame.Charge(s.slice(), false)));
                 }
             } else if (step instanceof Step.Left) {
-                LOG.atInfo().log("all charges are handed on");
+                LOG.atInfo().log("all slices are handed on");
             }
         }
-        speakUntil = lease.speakUntilNs();
+        leaseEndsNs = lease.speakUntilNs();
     }
 
-    private void begin(int slice, long term) {
+    /** Reads the table of a slice whose lease began. */
+    private void requestTable(int slice, long term) {
         meters.count("lease.begun");
-        beginning.put(slice, term);
+        awaitingTable.put(slice, term);
         send(new Frame.ReadSlice(slice));
     }
 
@@ -199,8 +214,8 @@
     }
 
     @Override
-    public boolean open(long now) {
-        return timing.now() < speakUntil;
+    public boolean mayWrite(long now) {
+        return timing.now() < leaseEndsNs;
     }
 
     @Override
@@ -208,28 +223,28 @@
         return slice < 0 || slice >= terms.length() ? 0 : terms.get(slice);
     }
 
-    /** For status: members as seen here, voices held, the range of their terms. */
+    /** Returns the lines of the status answer: members as seen here, slices held, the range of their terms. */
     synchronized Map<String, Object> state() {
         Map<String, Object> state = new TreeMap<>();
         List<String> members = new ArrayList<>();
         for (Member m : lease.living(timing.now())) {
             members.add(m.number() + (m.leaving() ? " leaving" : m.settled() ? "" : " not settled"));
         }
-        long least = Long.MAX_VALUE;
-        long most = 0;
+        long minTerm = Long.MAX_VALUE;
+        long maxTerm = 0;
         int held = 0;
         for (int slice = 0; slice < config.slices; slice++) {
             long term = terms.get(slice);
             if (term > 0) {
                 held++;
-                least = Math.min(least, term);
-                most = Math.max(most, term);
+                minTerm = Math.min(minTerm, term);
+                maxTerm = Math.max(maxTerm, term);
             }
         }
         state.put("members", members);
         state.put("voices", held);
-        state.put("terms", held == 0 ? "none" : least + " to " + most);
-        state.put("lease", Math.max(0, (speakUntil - timing.now()) / 1_000_000) + " ms left");
+        state.put("terms", held == 0 ? "none" : minTerm + " to " + maxTerm);
+        state.put("lease", Math.max(0, (leaseEndsNs - timing.now()) / 1_000_000) + " ms left");
         return state;
     }
 }
--- a/src/main/java/puffinbarrow/coordinator/Inbox.java
+++ b/src/main/java/puffinbarrow/coordinator/Inbox.java
@@ -8,32 +8,37 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * What came and was not decided yet. Any thread offers, the decision thread drains. Nothing is ever lost: a stream
- * that offers into a full inbox stops reading until the next drain, so what waits is at most the limit and one read's
- * worth of frames for each stream.
+ * A queue of inputs for the decision thread. Any thread offers, one thread drains. Nothing is dropped: a connection that
+ * offers into a full inbox stops reading until the next drain, so that at most the limit and one read's worth of inputs
+ * for each connection wait.
  */
 public final class Inbox<T> {
     private final ConcurrentLinkedQueue<T> queue = new ConcurrentLinkedQueue<>();
-    private final ConcurrentLinkedQueue<Runnable> stopped = new ConcurrentLinkedQueue<>();
+    private final ConcurrentLinkedQueue<Runnable> toResume = new ConcurrentLinkedQueue<>();
     private final AtomicInteger size = new AtomicInteger();
     private final AtomicLong offered = new AtomicLong();
     private volatile int limit;
+    /** The draining thread, woken by each input; null before it is known. */
     private volatile Thread reader;
+    /** How often a connection stopped reading. */
     private volatile long overflows;
 
+    /** @param limit inputs from which on {@link #offer} asks its callers to stop, and the most that one drain returns */
     public Inbox(int limit) {
         this.limit = limit;
     }
 
+    /** Changes the limit. */
     void limit(int frames) {
         limit = frames;
     }
 
+    /** Sets the thread to wake when there is something to do. */
     public void reader(Thread thread) {
         reader = thread;
     }
 
-    /** Takes it in any case; false asks the caller's stream to stop reading, {@link #stopped} to be told when to go on. */
+    /** Adds an input; if this returns false, the caller must stop reading and call {@link #stopped}. */
     public boolean offer(T input) {
         queue.add(input);
         offered.incrementAndGet();
@@ -42,22 +47,22 @@
         return now < limit;
     }
 
-    /** Notes how a stream that stopped is resumed; it is after the next drain. */
+    /** Notes a connection that stopped reading; {@code resume} is called by the next drain. */
     public void stopped(Runnable resume) {
         overflows++;
-        stopped.add(resume);
+        toResume.add(resume);
         LockSupport.unpark(reader);
     }
 
     public boolean isEmpty() {
-        return queue.isEmpty() && stopped.isEmpty();
+        return queue.isEmpty() && toResume.isEmpty();
     }
 
     public int size() {
         return size.get();
     }
 
-    /** How many were ever offered. */
+    /** Returns how many inputs were ever offered. */
     long offered() {
         return offered.get();
     }
@@ -66,16 +71,17 @@
         return overflows;
     }
 
+    /** Removes the waiting inputs, up to the limit, and resumes the connections that stopped reading. */
     public List<T> drain() {
-        List<T> all = new ArrayList<>();
-        // No more than the limit in one turn: a flood is decided in portions, and timers come in between.
-        for (T next = queue.poll(); next != null; next = all.size() < limit ? queue.poll() : null) {
-            all.add(next);
+        List<T> drained = new ArrayList<>();
+        // No more than the limit at a time, so that timers still run between the batches of a flood.
+        for (T next = queue.poll(); next != null; next = drained.size() < limit ? queue.poll() : null) {
+            drained.add(next);
             size.decrementAndGet();
         }
-        for (Runnable next = stopped.poll(); next != null; next = stopped.poll()) {
+        for (Runnable next = toResume.poll(); next != null; next = toResume.poll()) {
             next.run();
         }
-        return all;
+        return drained;
     }
 }
--- a/src/main/java/puffinbarrow/coordinator/Input.java
+++ b/src/main/java/puffinbarrow/coordinator/Input.java
@@ -1,35 +1,45 @@
 package puffinbarrow.coordinator;
 
+import java.util.Map;
+import java.util.function.Consumer;
 import puffinbarrow.control.Event;
 import puffinbarrow.proto.Frame;
 
-/** What may lie in the core's inbox: whatever the threads of the channels made of what came. */
+/** The inputs of {@link Core}, put into its inbox by the threads that receive them. */
 public sealed interface Input {
-    /** The welcome is the core's to send: from then on every order reaches the stream, see Core.joined. */
+    /** A proxy's hello was accepted; the core sends the welcome itself, as every order from then on must reach the proxy. */
     record Joined(Frame.Hello hello, Outlet outlet, Frame.Welcome welcome) implements Input {}
 
+    /** A proxy's connection ended. */
     record Left(int proxy, Outlet outlet) implements Input {}
 
+    /** A report or acknowledgement from a proxy, with the connection that it came on. */
     record FromProxy(int proxy, Outlet outlet, Frame frame) implements Input {}
 
+    /** A server list from the registry. */
     record FromRegistry(Frame.ServerList list) implements Input {}
 
-    /** The registry's stream stands (its outlet) or is gone (null). */
+    /** The connection to the registry is up, or has ended (null). */
     record RegistryUp(Outlet outlet) implements Input {}
 
+    /** The connection to the store is up, or has ended (null). */
     record StoreUp(Outlet outlet) implements Input {}
 
+    /** A frame from the store. */
     record FromStore(Frame frame) implements Input {}
 
+    /** A message from a peer coordinator. */
     record FromPeer(int sender, String text) implements Input {}
 
+    /** The connection to a peer coordinator is up, or has ended (null). */
     record PeerUp(int peer, Outlet outlet) implements Input {}
 
+    /** The outcome of a probe. */
     record ProbeEnded(Event.Probed probed) implements Input {}
 
-    /** Somebody asks how things stand; answered on the decision thread. */
-    record Ask(java.util.function.Consumer<java.util.Map<String, Object>> answer) implements Input {}
+    /** An admin client asks for the status; {@code answer} is called on the decision thread. */
+    record StatusRequest(Consumer<Map<String, Object>> answer) implements Input {}
 
-    /** A drill or a test: the channel sends at this part of its pace. */
+    /** Slows the channel to the proxies to this fraction of its configured rate, above 0 and up to 1. */
     record Pace(double part) implements Input {}
 }
--- a/src/main/java/puffinbarrow/coordinator/Remembering.java
+++ b/src/main/java/puffinbarrow/coordinator/KeeperMemory.java
@@ -12,31 +12,35 @@
 import puffinbarrow.memory.Notes;
 import puffinbarrow.memory.Recall;
 
-/** Joins a core to a keeper: notes what passes, hands changes over twice a second, recalls at the first list. */
-final class Remembering implements Core.Memory {
+/**
+ * The core's memory on disk: notes events and orders, passes changes to the {@link Keeper} twice a second, and recalls
+ * what an earlier process learned at the first server list. Runs on the decision thread; the keeper writes on its own.
+ */
+final class KeeperMemory implements Core.Memory {
     private static final Logger LOG = LoggerFactory.getLogger("puffinbarrow.memory");
-    /** Twice a second: a restart then knows what a round of sums ago was known. */
-    private static final long EVERY_NS = 500_000_000L;
+    /** A restart loses no more than about one reporting round. */
+    private static final long SAVE_INTERVAL_NS = 500_000_000L;
 
     private final Keeper keeper;
     private final Notes notes;
-    private long nextAt = Long.MIN_VALUE;
+    private long nextSaveNs = Long.MIN_VALUE;
 
-    Remembering(Keeper keeper, long incarnation) {
+    KeeperMemory(Keeper keeper, long incarnation) {
         this.keeper = keeper;
         this.notes = new Notes(incarnation);
         notes.resume(keeper.remembered());
     }
 
-    private static long wall() {
+    /** Returns the wall-clock time in nanoseconds since the epoch. */
+    private static long wallClockNs() {
         return TimeUnit.MILLISECONDS.toNanos(System.currentTimeMillis());
     }
 
     @Override
     public List<Event.Recalled> recall(List<Event.Entry> list) {
-        List<String> words = new ArrayList<>();
-        List<Event.Recalled> events = Recall.of(keeper.remembered(), list, wall(), words);
-        words.forEach(LOG::info);
+        List<String> summaries = new ArrayList<>();
+        List<Event.Recalled> events = Recall.of(keeper.remembered(), list, wallClockNs(), summaries);
+        summaries.forEach(LOG::info);
         if (!events.isEmpty()) {
             LOG.atInfo().addKeyValue("facts", events.size()).log("recalled");
         }
@@ -45,17 +49,17 @@
 
     @Override
     public void decided(long now, List<Event> events, List<Order> orders, Controller controller) {
-        long wall = wall();
-        notes.heard(wall, events);
+        long wallNs = wallClockNs();
+        notes.heard(wallNs, events);
         notes.ordered(orders);
-        if (now >= nextAt) {
-            nextAt = now + EVERY_NS;
-            keeper.offer(notes.changed(wall, now, false, controller.known()));
+        if (now >= nextSaveNs) {
+            nextSaveNs = now + SAVE_INTERVAL_NS;
+            keeper.offer(notes.changed(wallNs, now, false, controller.known()));
         }
     }
 
     @Override
     public void ends(Controller controller) {
-        keeper.offer(notes.changed(wall(), System.nanoTime(), true, controller.known()));
+        keeper.offer(notes.changed(wallClockNs(), System.nanoTime(), true, controller.known()));
     }
 }
--- a/src/main/java/puffinbarrow/coordinator/Meters.java
+++ b/src/main/java/puffinbarrow/coordinator/Meters.java
@@ -13,15 +13,17 @@
 import java.util.TreeMap;
 import java.util.function.ToDoubleFunction;
 
-/** Counters and gauges under their dotted names; any thread may count. Printed by the admin listener. */
+/** Counters and gauges by name, for any thread; printed by the admin listener. */
 public final class Meters {
     private final MeterRegistry registry;
     private final DistributionSummary turnMicros;
 
+    /** Creates meters in a registry of their own. */
     public Meters() {
         this(new SimpleMeterRegistry());
     }
 
+    /** Creates meters in the given registry. */
     public Meters(MeterRegistry registry) {
         this.registry = registry;
         this.turnMicros = DistributionSummary.builder("turn.us")
@@ -37,8 +39,8 @@
         Counter.builder(name).register(registry).increment(by);
     }
 
-    /** Counts under a cause, as {@code refused{cause=checksum}}. */
-    void cause(String name, Enum<?> cause) {
+    /** Counts with a cause as label, such as {@code frames.refused{cause=checksum}}. */
+    void countCause(String name, Enum<?> cause) {
         Counter.builder(name)
                 .tag("cause", cause.name().toLowerCase(Locale.ROOT))
                 .register(registry)
@@ -49,15 +51,17 @@
         Gauge.builder(name, of, value).register(registry);
     }
 
+    /** Records the duration of a decision turn. */
     void turn(long ns) {
         turnMicros.record(ns / 1e3);
     }
 
+    /** Returns the registry that holds the meters. */
     public MeterRegistry registry() {
         return registry;
     }
 
-    /** All values by name, sorted; of a summary its count, sum and most. */
+    /** Returns all values, sorted by name; a distribution summary has its count, total and maximum. */
     public Map<String, Double> values() {
         Map<String, Double> values = new TreeMap<>();
         for (Meter meter : registry.getMeters()) {
--- a/src/main/java/puffinbarrow/coordinator/Outlet.java
+++ b/src/main/java/puffinbarrow/coordinator/Outlet.java
@@ -2,12 +2,14 @@
 
 import java.nio.ByteBuffer;
 
-/** Where the core sends to: one stream. Calls never block; a stream that is gone says so with false. */
+/** The sending side of one connection, as the core uses it. Calls never block. */
 public interface Outlet {
+    /** Queues an encoded frame; returns false if the connection has ended or its queue is full. */
     boolean send(ByteBuffer bytes);
 
+    /** Closes the connection, with a reason for the log. */
     void close(String why);
 
-    /** Takes up reading again, if a full inbox had stopped it. */
+    /** Resumes reading after a full inbox stopped it. */
     default void resume() {}
 }
--- a/src/main/java/puffinbarrow/coordinator/PacedChannel.java
+++ b/src/main/java/puffinbarrow/coordinator/PacedChannel.java
@@ -6,120 +6,132 @@
 import java.util.Map;
 
 /**
- * The one channel that all messages to proxies leave by, one after the other, at a set number of lines a second; a
- * message counts its lines and a head. No I/O and no clock of its own. It holds two limits however wrong the orders
- * are: lines that wait, and messages to one proxy within a span. A message that would break one is not queued, and
- * the caller cuts that proxy off: it joins again and is told anew, which loses nothing, where a message silently
- * dropped would.
+ * The rate-limited queue through which all messages to proxies leave, one after the other, at a fixed number of lines a
+ * second. The size of a message is its number of lines plus a fixed overhead. Two limits hold whatever is ordered: the
+ * lines waiting, and the messages to one proxy within a time window. A message over a limit is not queued, and the
+ * caller disconnects its proxy, which reconnects and is sent the full state; dropping the message would lose it. Used by
+ * {@link Core} on the decision thread; the time is passed in.
  */
 final class PacedChannel {
+    /** An encoded message; {@code lines} is its size, overhead included. */
     record Message(int proxy, Outlet to, ByteBuffer bytes, double lines, long orderedAtNs) {}
 
-    enum Taken {
+    /** Whether a message was queued, or which limit it was over. */
+    enum OfferResult {
         QUEUED,
         QUEUE_FULL,
         TOO_MANY_MESSAGES
     }
 
-    private final double limit;
+    private final double maxWaitingLines;
     private final double linesPerS;
-    private final int messages;
-    private final long spanNs;
+    /** Messages allowed to one proxy within {@link #windowNs}; 0: any number. */
+    private final int maxMessages;
+
+    private final long windowNs;
     private final ArrayDeque<Message> queue = new ArrayDeque<>();
-    private final Map<Integer, ArrayDeque<Long>> written = new HashMap<>();
+    /** When the latest messages to each proxy were queued. */
+    private final Map<Integer, ArrayDeque<Long>> queuedTimes = new HashMap<>();
+    /** Lines in the queue. */
     private double waiting;
-    private double most;
-    private double part = 1;
-    /** When the message at the head has left, were it to begin when the one before it was done. */
-    private long freeAtNs = Long.MIN_VALUE;
 
-    private long sent;
+    private double peakWaiting;
+    /** The fraction of the configured rate at which lines leave now, above 0 and up to 1. */
+    private double paceFraction = 1;
+    /** When the message at the head has been sent in full at the current pace. */
+    private long headSentAtNs = Long.MIN_VALUE;
+
+    private long sentMessages;
     private double sentLines;
 
-    PacedChannel(double limit, double linesPerS, int messages, long spanNs) {
-        this.limit = limit;
+    PacedChannel(double maxWaitingLines, double linesPerS, int maxMessages, long windowNs) {
+        this.maxWaitingLines = maxWaitingLines;
         this.linesPerS = linesPerS;
-        this.messages = messages;
-        this.spanNs = spanNs;
+        this.maxMessages = maxMessages;
+        this.windowNs = windowNs;
     }
 
-    Taken offer(long now, Message message) {
-        if (waiting + message.lines > limit) {
-            return Taken.QUEUE_FULL;
+    /** Queues a message unless that would break a limit. */
+    OfferResult offer(long now, Message message) {
+        if (waiting + message.lines > maxWaitingLines) {
+            return OfferResult.QUEUE_FULL;
         }
-        if (messages > 0) {
-            ArrayDeque<Long> times = written.computeIfAbsent(message.proxy, p -> new ArrayDeque<>());
-            while (!times.isEmpty() && now - times.peekFirst() > spanNs) {
+        if (maxMessages > 0) {
+            ArrayDeque<Long> times = queuedTimes.computeIfAbsent(message.proxy, p -> new ArrayDeque<>());
+            while (!times.isEmpty() && now - times.peekFirst() > windowNs) {
                 times.pollFirst();
             }
-            if (times.size() >= messages) {
-                return Taken.TOO_MANY_MESSAGES;
+            if (times.size() >= maxMessages) {
+                return OfferResult.TOO_MANY_MESSAGES;
             }
             times.addLast(now);
         }
         if (queue.isEmpty()) {
-            freeAtNs = Math.max(freeAtNs, now) + duration(message);
+            headSentAtNs = Math.max(headSentAtNs, now) + duration(message);
         }
         queue.addLast(message);
         waiting += message.lines;
-        most = Math.max(most, waiting);
-        return Taken.QUEUED;
+        peakWaiting = Math.max(peakWaiting, waiting);
+        return OfferResult.QUEUED;
     }
 
+    /** Returns how long a message takes to send at the current pace, in nanoseconds. */
     private long duration(Message message) {
-        return (long) (message.lines / (linesPerS * part) * 1e9);
+        return (long) (message.lines / (linesPerS * paceFraction) * 1e9);
     }
 
-    /** The next message that has left by now, or null. */
+    /** Removes and returns the next message that is due by now, or returns null. */
     Message poll(long now) {
         Message head = queue.peekFirst();
-        if (head == null || now < freeAtNs) {
+        if (head == null || now < headSentAtNs) {
             return null;
         }
         queue.pollFirst();
         waiting = queue.isEmpty() ? 0 : waiting - head.lines;
-        sent++;
+        sentMessages++;
         sentLines += head.lines;
         Message next = queue.peekFirst();
         if (next != null) {
-            freeAtNs += duration(next);
+            headSentAtNs += duration(next);
         }
         return head;
     }
 
-    /** When {@link #poll} gives the next one; the end of time if nothing waits. */
+    /** Returns when {@link #poll} has the next message; Long.MAX_VALUE if none waits. */
     long nextAtNs() {
-        return queue.isEmpty() ? Long.MAX_VALUE : freeAtNs;
+        return queue.isEmpty() ? Long.MAX_VALUE : headSentAtNs;
     }
 
-    /** A proxy's stream is gone: what waits for it is lost, and its count of messages begins anew. */
-    void forget(int proxy) {
+    /** Discards the messages to a proxy whose connection ended, and resets its message count. */
+    void removeProxy(int proxy) {
         Message head = queue.peekFirst();
         queue.removeIf(m -> m.proxy == proxy);
-        written.remove(proxy);
+        queuedTimes.remove(proxy);
         waiting = queue.stream().mapToDouble(Message::lines).sum();
         if (head != queue.peekFirst() && !queue.isEmpty()) {
-            freeAtNs += duration(queue.peekFirst()) - duration(head);
+            headSentAtNs += duration(queue.peekFirst()) - duration(head);
         }
     }
 
-    void pace(long now, double newPart) {
-        if (!queue.isEmpty() && freeAtNs > now) {
-            freeAtNs = now + (long) ((freeAtNs - now) * part / newPart);
+    /** Changes the pace; the rest of the message being sent takes proportionally longer or shorter. */
+    void setPace(long now, double newFraction) {
+        if (!queue.isEmpty() && headSentAtNs > now) {
+            headSentAtNs = now + (long) ((headSentAtNs - now) * paceFraction / newFraction);
         }
-        part = newPart;
+        paceFraction = newFraction;
     }
 
     double waitingLines() {
         return waiting;
     }
 
-    double mostWaiting() {
-        return most;
+    /** Returns the most lines that ever waited. */
+    double peakWaitingLines() {
+        return peakWaiting;
     }
 
     long sentMessages() {
-        return sent;
+        return sentMessages;
     }
 
     double sentLines() {
--- a/src/main/java/puffinbarrow/coordinator/Ports.java
+++ b/src/main/java/puffinbarrow/coordinator/Ports.java
@@ -9,18 +9,22 @@
 import java.nio.file.StandardCopyOption;
 import puffinbarrow.net.Net;
 
-/** Where a coordinator listens, as its port-file says, and how its admin listener is asked. */
+/**
+ * The addresses that a coordinator listens on, written to and read from its port-file; and a client of its admin
+ * listener.
+ */
 public record Ports(InetSocketAddress listen, InetSocketAddress admin) {
-    private static final int CONNECT_MS = 2000;
-    private static final int ANSWER_MS = 5000;
+    private static final int CONNECT_TIMEOUT_MS = 2000;
+    private static final int ANSWER_TIMEOUT_MS = 5000;
 
-    /** Written whole under another name and renamed, so that a reader never sees half of it. */
+    /** Writes the port-file under a temporary name and renames it, so that no reader sees a partial file. */
     void write(Path file) throws IOException {
         Path part = file.resolveSibling(file.getFileName() + ".part");
         Files.writeString(part, "listen " + Net.text(listen) + "\nadmin " + Net.text(admin) + "\n");
         Files.move(part, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 
+    /** Reads a port-file. */
     public static Ports read(Path file) throws IOException {
         InetSocketAddress listen = null;
         InetSocketAddress admin = null;
@@ -32,12 +36,12 @@
             }
         }
         if (listen == null || admin == null) {
-            throw new IOException(file + ": no port-file, expected lines 'listen' and 'admin'");
+            throw new IOException(file + ": not a port-file, expected lines 'listen' and 'admin'");
         }
         return new Ports(listen, admin);
     }
 
-    /** ADDRESS:PORT; an IOException says what was found. */
+    /** Parses ADDRESS:PORT; throws an IOException that quotes the text if it is anything else. */
     public static InetSocketAddress address(String text) throws IOException {
         if (!text.matches("(?s).*:[0-9]{1,5}")) {
             throw new IOException("found '" + text + "', expected ADDRESS:PORT or a port-file");
@@ -45,11 +49,11 @@
         return Net.address(text);
     }
 
-    /** One line to an admin listener, and all that it answers. */
+    /** Sends one line to an admin listener and returns its whole answer. */
     public static String ask(InetSocketAddress admin, String request) throws IOException {
         try (Socket socket = new Socket()) {
-            socket.connect(admin, CONNECT_MS);
-            socket.setSoTimeout(ANSWER_MS);
+            socket.connect(admin, CONNECT_TIMEOUT_MS);
+            socket.setSoTimeout(ANSWER_TIMEOUT_MS);
             socket.getOutputStream().write((request + "\n").getBytes(StandardCharsets.UTF_8));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         }
--- a/src/main/java/puffinbarrow/coordinator/Prober.java
+++ b/src/main/java/puffinbarrow/coordinator/Prober.java
@@ -13,33 +13,51 @@
 import puffinbarrow.net.Link;
 import puffinbarrow.net.Net;
 
-/** Probes a backend with one GET on a stream of its own; every probe ends in exactly one answer. */
+/**
+ * Probes servers, each time with one GET over a new connection. Every probe ends in exactly one answer, on a thread of
+ * the channel group or of the timer. Called on the decision thread.
+ */
 public final class Prober {
-    /** Where to ask, and what a good answer says of the load. */
+    /**
+     * How servers are probed.
+     *
+     * @param path the path to get
+     * @param report reads the load report from a response with a 2xx status
+     */
     public record Question(String path, Function<HttpParser.Message, Map<Event.Measure, Double>> report) {}
 
-    private static final Question OURS = new Question("/probe", reply -> Orca.read(reply.header(Orca.HEADER)));
+    private static final Question DEFAULT_QUESTION =
+            new Question("/probe", reply -> Orca.read(reply.header(Orca.HEADER)));
 
-    /** As long as proxies wait for a connection; a pause of a server is longer and counts as a miss. */
+    /** As long as proxies wait for a connection; a server that pauses for longer counts as not answering. */
     private static final long TIMEOUT_MS = 250;
-    /** Above the servers of a fleet that one list change can name; more at once are answered as misses. */
-    private static final int AT_ONCE = 256;
+    /** Above the number of servers that one list change can name; further probes are answered as failed at once. */
+    private static final int MAX_CONCURRENT = 256;
+
+    /** The largest response body accepted. */
+    private static final int MAX_BODY_BYTES = 4096;
+    /** Send queue of a probe's connection: one request. */
+    private static final long QUEUE_BYTES = 4096;
 
     private final Net net;
-    private final AtomicInteger open = new AtomicInteger();
+    private final AtomicInteger running = new AtomicInteger();
 
     private final Function<String, InetSocketAddress> addresses;
     private final long timeoutMs;
     private final Question question;
 
     Prober(Net net) {
-        this(net, Prober::address, TIMEOUT_MS, OURS);
+        this(net, Prober::address, TIMEOUT_MS, DEFAULT_QUESTION);
     }
 
     Prober(Net net, Function<String, InetSocketAddress> addresses, long timeoutMs) {
-        this(net, addresses, timeoutMs, OURS);
+        this(net, addresses, timeoutMs, DEFAULT_QUESTION);
     }
 
+    /**
+     * @param addresses maps a server id to its address, or to null if it cannot be probed
+     * @param timeoutMs for connecting, and for the whole probe
+     */
     public Prober(Net net, Function<String, InetSocketAddress> addresses, long timeoutMs, Question question) {
         this.question = question;
         this.net = net;
@@ -51,23 +69,26 @@
         return server.indexOf(':') < 0 ? null : Net.address(server);
     }
 
+    /** Starts a probe of a server; {@code answer} is called once. */
     public void probe(String server, Consumer<Event.Probed> answer) {
-        long began = System.nanoTime();
+        long startedNs = System.nanoTime();
         AtomicBoolean done = new AtomicBoolean();
         Consumer<Map<Event.Measure, Double>> end = report -> {
             if (done.compareAndSet(false, true)) {
-                open.decrementAndGet();
+                running.decrementAndGet();
                 answer.accept(new Event.Probed(
-                        server, report != null, System.nanoTime() - began, report == null ? Map.of() : report));
+                        server, report != null, System.nanoTime() - startedNs, report == null ? Map.of() : report));
             }
         };
         InetSocketAddress to = addresses.apply(server);
-        if (open.incrementAndGet() > AT_ONCE || to == null) {
+        if (running.incrementAndGet() > MAX_CONCURRENT || to == null) {
             end.accept(null);
             return;
         }
         HttpParser parser = new HttpParser(
-                false, 4096, reply -> end.accept(reply.first().startsWith("2") ? question.report.apply(reply) : null));
+                false,
+                MAX_BODY_BYTES,
+                reply -> end.accept(reply.first().startsWith("2") ? question.report.apply(reply) : null));
         Link.Receiver receiver = new Link.Receiver() {
             @Override
             public void received(Link link, ByteBuffer bytes) {
@@ -85,7 +106,7 @@
         net.dial(
                 to,
                 receiver,
-                4096,
+                QUEUE_BYTES,
                 timeoutMs,
                 link -> {
                     link.send(ByteBuffer.wrap(
--- a/src/test/java/puffinbarrow/coordinator/ChannelTest.java
+++ b/src/test/java/puffinbarrow/coordinator/ChannelTest.java
@@ -48,7 +48,7 @@
     void aSlowedChannelKeepsWhatIsUnderWayInProportion() {
         PacedChannel channel = new PacedChannel(1000, 100, 0, SECOND);
         channel.offer(0, message(1, 100));
-        channel.pace(SECOND / 2, 0.25);
+        channel.setPace(SECOND / 2, 0.25);
         assertNull(channel.poll(2 * SECOND));
         assertNotNull(channel.poll(SECOND / 2 + 2 * SECOND));
     }
@@ -56,15 +56,15 @@
     @Test
     void neitherLimitIsEverPassed() {
         PacedChannel channel = new PacedChannel(100, 1000, 2, SECOND);
-        assertEquals(PacedChannel.Taken.QUEUED, channel.offer(0, message(1, 60)));
-        assertEquals(PacedChannel.Taken.QUEUE_FULL, channel.offer(0, message(2, 60)));
-        assertEquals(PacedChannel.Taken.QUEUED, channel.offer(0, message(1, 20)));
-        assertEquals(PacedChannel.Taken.TOO_MANY_MESSAGES, channel.offer(0, message(1, 1)));
-        assertEquals(80, channel.mostWaiting());
+        assertEquals(PacedChannel.OfferResult.QUEUED, channel.offer(0, message(1, 60)));
+        assertEquals(PacedChannel.OfferResult.QUEUE_FULL, channel.offer(0, message(2, 60)));
+        assertEquals(PacedChannel.OfferResult.QUEUED, channel.offer(0, message(1, 20)));
+        assertEquals(PacedChannel.OfferResult.TOO_MANY_MESSAGES, channel.offer(0, message(1, 1)));
+        assertEquals(80, channel.peakWaitingLines());
         // Counted from joining: one that left and came back begins anew, and what waited for it is lost.
-        channel.forget(1);
+        channel.removeProxy(1);
         assertEquals(0, channel.waitingLines());
-        assertEquals(PacedChannel.Taken.QUEUED, channel.offer(0, message(1, 60)));
+        assertEquals(PacedChannel.OfferResult.QUEUED, channel.offer(0, message(1, 60)));
     }
 
     private static Frame.Sums sums(long round, String server, long tries, long dropped, long tookNs) {
@@ -75,58 +75,58 @@
                 List.of(new Frame.Met(server, tries, dropped, tookNs, Map.of(Event.Measure.BUSY, tries / 10.0))));
     }
 
-    private static List<Event> release(Gather gather, long now, int joined) {
+    private static List<Event> release(ReportAggregator aggregator, long now, int joined) {
         List<Event> events = new ArrayList<>();
-        gather.release(now, joined, events);
+        aggregator.release(now, joined, events);
         return events;
     }
 
     @Test
     void sumsOfOneRoundBecomeOneLineForAZoneAndServer() {
-        Gather gather = new Gather(100, SECOND);
-        release(gather, 0, 2);
-        gather.sums(SECOND, 1, sums(7, "a", 4, 1, 300));
-        assertEquals(List.of(), release(gather, SECOND, 2));
-        gather.sums(SECOND, 2, sums(7, "a", 6, 0, 600));
+        ReportAggregator aggregator = new ReportAggregator(100, SECOND);
+        release(aggregator, 0, 2);
+        aggregator.addSums(SECOND, 1, sums(7, "a", 4, 1, 300));
+        assertEquals(List.of(), release(aggregator, SECOND, 2));
+        aggregator.addSums(SECOND, 2, sums(7, "a", 6, 0, 600));
         assertEquals(
                 List.of(new Event.ServerSums("a", 1, SECOND, 100, 1, 10, Map.of(Event.Measure.BUSY, 0.6))),
-                release(gather, SECOND, 2));
+                release(aggregator, SECOND, 2));
     }
 
     @Test
     void aProxyThatDoesNotReportHoldsARoundUpForAQuarterOnly() {
-        Gather gather = new Gather(100, SECOND);
-        gather.sums(SECOND, 1, sums(7, "a", 4, 1, 300));
-        assertEquals(0, release(gather, SECOND + SECOND / 4 - 1, 2).size());
-        assertEquals(1, release(gather, SECOND + SECOND / 4, 2).size());
+        ReportAggregator aggregator = new ReportAggregator(100, SECOND);
+        aggregator.addSums(SECOND, 1, sums(7, "a", 4, 1, 300));
+        assertEquals(0, release(aggregator, SECOND + SECOND / 4 - 1, 2).size());
+        assertEquals(1, release(aggregator, SECOND + SECOND / 4, 2).size());
     }
 
     @Test
     void linesGoOnAtTheIntakeRateTheOldestFirst() {
-        Gather gather = new Gather(10, SECOND);
+        ReportAggregator aggregator = new ReportAggregator(10, SECOND);
         for (int i = 0; i < 30; i++) {
-            gather.sums(0, 1, sums(1, "s" + i, 1, 0, 1));
+            aggregator.addSums(0, 1, sums(1, "s" + i, 1, 0, 1));
         }
-        List<Event> events = release(gather, SECOND, 1);
+        List<Event> events = release(aggregator, SECOND, 1);
         assertEquals(10, events.size());
         assertEquals("s0", ((Event.ServerSums) events.get(0)).server());
-        assertEquals(5, release(gather, SECOND + SECOND / 2, 1).size());
+        assertEquals(5, release(aggregator, SECOND + SECOND / 2, 1).size());
     }
 
     @Test
     void whatOverflowsAddsUpAndIsCountedAndNoTryIsLost() {
-        Gather gather = new Gather(1, SECOND);
+        ReportAggregator aggregator = new ReportAggregator(1, SECOND);
         for (long round = 0; round < 1000; round++) {
-            gather.sums(round, 1, sums(round, "a", 2, 1, 10));
+            aggregator.addSums(round, 1, sums(round, "a", 2, 1, 10));
         }
         long tries = 0;
         for (int second = 1; second < 2000; second++) {
-            for (Event event : release(gather, second * SECOND, 1)) {
+            for (Event event : release(aggregator, second * SECOND, 1)) {
                 tries += ((Event.ServerSums) event).tries();
             }
         }
         assertEquals(2000, tries);
-        assertEquals(0, gather.waitingLines());
-        assertEquals(1000 - 301, gather.mergedLines());
+        assertEquals(0, aggregator.waitingLines());
+        assertEquals(1000 - 301, aggregator.mergedLines());
     }
 }
