--- a/src/main/java/puffinbarrow/coordinator/Coordinator.java
+++ b/src/main/java/puffinbarrow/coordinator/Coordinator.java
@@ -34,9 +34,9 @@
 import puffinbarrow.proto.FrameWriter;
 
 /**
- * The coordinator daemon: listeners, connections and the decision thread around one {@link Core}. Threads of the channel
- * group decode frames and put them into the core's inbox; only the decision thread calls the core otherwise. Started by
- * the command line, by days in one process, by replays and by tests.
+ * The coordinator daemon: listeners, connections and the decision thread around one {@link Core}. Threads of the
+ * channel group decode frames and put them into the core's inbox; only the decision thread calls the core otherwise.
+ * Started by the command line, by days in one process, by replays and by tests.
  */
 public final class Coordinator implements AutoCloseable, Core.Surroundings {
     private static final Logger LOG = LoggerFactory.getLogger("puffinbarrow.coordinator");
@@ -48,8 +48,8 @@
     private static final long REPLAY_PROBE_TIMEOUT_MS = 3_600_000;
 
     /**
-     * How long an orderly shutdown waits for its slices to be handed on. Slices left after that have no coordinator until
-     * the lease expires.
+     * How long an orderly shutdown waits for its slices to be handed on. Slices left after that have no coordinator
+     * until the lease expires.
      */
     private static final long LEAVE_TIMEOUT_NS = 2_000_000_000L;
     /** How long an orderly shutdown waits for the decision thread to end. */
--- a/src/main/java/puffinbarrow/coordinator/Core.java
+++ b/src/main/java/puffinbarrow/coordinator/Core.java
@@ -22,11 +22,11 @@
 import puffinbarrow.proto.FrameWriter;
 
 /**
- * The decision loop of a coordinator, without sockets, threads or a clock of its own. {@link #offer} accepts inputs from
- * any thread; all other methods run on the decision thread, which calls {@link #turn} with the current time and sleeps
- * until the time that it returns. The core contains no policy: it passes events to the {@link Controller}, carries out
- * the returned orders in sequence, and enforces the limits of the channel to the proxies. {@link Coordinator} drives it
- * over sockets, the emulator in virtual time.
+ * The decision loop of a coordinator, without sockets, threads or a clock of its own. {@link #offer} accepts inputs
+ * from any thread; all other methods run on the decision thread, which calls {@link #turn} with the current time and
+ * sleeps until the time that it returns. The core contains no policy: it passes events to the {@link Controller},
+ * carries out the returned orders in sequence, and enforces the limits of the channel to the proxies. {@link
+ * Coordinator} drives it over sockets, the emulator in virtual time.
  */
 public final class Core {
     /** What the core needs from its host besides connections; called on the decision thread. */
@@ -243,8 +243,8 @@
     }
 
     /**
-     * Runs one turn: sends what is due and, once a tick, passes all inputs to the Controller and carries out its orders.
-     * Returns the time of the next call at the latest; a new input in the inbox is a reason to call earlier.
+     * Runs one turn: sends what is due and, once a tick, passes all inputs to the Controller and carries out its
+     * orders. Returns the time of the next call at the latest; a new input in the inbox is a reason to call earlier.
      */
     public long turn(long now) {
         send(now);
@@ -575,7 +575,10 @@
         list.addAll(table.levels.values());
     }
 
-    /** Enqueues one message for each proxy that the orders concern; proxies without orders of their own share its bytes. */
+    /**
+     * Enqueues one message for each proxy that the orders concern; proxies without orders of their own share its
+     * bytes.
+     */
     private void enqueueMessages(
             long now, List<Order> common, Map<Integer, List<Order>> perProxy, Order.Mark mark, boolean levelsChanged) {
         if (common.isEmpty() && perProxy.isEmpty() && (mark == null || !mark.everyProxy())) {
--- a/src/main/java/puffinbarrow/coordinator/Dialer.java
+++ b/src/main/java/puffinbarrow/coordinator/Dialer.java
@@ -14,9 +14,10 @@
 import puffinbarrow.proto.FrameWriter;
 
 /**
- * Maintains one connection to a server of the control protocol: connects, sends a hello, waits for the welcome, passes on
- * frames, and reconnects with growing delays after the connection ends. Coordinators use it towards registry, store and
- * peers, proxies towards coordinators. Callbacks run on threads of the channel group, one at a time for a connection.
+ * Maintains one connection to a server of the control protocol: connects, sends a hello, waits for the welcome,
+ * passes on frames, and reconnects with growing delays after the connection ends. Coordinators use it towards
+ * registry, store and peers, proxies towards coordinators. Callbacks run on threads of the channel group, one at a
+ * time for a connection.
  */
 public final class Dialer implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger("puffinbarrow.net");
--- a/src/main/java/puffinbarrow/coordinator/FailedBatchFile.java
+++ b/src/main/java/puffinbarrow/coordinator/FailedBatchFile.java
@@ -12,8 +12,8 @@
 import puffinbarrow.control.Event;
 
 /**
- * Writes a batch of events that a decision turn failed on as JSON: the time, and each event under the names of its record
- * type and components.
+ * Writes a batch of events that a decision turn failed on as JSON: the time, and each event under the names of its
+ * record type and components.
  */
 final class FailedBatchFile {
     private FailedBatchFile() {}
--- a/src/main/java/puffinbarrow/coordinator/Failures.java
+++ b/src/main/java/puffinbarrow/coordinator/Failures.java
@@ -2,11 +2,13 @@
 
 import java.util.ArrayDeque;
 
-/** Counts failed decision turns within a sliding window. Used on the decision thread of a coordinator or service only. */
+/**
+ * Counts failed decision turns within a sliding window. Used on the decision thread of a coordinator or service only.
+ */
 public final class Failures {
     /**
-     * Failures within {@link #WINDOW_NS} after which the process gives up: a state that fails five times in a minute will
-     * not recover by itself, while a restart begins with the tables in force.
+     * Failures within {@link #WINDOW_NS} after which the process gives up: a state that fails five times in a minute
+     * will not recover by itself, while a restart begins with the tables in force.
      */
     static final int MAX_FAILURES = 5;
 
--- a/src/main/java/puffinbarrow/coordinator/Holder.java
+++ b/src/main/java/puffinbarrow/coordinator/Holder.java
@@ -19,9 +19,9 @@
 
 /**
  * Holds the slice leases of one coordinator: connects the lease state machine ({@link Lease}) to the store and a timer.
- * Its steps become frames to the store, and inputs that give slices to the coordinator's core or take them away. A slice
- * is given once its table has been read from the store, which happens after its ownership record was written. The
- * decision thread reads terms and the end of the lease without locking; everything else is guarded by this.
+ * Its steps become frames to the store, and inputs that give slices to the coordinator's core or take them away. A
+ * slice is given once its table has been read from the store, which happens after its ownership record was written.
+ * The decision thread reads terms and the end of the lease without locking; everything else is guarded by this.
  */
 public final class Holder implements Core.Fence {
     /** A clock and timer: the system's, or the emulator's. */
--- a/src/main/java/puffinbarrow/coordinator/Inbox.java
+++ b/src/main/java/puffinbarrow/coordinator/Inbox.java
@@ -8,9 +8,9 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * A queue of inputs for the decision thread. Any thread offers, one thread drains. Nothing is dropped: a connection that
- * offers into a full inbox stops reading until the next drain, so that at most the limit and one read's worth of inputs
- * for each connection wait.
+ * A queue of inputs for the decision thread. Any thread offers, one thread drains. Nothing is dropped: a connection
+ * that offers into a full inbox stops reading until the next drain, so that at most the limit and one read's worth of
+ * inputs for each connection wait.
  */
 public final class Inbox<T> {
     private final ConcurrentLinkedQueue<T> queue = new ConcurrentLinkedQueue<>();
@@ -23,7 +23,9 @@
     /** How often a connection stopped reading. */
     private volatile long overflows;
 
-    /** @param limit inputs from which on {@link #offer} asks its callers to stop, and the most that one drain returns */
+    /**
+     * @param limit inputs from which on {@link #offer} asks its callers to stop, and the most that one drain returns
+     */
     public Inbox(int limit) {
         this.limit = limit;
     }
--- a/src/main/java/puffinbarrow/coordinator/Input.java
+++ b/src/main/java/puffinbarrow/coordinator/Input.java
@@ -7,7 +7,10 @@
 
 /** The inputs of {@link Core}, put into its inbox by the threads that receive them. */
 public sealed interface Input {
-    /** A proxy's hello was accepted; the core sends the welcome itself, as every order from then on must reach the proxy. */
+    /**
+     * A proxy's hello was accepted; the core sends the welcome itself, as every order from then on must reach the
+     * proxy.
+     */
     record Joined(Frame.Hello hello, Outlet outlet, Frame.Welcome welcome) implements Input {}
 
     /** A proxy's connection ended. */
--- a/src/main/java/puffinbarrow/coordinator/ReportAggregator.java
+++ b/src/main/java/puffinbarrow/coordinator/ReportAggregator.java
@@ -13,8 +13,8 @@
  * Aggregates the reports of all joined proxies: one line for each round, zone and server, and one for each round, slice
  * (or proxy) and traffic group. Lines are released at no more than the intake rate, oldest first. When more than {@link
  * #MAX_WAITING_ROUNDS} seconds' worth of lines wait, new reports are added to a line of the same kind for any round, so
- * that memory is bounded by servers and slices whatever the delay. Used by {@link Core} on the decision thread; the time
- * is passed in.
+ * that memory is bounded by servers and slices whatever the delay. Used by {@link Core} on the decision thread; the
+ * time is passed in.
  */
 final class ReportAggregator {
     /** What a line aggregates; {@code subject} is a zone, slice or proxy, depending on the kind. */
@@ -127,8 +127,8 @@
     }
 
     /**
-     * Releases the lines that are due as events, oldest first. A line is due once all proxies have reported on its round,
-     * or when it has waited long enough.
+     * Releases the lines that are due as events, oldest first. A line is due once all proxies have reported on its
+     * round, or when it has waited long enough.
      *
      * @param joined how many proxies are joined
      */
--- a/src/main/java/puffinbarrow/net/HttpCaller.java
+++ b/src/main/java/puffinbarrow/net/HttpCaller.java
@@ -233,8 +233,8 @@
         }
 
         /**
-         * Completes the call once its response is complete. The connection is marked as abandoned before that, since the
-         * callback may start the next call at once.
+         * Completes the call once its response is complete. The connection is marked as abandoned before that, since
+         * the callback may start the next call at once.
          */
         private void deliverAnswer() {
             if (answer == null) {
--- a/src/main/java/puffinbarrow/net/HttpParser.java
+++ b/src/main/java/puffinbarrow/net/HttpParser.java
@@ -11,8 +11,8 @@
 /**
  * An incremental HTTP/1.1 parser: it accepts bytes in pieces of any size and passes on complete messages. Heads are
  * limited in bytes, headers in number, and bodies (chunked ones too) in bytes; a message over a limit or with invalid
- * syntax throws {@link Malformed}, after which the connection is closed. Not thread-safe: each {@link Link} has its own,
- * fed by that link's reads.
+ * syntax throws {@link Malformed}, after which the connection is closed. Not thread-safe: each {@link Link} has its
+ * own, fed by that link's reads.
  */
 public final class HttpParser {
     /**
@@ -86,8 +86,8 @@
     }
 
     /**
-     * Creates a parser for a response whose body does not end: its bytes are passed to {@code pieces} as they arrive, and
-     * {@code out} receives a message with an empty body if it ends after all. Any status but 2xx is refused.
+     * Creates a parser for a response whose body does not end: its bytes are passed to {@code pieces} as they arrive,
+     * and {@code out} receives a message with an empty body if it ends after all. Any status but 2xx is refused.
      */
     public static HttpParser streaming(Consumer<Message> out, Consumer<ByteBuffer> pieces) {
         return new HttpParser(false, Integer.MAX_VALUE, out, pieces);
--- a/src/main/java/puffinbarrow/net/Link.java
+++ b/src/main/java/puffinbarrow/net/Link.java
@@ -10,9 +10,9 @@
 
 /**
  * One TCP connection over an asynchronous channel. Received bytes are passed to the receiver on a thread of the channel
- * group, one read at a time and in order. Any thread may send; buffers are written in order from a queue that is bounded
- * in bytes. A buffer that does not fit closes the link with {@link Cause#SLOW_READER}, which bounds the memory that a
- * peer that reads nothing can cost. The receiver is told of the end exactly once.
+ * group, one read at a time and in order. Any thread may send; buffers are written in order from a queue that is
+ * bounded in bytes. A buffer that does not fit closes the link with {@link Cause#SLOW_READER}, which bounds the
+ * memory that a peer that reads nothing can cost. The receiver is told of the end exactly once.
  */
 public final class Link {
     /** Why a link ended. */
@@ -86,8 +86,8 @@
     }
 
     /**
-     * Pauses or resumes reading: backpressure while the decision inbox is full, and a way for tests and stand-ins to act
-     * as a peer that does not read.
+     * Pauses or resumes reading: backpressure while the decision inbox is full, and a way for tests and stand-ins to
+     * act as a peer that does not read.
      */
     public void pauseReading(boolean on) {
         boolean resume;
@@ -144,7 +144,10 @@
         }
     }
 
-    /** Queues the bytes, whose buffer now belongs to the link; returns false if the link has ended or the queue is full. */
+    /**
+     * Queues the bytes, whose buffer now belongs to the link; returns false if the link has ended or the queue is
+     * full.
+     */
     public boolean send(ByteBuffer bytes) {
         boolean full = false;
         synchronized (queue) {
--- a/src/main/java/puffinbarrow/net/Net.java
+++ b/src/main/java/puffinbarrow/net/Net.java
@@ -41,7 +41,10 @@
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
-    /** Parses ADDRESS:PORT, the inverse of {@link #text}; throws IllegalArgumentException if the text is anything else. */
+    /**
+     * Parses ADDRESS:PORT, the inverse of {@link #text}; throws IllegalArgumentException if the text is anything
+     * else.
+     */
     public static InetSocketAddress address(String text) {
         int colon = text.lastIndexOf(':');
         if (colon < 0) {
@@ -162,8 +165,8 @@
     }
 
     /**
-     * Connects with a timeout in milliseconds; exactly one of the two callbacks is called. Without the timeout a host that
-     * disappeared would hold the file handle, as it never answers.
+     * Connects with a timeout in milliseconds; exactly one of the two callbacks is called. Without the timeout a host
+     * that disappeared would hold the file handle, as it never answers.
      */
     public void dial(
             InetSocketAddress to,
@@ -194,8 +197,8 @@
     }
 
     /**
-     * Connects. One of the two callbacks is called: {@code up} on a thread of the group before the first read, or {@code
-     * failed}. Returns the channel, or null if none could be opened.
+     * Connects. One of the two callbacks is called: {@code up} on a thread of the group before the first read, or
+     * {@code failed}. Returns the channel, or null if none could be opened.
      */
     public AsynchronousSocketChannel dial(
             InetSocketAddress to,
--- a/src/main/java/puffinbarrow/proto/Frame.java
+++ b/src/main/java/puffinbarrow/proto/Frame.java
@@ -159,9 +159,9 @@
     record Synced() implements Frame {}
 
     /**
-     * A coordinator's membership record. Sent to the store it is a conditional write: it applies if the record still has
-     * this revision, and is answered by {@link Written} with the same id. Sent by the store it is the record's current
-     * value and revision, with id 0.
+     * A coordinator's membership record. Sent to the store it is a conditional write: it applies if the record still
+     * has this revision, and is answered by {@link Written} with the same id. Sent by the store it is the record's
+     * current value and revision, with id 0.
      *
      * @param beat heartbeat counter
      * @param settled whether the member has been up long enough to be given slices
--- a/src/main/java/puffinbarrow/proto/FrameReader.java
+++ b/src/main/java/puffinbarrow/proto/FrameReader.java
@@ -17,8 +17,8 @@
 /**
  * Decodes frames from bytes that arrive in pieces of any size. Lengths are never trusted: a frame over the limit is
  * refused before any of it is buffered, and counts within a frame are checked against the bytes present. A frame that
- * cannot be decoded throws {@link FrameException}; after that the reader must not be fed again. Server ids are cached, so
- * that decoding a line allocates only its record. Not thread-safe: each link has its own.
+ * cannot be decoded throws {@link FrameException}; after that the reader must not be fed again. Server ids are
+ * cached, so that decoding a line allocates only its record. Not thread-safe: each link has its own.
  */
 public final class FrameReader {
     /** Default limit for a frame's body in bytes: a whole list of 10,000 servers fits. */
@@ -401,7 +401,9 @@
         return report;
     }
 
-    /** Reads a count of parts, each at least {@code leastBytes} long; refuses more parts than the frame has bytes for. */
+    /**
+     * Reads a count of parts, each at least {@code leastBytes} long; refuses more parts than the frame has bytes for.
+     */
     private static int count(ByteBuffer in, int leastBytes) {
         int count = in.getInt();
         if (count < 0 || (long) count * leastBytes > in.remaining()) {
--- a/src/main/java/puffinbarrow/proto/FrameWriter.java
+++ b/src/main/java/puffinbarrow/proto/FrameWriter.java
@@ -12,9 +12,9 @@
 import puffinbarrow.control.Order;
 
 /**
- * Encodes frames into a growing buffer that is reused: {@link #bytes} returns a copy that the caller owns, {@link #write}
- * a view of the buffer. Encoding a line allocates nothing if its server id has been written before. Not thread-safe: each
- * thread has its own.
+ * Encodes frames into a growing buffer that is reused: {@link #bytes} returns a copy that the caller owns, {@link
+ * #write} a view of the buffer. Encoding a line allocates nothing if its server id has been written before. Not
+ * thread-safe: each thread has its own.
  */
 public final class FrameWriter {
     /** Header length in bytes: body length 4, type 1, major version 1, flags 2, checksum 4. */
@@ -320,7 +320,10 @@
         }
     }
 
-    /** A byte array with a write position: cheaper than a ByteBuffer, which checks its bounds and state for each field. */
+    /**
+     * A byte array with a write position: cheaper than a ByteBuffer, which checks its bounds and state for each
+     * field.
+     */
     private static final class Bytes {
         private static final VarHandle SHORTS = view(short[].class);
         private static final VarHandle INTS = view(int[].class);
--- a/src/main/java/puffinbarrow/proto/TextCache.java
+++ b/src/main/java/puffinbarrow/proto/TextCache.java
@@ -6,8 +6,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A cache of decoded texts: a text that was read before is returned as the same String without decoding it again. Direct
- * mapped: a text whose slot is taken replaces the text there, so that memory is bounded whatever a peer sends.
+ * A cache of decoded texts: a text that was read before is returned as the same String without decoding it again.
+ * Direct mapped: a text whose slot is taken replaces the text there, so that memory is bounded whatever a peer sends.
  */
 final class TextCache {
     /** A power of two, far above the number of servers that one connection names; a collision only costs a decode. */
--- a/src/test/java/puffinbarrow/coordinator/ChannelTest.java
+++ b/src/test/java/puffinbarrow/coordinator/ChannelTest.java
@@ -12,10 +12,10 @@
 import puffinbarrow.control.Event;
 import puffinbarrow.proto.Frame;
 
-/** The paced channel and the merging of sums, both without I/O. */
+/** The rate-limited channel to the proxies and the aggregation of their reports, both without I/O. */
 class ChannelTest {
     private static final long SECOND = 1_000_000_000L;
-    private static final Outlet NOWHERE = new Outlet() {
+    private static final Outlet DISCARDING = new Outlet() {
         @Override
         public boolean send(ByteBuffer bytes) {
             return true;
@@ -26,11 +26,11 @@
     };
 
     private static PacedChannel.Message message(int proxy, double lines) {
-        return new PacedChannel.Message(proxy, NOWHERE, ByteBuffer.allocate(0), lines, 0);
+        return new PacedChannel.Message(proxy, DISCARDING, ByteBuffer.allocate(0), lines, 0);
     }
 
     @Test
-    void messagesLeaveOneAfterTheOtherAtThePace() {
+    void messagesLeaveOneAfterTheOtherAtTheConfiguredRate() {
         PacedChannel channel = new PacedChannel(1000, 100, 0, SECOND);
         channel.offer(0, message(1, 50));
         channel.offer(0, message(2, 50));
@@ -38,14 +38,14 @@
         assertEquals(1, channel.poll(SECOND / 2).proxy());
         assertNull(channel.poll(SECOND / 2));
         assertEquals(2, channel.poll(SECOND).proxy());
-        // An idle channel saves nothing up.
+        // Idle time earns no credit.
         channel.offer(10 * SECOND, message(3, 100));
         assertNull(channel.poll(11 * SECOND - 1));
         assertNotNull(channel.poll(11 * SECOND));
     }
 
     @Test
-    void aSlowedChannelKeepsWhatIsUnderWayInProportion() {
+    void aChangeOfPaceAppliesToTheRestOfTheMessageBeingSent() {
         PacedChannel channel = new PacedChannel(1000, 100, 0, SECOND);
         channel.offer(0, message(1, 100));
         channel.setPace(SECOND / 2, 0.25);
@@ -54,14 +54,14 @@
     }
 
     @Test
-    void neitherLimitIsEverPassed() {
+    void messagesOverEitherLimitAreNotQueued() {
         PacedChannel channel = new PacedChannel(100, 1000, 2, SECOND);
         assertEquals(PacedChannel.OfferResult.QUEUED, channel.offer(0, message(1, 60)));
         assertEquals(PacedChannel.OfferResult.QUEUE_FULL, channel.offer(0, message(2, 60)));
         assertEquals(PacedChannel.OfferResult.QUEUED, channel.offer(0, message(1, 20)));
         assertEquals(PacedChannel.OfferResult.TOO_MANY_MESSAGES, channel.offer(0, message(1, 1)));
         assertEquals(80, channel.peakWaitingLines());
-        // Counted from joining: one that left and came back begins anew, and what waited for it is lost.
+        // A proxy that reconnects starts with a count of 0, and messages that waited for it are discarded.
         channel.removeProxy(1);
         assertEquals(0, channel.waitingLines());
         assertEquals(PacedChannel.OfferResult.QUEUED, channel.offer(0, message(1, 60)));
@@ -82,7 +82,7 @@
     }
 
     @Test
-    void sumsOfOneRoundBecomeOneLineForAZoneAndServer() {
+    void sumsOfOneRoundAreMergedByZoneAndServer() {
         ReportAggregator aggregator = new ReportAggregator(100, SECOND);
         release(aggregator, 0, 2);
         aggregator.addSums(SECOND, 1, sums(7, "a", 4, 1, 300));
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void aProxyThatDoesNotReportHoldsARoundUpForAQuarterOnly() {
+    void aProxyThatDoesNotReportDelaysARoundByAQuarterOfTheInterval() {
         ReportAggregator aggregator = new ReportAggregator(100, SECOND);
         aggregator.addSums(SECOND, 1, sums(7, "a", 4, 1, 300));
         assertEquals(0, release(aggregator, SECOND + SECOND / 4 - 1, 2).size());
@@ -102,7 +102,7 @@
     }
 
     @Test
-    void linesGoOnAtTheIntakeRateTheOldestFirst() {
+    void linesAreReleasedAtTheIntakeRateOldestFirst() {
         ReportAggregator aggregator = new ReportAggregator(10, SECOND);
         for (int i = 0; i < 30; i++) {
             aggregator.addSums(0, 1, sums(1, "s" + i, 1, 0, 1));
@@ -114,7 +114,7 @@
     }
 
     @Test
-    void whatOverflowsAddsUpAndIsCountedAndNoTryIsLost() {
+    void linesOverTheLimitAreMergedAcrossRoundsWithoutLosingTries() {
         ReportAggregator aggregator = new ReportAggregator(1, SECOND);
         for (long round = 0; round < 1000; round++) {
             aggregator.addSums(round, 1, sums(round, "a", 2, 1, 10));
--- a/src/test/java/puffinbarrow/coordinator/InterleavingTest.java
+++ b/src/test/java/puffinbarrow/coordinator/InterleavingTest.java
@@ -7,12 +7,13 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Where the channels' threads meet the decisions', under a model checker that plays their steps in many orders (Lincheck):
- * whatever comes in is decided once. The lease holder has one lock around all it does, which leaves nothing to order.
+ * The inbox between connection threads and the decision thread under Lincheck, a model checker that runs their steps in
+ * many interleavings: every input is drained exactly once. The lease holder needs no such test, as one lock guards all
+ * of its state.
  */
 class InterleavingTest {
-    /** An inbox that counts without atomics is found within these. */
-    private static final int ORDERS = 300;
+    /** Enough to find an inbox whose size is counted without atomics. */
+    private static final int INTERLEAVINGS = 300;
 
     private static Input input(int number) {
         return new Input.FromPeer(number, "");
@@ -25,8 +26,8 @@
     }
 
     @Test
-    void nothingThatIsOfferedWhileOthersDrainIsLostOrDoubled() {
-        Lincheck.runConcurrentTest(ORDERS, () -> {
+    void inputsOfferedDuringADrainAreDrainedExactlyOnce() {
+        Lincheck.runConcurrentTest(INTERLEAVINGS, () -> {
             Inbox<Input> inbox = new Inbox<>(2);
             AtomicInteger resumed = new AtomicInteger();
             int[] stops = new int[1];
@@ -39,15 +40,15 @@
                 }
             });
             producer.start();
-            List<Input> seen = new ArrayList<>(inbox.drain());
-            seen.addAll(inbox.drain());
+            List<Input> drained = new ArrayList<>(inbox.drain());
+            drained.addAll(inbox.drain());
             join(producer);
             while (!inbox.isEmpty()) {
-                seen.addAll(inbox.drain());
+                drained.addAll(inbox.drain());
             }
-            check(seen.size() == 3, "drained " + seen);
+            check(drained.size() == 3, "drained " + drained);
             for (int i = 0; i < 3; i++) {
-                check(((Input.FromPeer) seen.get(i)).sender() == i, "out of order: " + seen);
+                check(((Input.FromPeer) drained.get(i)).sender() == i, "out of order: " + drained);
             }
             check(resumed.get() == stops[0], "stopped " + stops[0] + " times, resumed " + resumed);
             check(inbox.size() == 0, "size " + inbox.size());
@@ -57,8 +58,8 @@
     private static void join(Thread thread) {
         try {
             thread.join();
-        } catch (InterruptedException stop) {
-            throw new IllegalStateException(stop);
+        } catch (InterruptedException interrupted) {
+            throw new IllegalStateException(interrupted);
         }
     }
 }
