--- a/src/main/java/puffinbarrow/coordinator/Coordinator.java
+++ b/src/main/java/puffinbarrow/coordinator/Coordinator.java
@@ -64,11 +64,20 @@
     private static final int MAX_PROXIES = 65_536;
     /** The longest request to the admin listener, in characters. */
     private static final int MAX_ADMIN_REQUEST = 1024;
+    /** Send queue of an admin connection: far above the longest status answer. */
+    private static final long ADMIN_QUEUE_BYTES = 1 << 20;
+    /** Threads of the channel group. */
+    private static final int IO_THREADS = 2;
+    /** Bounds on the interval between checks for idle connections, which is otherwise a quarter of the idle limit. */
+    private static final long MIN_IDLE_CHECK_MS = 50;
+
+    private static final long MAX_IDLE_CHECK_MS = 1000;
 
     private final CoordinatorConfig config;
     private final Meters meters = new Meters();
     private final Net net;
     private final Core core;
+    /** Null if the settings keep no memory across restarts. */
     private final Keeper keeper;
     /** Null if the store assigns slices to coordinators, instead of leases. */
     private final Holder leaseHolder;
@@ -113,7 +122,7 @@
             throws IOException {
         this.config = config;
         this.incarnation = System.nanoTime() ^ (long) config.number << 48;
-        this.net = new Net("c" + config.number, 2);
+        this.net = new Net("c" + config.number, IO_THREADS);
         this.prober = addresses == null ? new Prober(net) : new Prober(net, addresses, REPLAY_PROBE_TIMEOUT_MS);
         this.keeper = config.memory == null ? null : Keeper.open(config.memory, config.memoryBytes, MAX_PENDING_FACTS);
         this.core = new Core(
@@ -166,7 +175,7 @@
 
     private void open() throws IOException {
         listener = net.listen(config.listen, config.outboundBytes, channel -> new ClientConnection());
-        admin = net.listen(config.admin, 1 << 20, channel -> new AdminConnection());
+        admin = net.listen(config.admin, ADMIN_QUEUE_BYTES, channel -> new AdminConnection());
         Frame.Hello hello = new Frame.Hello(
                 Frame.MAJOR,
                 Frame.MINOR,
@@ -205,7 +214,7 @@
                     up -> core.offer(new Input.RegistryUp(up)));
         }
         config.peers.forEach(this::connectPeer);
-        net.schedule(1000, this::checkConnections);
+        net.schedule(MAX_IDLE_CHECK_MS, this::checkConnections);
         if (config.portFile != null) {
             new Ports(listener.address(), admin.address()).write(config.portFile);
         }
@@ -225,6 +234,7 @@
                 dialer("peer " + number, address, asPeer, frame -> {}, up -> core.offer(new Input.PeerUp(number, up))));
     }
 
+    /** Creates and starts a connection to another daemon. */
     private Dialer dialer(
             String name,
             InetSocketAddress to,
@@ -256,7 +266,7 @@
         decisionThreadEnded.countDown();
     }
 
-    /** The clock and timer of the lease leaseHolder: monotonic time and the network timer. */
+    /** The clock and timer of the lease holder: monotonic time and the network timer. */
     private final class SystemTiming implements Holder.Timing {
         @Override
         public long now() {
@@ -316,7 +326,9 @@
             connection.checkIdle(now);
         }
         if (running) {
-            net.schedule(Math.max(50, Math.min(1000, config.idleNs / 4_000_000)), this::checkConnections);
+            net.schedule(
+                    Math.max(MIN_IDLE_CHECK_MS, Math.min(MAX_IDLE_CHECK_MS, config.idleNs / 4_000_000)),
+                    this::checkConnections);
         }
     }
 
@@ -334,6 +346,7 @@
         /** Whether the inbox was full at the last input, so that reading must pause. */
         private volatile boolean inboxFull;
 
+        /** Whether a refusal was sent; all further frames are ignored. */
         private boolean refused;
 
         ClientConnection() {
@@ -562,6 +575,7 @@
         public void ended(Link link, Link.Cause cause, String detail) {}
     }
 
+    /** Formats the status answer: a line for each state, then one for each meter. */
     private String status(Map<String, Object> state) {
         StringBuilder text = new StringBuilder();
         if (leaseHolder != null) {
--- a/src/main/java/puffinbarrow/coordinator/Core.java
+++ b/src/main/java/puffinbarrow/coordinator/Core.java
@@ -43,9 +43,10 @@
      *
      * @param linesPerS lines that the channel sends a second
      * @param intakePerS merged report lines passed to the Controller a second
-     * @param gatherNs the proxies' reporting interval; 0 passes reports on without waiting for the rest of a round
+     * @param reportIntervalNs the proxies' reporting interval; 0 passes reports on without waiting for the rest of a
+     *     round
      */
-    public record Tempo(double linesPerS, double intakePerS, long gatherNs) {
+    public record Tempo(double linesPerS, double intakePerS, long reportIntervalNs) {
         /** No limits: for a replay, whose recorded run was subject to them already. */
         public static final Tempo FREE = new Tempo(1e15, 1e15, 0);
 
@@ -113,6 +114,9 @@
         final TreeMap<Integer, Order.SetLevel> levels = new TreeMap<>();
     }
 
+    /** How often to check for a valid lease while the channel is stopped for want of one. */
+    private static final long LEASE_CHECK_NS = 10_000_000;
+
     private static final Logger LOG = LoggerFactory.getLogger("puffinbarrow.coordinator");
     private static final Logger DECISIONS = LoggerFactory.getLogger("puffinbarrow.decision");
 
@@ -141,7 +145,10 @@
     private final TreeSet<Integer> ownedSlices = new TreeSet<>();
     /** Tables by number; for sites without slices only. */
     private final TreeMap<Integer, Table> tables = new TreeMap<>();
-    /** Levels in force for all tables, by their set of traffic groups; restated in every message. */
+    /**
+     * Levels in force for all tables, by their set of traffic groups; restated in each message that does not change
+     * them.
+     */
     private final TreeMap<Integer, Order.SetLevel> globalLevels = new TreeMap<>();
 
     private final TreeSet<String> masked = new TreeSet<>();
@@ -180,7 +187,7 @@
         this.sliced = config.slices > 0;
         this.inbox = new Inbox<>(config.inbox);
         this.channel = new PacedChannel(config.queueLines, tempo.linesPerS(), config.messages, config.messagesSpanNs);
-        this.aggregator = new ReportAggregator(tempo.intakePerS(), tempo.gatherNs());
+        this.aggregator = new ReportAggregator(tempo.intakePerS(), tempo.reportIntervalNs());
         this.controller = factory.start(config.settings(), config.seed);
         meters.gauge("streams.joined", this, c -> c.proxies.size());
         meters.gauge("inbox.waiting", inbox, Inbox::size);
@@ -229,6 +236,7 @@
         return inbox.offered();
     }
 
+    /** Changes the inbox limit, when settings were reloaded. */
     void inboxLimit(int frames) {
         inbox.limit(frames);
     }
@@ -238,6 +246,7 @@
         return tickAtNs;
     }
 
+    /** Returns whether the inbox is empty. */
     boolean idle() {
         return inbox.isEmpty();
     }
@@ -280,15 +289,14 @@
         return Math.max(next, Math.min(tickAtNs, nextSendNs(now)));
     }
 
-    /** How often to check for a valid lease while the channel is stopped for want of one. */
-    private static final long LEASE_CHECK_NS = 10_000_000;
-
+    /** Returns when the channel may have the next message to send. */
     private long nextSendNs(long now) {
         return fence == null || fence.mayWrite(now)
                 ? channel.nextAtNs()
                 : Math.max(channel.nextAtNs(), now + LEASE_CHECK_NS);
     }
 
+    /** Passes the events to the Controller and carries out its orders. */
     private void decide(long now, List<Event> events) {
         List<Order> orders;
         try {
@@ -307,6 +315,7 @@
         memory.decided(now, events, orders, controller);
     }
 
+    /** Sends the messages that the channel releases by now, while the lease is valid. */
     private void send(long now) {
         if (fence != null && !fence.mayWrite(now)) {
             return;
@@ -366,8 +375,8 @@
         } else if (input instanceof Input.StatusRequest in) {
             in.answer().accept(status());
         } else if (input instanceof Input.Pace in) {
-            channel.setPace(now, in.part());
-            LOG.atWarn().addKeyValue("part", in.part()).log("channel pace changed");
+            channel.setPace(now, in.fraction());
+            LOG.atWarn().addKeyValue("part", in.fraction()).log("channel pace changed");
         }
     }
 
@@ -632,6 +641,7 @@
                 .toList();
     }
 
+    /** Joins the parts of one message; the restated levels come last, behind the mark. */
     private static List<Order> concatenate(
             List<Order> first, List<Order> second, Order.Mark mark, List<Order> carried) {
         List<Order> all = new ArrayList<>(first);
@@ -643,6 +653,7 @@
         return all;
     }
 
+    /** Queues a message to a proxy; disconnects the proxy if the message is over a limit. */
     private void enqueue(long now, int number, Proxy proxy, ByteBuffer bytes, double lines, Order.Mark mark) {
         PacedChannel.OfferResult result =
                 channel.offer(now, new PacedChannel.Message(number, proxy.outlet, bytes, lines, now));
@@ -691,6 +702,7 @@
         }
     }
 
+    /** Sends a request to the registry. */
     private void askRegistry(Frame frame) {
         if (registry != null && registry.send(writer.bytes(frame))) {
             meters.count("registry.asked");
@@ -721,6 +733,7 @@
         flushStoreWrites(now);
     }
 
+    /** Sends the pending writes to the store, if it is connected. */
     private void flushStoreWrites(long now) {
         List<Order> all = new ArrayList<>();
         pendingStoreWrites.values().forEach(slice -> all.addAll(slice.values()));
--- a/src/main/java/puffinbarrow/coordinator/Dialer.java
+++ b/src/main/java/puffinbarrow/coordinator/Dialer.java
@@ -129,6 +129,7 @@
         }
     }
 
+    /** One connection; frames before the welcome are ignored. */
     private final class Connection implements Link.Receiver, Outlet {
         private final FrameReader reader = new FrameReader(frameBytes, this::onFrame);
         private volatile Link link;
--- a/src/main/java/puffinbarrow/coordinator/Input.java
+++ b/src/main/java/puffinbarrow/coordinator/Input.java
@@ -44,5 +44,5 @@
     record StatusRequest(Consumer<Map<String, Object>> answer) implements Input {}
 
     /** Slows the channel to the proxies to this fraction of its configured rate, above 0 and up to 1. */
-    record Pace(double part) implements Input {}
+    record Pace(double fraction) implements Input {}
 }
--- a/src/main/java/puffinbarrow/coordinator/ReportAggregator.java
+++ b/src/main/java/puffinbarrow/coordinator/ReportAggregator.java
@@ -17,9 +17,10 @@
  * time is passed in.
  */
 final class ReportAggregator {
-    /** What a line aggregates; {@code subject} is a zone, slice or proxy, depending on the kind. */
+    /** What a line is about; {@code subject} is a zone, slice or proxy, depending on the kind. */
     private record Key(long round, int kind, int subject, int group, String server) {}
 
+    /** One line that waits to be released, with the sums over all reports added to it. */
     private static final class Line {
         final long arrivedAtNs;
         long spanNs;
--- a/src/main/java/puffinbarrow/net/HttpCaller.java
+++ b/src/main/java/puffinbarrow/net/HttpCaller.java
@@ -20,6 +20,9 @@
      */
     public record Ended(HttpParser.Message answer, String failure, boolean sent) {}
 
+    /** Send queue of a connection: far above the longest request. */
+    private static final long QUEUE_BYTES = 1 << 20;
+
     private final Net net;
     private final long connectMs;
     private final long keepNs;
@@ -72,7 +75,7 @@
         net.dial(
                 call.to,
                 fresh,
-                1 << 20,
+                QUEUE_BYTES,
                 connectMs,
                 link -> {
                     fresh.link = link;
@@ -98,6 +101,7 @@
         }
     }
 
+    /** One call and its outcome. */
     private static final class Call {
         final InetSocketAddress to;
         final byte[] request;
@@ -127,6 +131,7 @@
         }
     }
 
+    /** A keep-alive connection that carries one call after the other. */
     private final class Connection implements Link.Receiver {
         private final InetSocketAddress to;
         private final HttpParser parser = new HttpParser(false, bodyBytes, this::onMessage);
@@ -165,6 +170,7 @@
             return true;
         }
 
+        /** Sends the current call's request and starts its timeout. */
         void send() {
             Call pending = call;
             pending.sent = true;
@@ -208,6 +214,7 @@
             }
         }
 
+        /** Closes this connection, or prevents its use if it is still connecting. */
         void abandon() {
             abandoned = true;
             Link open = link;
@@ -240,13 +247,13 @@
             if (answer == null) {
                 return;
             }
-            HttpParser.Message complete = answer;
+            HttpParser.Message response = answer;
             answer = null;
             idleSinceNs = System.nanoTime();
             // Bytes beyond this response would be taken for the response to the next call.
             abandoned |= !parser.idle();
             boolean closeNow = abandoned;
-            call.complete(complete, null);
+            call.complete(response, null);
             if (closeNow) {
                 abandon();
             }
--- a/src/main/java/puffinbarrow/net/HttpParser.java
+++ b/src/main/java/puffinbarrow/net/HttpParser.java
@@ -41,13 +41,16 @@
 
     /** What the parser expects next. */
     private enum State {
+        /** The start line of a message. */
         START,
         HEADER,
         BODY,
         CHUNK_SIZE,
         CHUNK,
+        /** The line end after a chunk. */
         CHUNK_END,
         TRAILER,
+        /** A body that ends with the connection. */
         TO_CLOSE
     }
 
--- a/src/main/java/puffinbarrow/net/Link.java
+++ b/src/main/java/puffinbarrow/net/Link.java
@@ -63,7 +63,9 @@
     /** Bytes in {@link #queue}. */
     private long queued;
 
+    /** Whether a write is under way. */
     private boolean writing;
+
     private boolean closeWhenSent;
     /** While true no read is started; the peer's bytes wait in the kernel. */
     private volatile boolean paused;
@@ -101,6 +103,7 @@
         }
     }
 
+    /** Starts the next read, unless reading is paused or the link has ended. */
     private void read() {
         synchronized (queue) {
             if (paused) {
@@ -180,6 +183,7 @@
         }
     }
 
+    /** Starts to write the oldest buffers; called by one thread at a time, see {@link #writing}. */
     private void write() {
         ByteBuffer[] batch;
         synchronized (queue) {
@@ -239,10 +243,12 @@
         }
     }
 
+    /** Returns whether the link has ended. */
     public boolean ended() {
         return end.get() != null;
     }
 
+    /** Ends the link; only the first call has an effect. */
     private void finish(Cause cause, String detail) {
         if (!end.compareAndSet(null, cause)) {
             return;
--- a/src/main/java/puffinbarrow/net/Net.java
+++ b/src/main/java/puffinbarrow/net/Net.java
@@ -18,7 +18,7 @@
 import java.util.function.Function;
 
 /**
- * The channel group and the timer that all links of a process part share. A few threads serve any number of links, so
+ * The channel group and the timer that all links of one daemon share. A few threads serve any number of links, so
  * callbacks on them must not block.
  */
 public final class Net implements AutoCloseable {
@@ -32,8 +32,8 @@
 
     /** @param name prefix of the thread names */
     public Net(String name, int threads) throws IOException {
-        group = AsynchronousChannelGroup.withFixedThreadPool(threads, daemons(name + "-io-"));
-        timer = Executors.newSingleThreadScheduledExecutor(daemons(name + "-timer-"));
+        group = AsynchronousChannelGroup.withFixedThreadPool(threads, daemonThreadFactory(name + "-io-"));
+        timer = Executors.newSingleThreadScheduledExecutor(daemonThreadFactory(name + "-timer-"));
     }
 
     /** Formats an address as ADDRESS:PORT, as settings and server ids have it. */
@@ -54,7 +54,7 @@
     }
 
     /** Returns a factory of daemon threads, named with the prefix and a running number. */
-    public static ThreadFactory daemons(String prefix) {
+    public static ThreadFactory daemonThreadFactory(String prefix) {
         AtomicInteger count = new AtomicInteger();
         return work -> {
             Thread thread = new Thread(work, prefix + count.incrementAndGet());
@@ -63,6 +63,7 @@
         };
     }
 
+    /** Returns the executor behind {@link #schedule}. */
     public ScheduledExecutorService timer() {
         return timer;
     }
@@ -84,6 +85,7 @@
             startAccepting.run();
         }
 
+        /** Returns the bound address, with the actual port. */
         public InetSocketAddress address() {
             return address;
         }
@@ -165,8 +167,8 @@
     }
 
     /**
-     * Connects with a timeout in milliseconds; exactly one of the two callbacks is called. Without the timeout a host
-     * that disappeared would hold the file handle, as it never answers.
+     * Connects to a resolved address with a timeout in milliseconds; one of the two callbacks is called. Without the
+     * timeout a host that disappeared would hold the file handle, as it never answers.
      */
     public void dial(
             InetSocketAddress to,
@@ -197,8 +199,8 @@
     }
 
     /**
-     * Connects. One of the two callbacks is called: {@code up} on a thread of the group before the first read, or
-     * {@code failed}. Returns the channel, or null if none could be opened.
+     * Connects to a resolved address. One of the two callbacks is called: {@code up} on a thread of the group before
+     * the first read, or {@code failed}. Returns the channel, or null if none could be opened.
      */
     public AsynchronousSocketChannel dial(
             InetSocketAddress to,
--- a/src/main/java/puffinbarrow/proto/FrameReader.java
+++ b/src/main/java/puffinbarrow/proto/FrameReader.java
@@ -22,9 +22,20 @@
  */
 public final class FrameReader {
     /** Default limit for a frame's body in bytes: a whole list of 10,000 servers fits. */
-    public static final int USUAL_LIMIT = 1 << 20;
+    public static final int DEFAULT_LIMIT_BYTES = 1 << 20;
 
     private static final int INITIAL_BUFFER_BYTES = 4096;
+
+    // Lower bounds of the bytes that parts of frames take, to refuse impossible counts before anything is allocated.
+    private static final int MIN_ORDER_BYTES = 2;
+    private static final int TERM_BYTES = 12;
+    private static final int MIN_MET_BYTES = 27;
+    private static final int CAME_BYTES = 21;
+    private static final int MIN_ENTRY_BYTES = 31;
+    private static final int MIN_LINE_BYTES = 10;
+
+    /** Where the count of orders is in the body of an orders frame, behind turn, time and count of restated levels. */
+    private static final int ORDERS_COUNT_OFFSET = 20;
     /** The longest text of a peer message, in bytes of UTF-8. */
     private static final int MAX_PEER_MESSAGE_BYTES = 256;
 
@@ -48,7 +59,10 @@
 
     private boolean midFrame;
 
-    /** @param limit the longest frame body accepted, in bytes; {@code out} receives each frame */
+    /**
+     * @param limit the longest frame body accepted, in bytes
+     * @param out receives each frame
+     */
     public FrameReader(int limit, Consumer<Frame> out) {
         this.limit = limit;
         this.out = out;
@@ -63,22 +77,23 @@
     public void feed(ByteBuffer in) {
         if (partial.position() == 0) {
             // No partial frame is buffered, so complete frames are decoded in place.
-            while (in.remaining() >= FrameWriter.HEADER && in.remaining() >= FrameWriter.HEADER + bodyLength(in)) {
+            while (in.remaining() >= FrameWriter.HEADER_BYTES
+                    && in.remaining() >= FrameWriter.HEADER_BYTES + bodyLength(in)) {
                 decode(in);
             }
         }
         while (in.hasRemaining()) {
-            int need = partial.position() < FrameWriter.HEADER
-                    ? FrameWriter.HEADER
-                    : FrameWriter.HEADER + checked(partial.getInt(0));
+            int need = partial.position() < FrameWriter.HEADER_BYTES
+                    ? FrameWriter.HEADER_BYTES
+                    : FrameWriter.HEADER_BYTES + checked(partial.getInt(0));
             ensureCapacity(need);
             int count = Math.min(in.remaining(), need - partial.position());
             int limitBefore = in.limit();
             in.limit(in.position() + count);
             partial.put(in);
             in.limit(limitBefore);
-            if (partial.position() >= FrameWriter.HEADER
-                    && partial.position() == FrameWriter.HEADER + checked(partial.getInt(0))) {
+            if (partial.position() >= FrameWriter.HEADER_BYTES
+                    && partial.position() == FrameWriter.HEADER_BYTES + checked(partial.getInt(0))) {
                 partial.flip();
                 decode(partial);
                 partial.clear();
@@ -103,8 +118,8 @@
 
     private void ensureCapacity(int bytes) {
         if (partial.capacity() < bytes) {
-            ByteBuffer larger =
-                    ByteBuffer.allocate(Math.min(FrameWriter.HEADER + limit, Math.max(bytes, partial.capacity() * 2)));
+            ByteBuffer larger = ByteBuffer.allocate(
+                    Math.min(FrameWriter.HEADER_BYTES + limit, Math.max(bytes, partial.capacity() * 2)));
             partial.flip();
             larger.put(partial);
             partial = larger;
@@ -120,15 +135,15 @@
         int flags = in.getShort() & 0xffff;
         int statedChecksum = in.getInt();
         int limitBefore = in.limit();
-        int end = start + FrameWriter.HEADER + length;
+        int end = start + FrameWriter.HEADER_BYTES + length;
         in.limit(end);
         crc.reset();
         if (in.hasArray()) {
-            crc.update(in.array(), in.arrayOffset() + start, 8);
-            crc.update(in.array(), in.arrayOffset() + start + FrameWriter.HEADER, length);
+            crc.update(in.array(), in.arrayOffset() + start, FrameWriter.CHECKED_HEADER_BYTES);
+            crc.update(in.array(), in.arrayOffset() + start + FrameWriter.HEADER_BYTES, length);
         } else {
-            crc.update(in.slice(start, 8));
-            crc.update(in.slice(start + FrameWriter.HEADER, length));
+            crc.update(in.slice(start, FrameWriter.CHECKED_HEADER_BYTES));
+            crc.update(in.slice(start + FrameWriter.HEADER_BYTES, length));
         }
         if ((int) crc.getValue() != statedChecksum) {
             throw new FrameException(Cause.CHECKSUM, "checksum of a frame of type " + type);
@@ -160,7 +175,7 @@
                 long turn = in.getLong();
                 long at = in.getLong();
                 int carried = in.getInt();
-                int count = count(in, 2);
+                int count = count(in, MIN_ORDER_BYTES);
                 if (carried < 0 || carried > count) {
                     throw malformed("orders with " + carried + " carried of " + count);
                 }
@@ -170,7 +185,7 @@
                 }
                 List<Frame.Term> terms = List.of();
                 if (in.hasRemaining()) {
-                    int termCount = count(in, 12);
+                    int termCount = count(in, TERM_BYTES);
                     terms = new ArrayList<>(termCount);
                     for (int i = 0; i < termCount; i++) {
                         terms.add(new Frame.Term(in.getInt(), notNegative(in.getLong(), "term")));
@@ -182,7 +197,7 @@
                 int zone = in.getInt();
                 long round = in.getLong();
                 long span = in.getLong();
-                int count = count(in, 27);
+                int count = count(in, MIN_MET_BYTES);
                 List<Frame.Met> met = new ArrayList<>(count);
                 for (int i = 0; i < count; i++) {
                     String server = text(in);
@@ -199,7 +214,7 @@
             case FrameTypes.DEMAND: {
                 long round = in.getLong();
                 long span = in.getLong();
-                int count = count(in, 21);
+                int count = count(in, CAME_BYTES);
                 List<Frame.Came> came = new ArrayList<>(count);
                 for (int i = 0; i < count; i++) {
                     Frame.Came one = new Frame.Came(in.getInt(), in.get(), in.getLong(), in.getLong());
@@ -247,7 +262,7 @@
             case FrameTypes.SERVER_LIST: {
                 Event.ListKind kind = pick(Event.ListKind.values(), in.get(), "list kind");
                 long version = in.getLong();
-                int count = count(in, 31);
+                int count = count(in, MIN_ENTRY_BYTES);
                 List<Event.Entry> entries = new ArrayList<>(count);
                 for (int i = 0; i < count; i++) {
                     entries.add(new Event.Entry(
@@ -269,7 +284,7 @@
                 return new Frame.Charge(in.getInt(), in.get() != 0);
             case FrameTypes.STORED: {
                 int slice = in.getInt();
-                int count = count(in, 10);
+                int count = count(in, MIN_LINE_BYTES);
                 List<Frame.Line> lines = new ArrayList<>(count);
                 for (int i = 0; i < count; i++) {
                     lines.add(new Frame.Line(text(in), weight(in.getDouble())));
@@ -364,10 +379,10 @@
 
     /** Decodes one complete orders frame without a record for each line: the fast way to read large tables. */
     public void lines(ByteBuffer frame, Lines to) {
-        int at = frame.position() + FrameWriter.HEADER + 20;
+        int at = frame.position() + FrameWriter.HEADER_BYTES + ORDERS_COUNT_OFFSET;
         try {
             ByteBuffer in = frame.duplicate().position(at);
-            int count = count(in, 2);
+            int count = count(in, MIN_ORDER_BYTES);
             for (int i = 0; i < count; i++) {
                 if (in.get(in.position()) == FrameTypes.ORDER_SET_LINE) {
                     in.get();
--- a/src/main/java/puffinbarrow/proto/FrameWriter.java
+++ b/src/main/java/puffinbarrow/proto/FrameWriter.java
@@ -18,9 +18,9 @@
  */
 public final class FrameWriter {
     /** Header length in bytes: body length 4, type 1, major version 1, flags 2, checksum 4. */
-    static final int HEADER = 12;
+    static final int HEADER_BYTES = 12;
     /** The header bytes that the checksum covers. */
-    private static final int CHECKED_HEADER = 8;
+    static final int CHECKED_HEADER_BYTES = 8;
 
     private Bytes to = new Bytes();
     private final CRC32C crc = new CRC32C();
@@ -59,19 +59,19 @@
 
     /** Encodes a frame; the returned buffer is valid until the next call. */
     public ByteBuffer write(Frame frame) {
-        to.position = HEADER;
+        to.position = HEADER_BYTES;
         int type = body(frame);
         return seal(type, 0);
     }
 
-    /** Completes the frame whose body was written with header and checksum; tests call it to make invalid frames. */
+    /** Adds header and checksum to the body written so far; tests call it to make invalid frames. */
     ByteBuffer seal(int type, int flags) {
         int end = to.position;
         to.position = 0;
-        to.putInt(end - HEADER).put((byte) type).put((byte) Frame.MAJOR).putShort((short) flags);
+        to.putInt(end - HEADER_BYTES).put((byte) type).put((byte) Frame.MAJOR).putShort((short) flags);
         crc.reset();
-        crc.update(to.bytes, 0, CHECKED_HEADER);
-        crc.update(to.bytes, HEADER, end - HEADER);
+        crc.update(to.bytes, 0, CHECKED_HEADER_BYTES);
+        crc.update(to.bytes, HEADER_BYTES, end - HEADER_BYTES);
         to.putInt((int) crc.getValue());
         to.position = end;
         return ByteBuffer.wrap(to.bytes, 0, end);
--- a/src/test/java/puffinbarrow/coordinator/ChannelTest.java
+++ b/src/test/java/puffinbarrow/coordinator/ChannelTest.java
@@ -75,6 +75,7 @@
                 List.of(new Frame.Met(server, tries, dropped, tookNs, Map.of(Event.Measure.BUSY, tries / 10.0))));
     }
 
+    /** Returns the events that the aggregator releases by that time. */
     private static List<Event> release(ReportAggregator aggregator, long now, int joined) {
         List<Event> events = new ArrayList<>();
         aggregator.release(now, joined, events);
--- a/src/test/java/puffinbarrow/coordinator/CoordinatorTest.java
+++ b/src/test/java/puffinbarrow/coordinator/CoordinatorTest.java
@@ -340,19 +340,19 @@
         Coordinator two = start(config(1, "peer 0 127.0.0.1:" + one.address().getPort() + "\n"), b);
         RawClient proxy = new RawClient(one).hello(1, 1);
         until("the join", () -> a.count(Event.ProxyJoined.class) == 1);
-        until("a message", () -> isDelivered(a, b, "before"));
+        until("a message", () -> tellAndCheckDelivered(a, b, "before"));
         two.cutPeer(0, true);
         b.nextOrders = List.of(new Order.Tell(0, "lost"));
         until("the turn", () -> b.nextOrders.isEmpty());
         two.cutPeer(0, false);
-        until("a message again", () -> isDelivered(a, b, "after"));
+        until("a message again", () -> tellAndCheckDelivered(a, b, "after"));
         assertTrue(a.events.stream()
                 .noneMatch(e -> e instanceof Event.PeerMessage m && m.text().equals("lost")));
         assertTrue(!proxy.ended);
     }
 
     /** Sends a peer message, and returns whether one with this text has arrived. */
-    private static boolean isDelivered(ScriptedController to, ScriptedController from, String text) {
+    private static boolean tellAndCheckDelivered(ScriptedController to, ScriptedController from, String text) {
         from.nextOrders = List.of(new Order.Tell(0, text));
         return to.events.stream()
                 .anyMatch(e -> e instanceof Event.PeerMessage m && m.text().equals(text) && m.sender() == 1);
--- a/src/test/java/puffinbarrow/proto/FrameTest.java
+++ b/src/test/java/puffinbarrow/proto/FrameTest.java
@@ -88,7 +88,7 @@
         int length = all().remaining();
         for (int cut = 0; cut <= length; cut++) {
             List<Frame> read = new ArrayList<>();
-            FrameReader reader = new FrameReader(FrameReader.USUAL_LIMIT, read::add);
+            FrameReader reader = new FrameReader(FrameReader.DEFAULT_LIMIT_BYTES, read::add);
             reader.feed(all().limit(cut));
             reader.feed(all().position(cut));
             assertEquals(ALL, read, "cut at " + cut);
@@ -99,7 +99,7 @@
     @Test
     void framesAreDecodedByteByByte() {
         List<Frame> read = new ArrayList<>();
-        FrameReader reader = new FrameReader(FrameReader.USUAL_LIMIT, read::add);
+        FrameReader reader = new FrameReader(FrameReader.DEFAULT_LIMIT_BYTES, read::add);
         for (ByteBuffer bytes = all(); bytes.hasRemaining(); ) {
             reader.feed(ByteBuffer.wrap(new byte[] {bytes.get()}));
         }
