--- a/src/main/java/puffinbarrow/lease/Lease.java
+++ b/src/main/java/puffinbarrow/lease/Lease.java
@@ -3,6 +3,7 @@
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.Collection;
+import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -10,317 +11,344 @@
 import java.util.TreeSet;
 
 /**
- * One coordinator's part in sharing the slices through a store with compare-and-set. It keeps its own lease alive,
- * takes slices that are its share and have no living voice, hands on what has become another's share, and stops
- * speaking before its lease can have run out by anybody's clock. No I/O and no clock: answers of the store and ticks
- * come in with this member's own time, steps go out.
+ * Lease state machine of one coordinator. The coordinators divide the slices among themselves through a store with
+ * compare-and-set. This class renews the coordinator's own lease, acquires slices that are assigned to it and have no
+ * live owner, hands over slices that are now assigned to another member, and gives up ownership before any other member
+ * can consider its lease expired. It does no I/O and reads no clock: the caller passes in the store's answers, ticks and
+ * the member's local time in nanoseconds, and carries out the returned steps in order. Not thread-safe; the coordinator
+ * calls it under a lock, {@link Simulation} from a single thread.
  *
- * <p>A lease counts for its holder from when the beat was sent, less a margin, and for all others from when they saw the
- * beat, plus the margin; so clocks may differ by the margin in rate, and their readings never meet. A holder whose
- * lease ran out begins a new life with another incarnation: whatever the old one held must be taken anew by
- * compare-and-set, so that one who had already decided to take it and this one cannot both succeed. Who finds a lease run
- * out first closes the member's record by compare-and-set: had a beat come that it has not seen, because the watch is
- * late or it slept itself, that write fails; and once it holds, no later beat of that life can.
+ * <p>The holder counts its lease from the time it sent the heartbeat and shortens it by {@link #CLOCK_MARGIN}; all other
+ * members count from the time they saw the heartbeat and lengthen it by the same margin. Clock rates may therefore
+ * differ, and clock readings are never compared between members. A holder whose lease expired continues under a new
+ * incarnation and must acquire its slices again by compare-and-set, so that it and a member that has already decided to
+ * take them over cannot both succeed. A member that finds a lease expired first closes the holder's record by
+ * compare-and-set. That write fails if there was a heartbeat that the member has not seen, because its watch is late or
+ * it was paused itself; once it succeeds, no later heartbeat of that incarnation can.
  */
 public final class Lease {
-    /** @param ns a lease; @param takesPerTick slices taken or handed on in one tick at most */
-    public record Settings(int number, int slices, long ns, int takesPerTick) {}
+    /**
+     * Settings of one member.
+     *
+     * @param memberNumber this member's number, unique among the coordinators
+     * @param slices the number of slices; they are numbered from 0
+     * @param leaseNs the length of a lease
+     * @param maxTransfersPerTick the most slices to acquire or hand over in one tick
+     */
+    public record Settings(int memberNumber, int slices, long leaseNs, int maxTransfersPerTick) {}
 
-    /** Parts of the protocol that a check may leave out, to show that it is they that hold it. */
+    /** Safety rules of the protocol. Tests disable one at a time to show that each is necessary. */
     enum Guard {
-        MARGIN,
-        NEW_LIFE_AFTER_LAPSE,
+        CLOCK_MARGIN,
+        NEW_INCARNATION_AFTER_EXPIRY,
         EXPECTED_REVISION,
-        STOPS_WHEN_LAPSED,
-        CLOSED_FIRST
+        STOP_AT_EXPIRY,
+        CLOSE_BEFORE_TAKEOVER
     }
 
-    /** Twice the 5% by which clocks may drift: one clock may run fast while the other runs slow. */
-    static final double MARGIN = 0.1;
-    /** Beats in a lease: three may be lost or late before it runs out. */
-    private static final int BEATS = 4;
-    /** A life shorter than so many leases was a flap. */
-    private static final int SHORT_LIFE = 8;
-    /** The wait before charges doubles with each flap, up to 32 leases. */
-    private static final int MOST_FLAPS = 5;
-    /** Balance is worth a hand-over only once members have not changed for so many leases. */
-    private static final int CALM = 2;
+    /** As a part of the lease: twice the 5% by which a clock may drift, since one may run fast and the other slow. */
+    static final double CLOCK_MARGIN = 0.1;
+    /** Up to three heartbeats may be lost or late before the lease expires. */
+    private static final int HEARTBEATS_PER_LEASE = 4;
+    /** An incarnation that ended before this many leases counts as a flap. */
+    private static final int SHORT_INCARNATION_LEASES = 8;
+    /** The wait before a member is assigned slices doubles with each flap, from one lease up to 32 leases. */
+    private static final int MAX_FLAPS = 5;
+    /** Slices are moved to restore balance only after the membership has not changed for this many leases. */
+    private static final int STABLE_LEASES = 2;
 
     enum State {
         IDLE,
-        TAKING,
-        SPEAKING,
-        GIVING
+        ACQUIRING,
+        OWNER,
+        HANDING_OVER
     }
 
     private enum Input {
-        TAKE,
-        GIVE,
-        WON,
-        LOST,
-        SEEN_MINE,
-        SEEN_OTHER,
-        LAPSE
+        ACQUIRE,
+        HAND_OVER,
+        WRITE_APPLIED,
+        WRITE_NOT_APPLIED,
+        RECORD_NAMES_SELF,
+        RECORD_NAMES_OTHER,
+        LEASE_EXPIRED
     }
 
     private enum Effect {
         NOTHING,
-        WRITE_MINE,
-        WRITE_OTHERS,
+        WRITE_SELF,
+        WRITE_SUCCESSOR,
         BEGIN,
-        END_LAPSED,
-        END_HANDED,
-        END_TAKEN
+        END_EXPIRED,
+        END_HANDED_OVER,
+        END_TAKEN_BY_ANOTHER
     }
 
-    private record Row(State in, Input on, State to, Effect effect) {}
+    private record Transition(State from, Input input, State to, Effect effect) {}
 
     /**
-     * A slice in this member's eyes. SEEN_MINE is the store's record naming this life: after a won write, after a write
-     * whose answer was lost, or because another handed it on. Pairs that are not listed change nothing.
+     * Transitions of a slice as this member sees it. RECORD_NAMES_SELF means that the store's record names this
+     * incarnation as owner: after an applied write, after a write whose answer was lost, or because another member handed
+     * the slice over. A pair of state and input that is not listed changes nothing.
      */
-    private static final List<Row> TABLE = List.of(
-            new Row(State.IDLE, Input.TAKE, State.TAKING, Effect.WRITE_MINE),
-            new Row(State.IDLE, Input.SEEN_MINE, State.SPEAKING, Effect.BEGIN),
-            new Row(State.TAKING, Input.WON, State.SPEAKING, Effect.BEGIN),
-            new Row(State.TAKING, Input.SEEN_MINE, State.SPEAKING, Effect.BEGIN),
-            new Row(State.TAKING, Input.LOST, State.IDLE, Effect.NOTHING),
-            new Row(State.TAKING, Input.SEEN_OTHER, State.IDLE, Effect.NOTHING),
-            new Row(State.TAKING, Input.LAPSE, State.IDLE, Effect.NOTHING),
-            // It falls silent before the other can have been told.
-            new Row(State.SPEAKING, Input.GIVE, State.GIVING, Effect.WRITE_OTHERS),
-            new Row(State.SPEAKING, Input.SEEN_OTHER, State.IDLE, Effect.END_TAKEN),
-            new Row(State.SPEAKING, Input.LAPSE, State.IDLE, Effect.END_LAPSED),
-            new Row(State.GIVING, Input.WON, State.IDLE, Effect.NOTHING),
-            new Row(State.GIVING, Input.SEEN_OTHER, State.IDLE, Effect.NOTHING),
-            // Not given after all: the record still names this life, so it goes on.
-            new Row(State.GIVING, Input.LOST, State.IDLE, Effect.NOTHING),
-            new Row(State.GIVING, Input.LAPSE, State.IDLE, Effect.NOTHING));
-
-    private static final class Slice {
+    private static final List<Transition> TRANSITIONS = List.of(
+            new Transition(State.IDLE, Input.ACQUIRE, State.ACQUIRING, Effect.WRITE_SELF),
+            new Transition(State.IDLE, Input.RECORD_NAMES_SELF, State.OWNER, Effect.BEGIN),
+            new Transition(State.ACQUIRING, Input.WRITE_APPLIED, State.OWNER, Effect.BEGIN),
+            new Transition(State.ACQUIRING, Input.RECORD_NAMES_SELF, State.OWNER, Effect.BEGIN),
+            new Transition(State.ACQUIRING, Input.WRITE_NOT_APPLIED, State.IDLE, Effect.NOTHING),
+            new Transition(State.ACQUIRING, Input.RECORD_NAMES_OTHER, State.IDLE, Effect.NOTHING),
+            new Transition(State.ACQUIRING, Input.LEASE_EXPIRED, State.IDLE, Effect.NOTHING),
+            // Ownership ends here before the successor can learn of it.
+            new Transition(State.OWNER, Input.HAND_OVER, State.HANDING_OVER, Effect.WRITE_SUCCESSOR),
+            new Transition(State.OWNER, Input.RECORD_NAMES_OTHER, State.IDLE, Effect.END_TAKEN_BY_ANOTHER),
+            new Transition(State.OWNER, Input.LEASE_EXPIRED, State.IDLE, Effect.END_EXPIRED),
+            new Transition(State.HANDING_OVER, Input.WRITE_APPLIED, State.IDLE, Effect.NOTHING),
+            new Transition(State.HANDING_OVER, Input.RECORD_NAMES_OTHER, State.IDLE, Effect.NOTHING),
+            // The hand-over failed: the record still names this incarnation, and applyRecord makes it the owner again.
+            new Transition(State.HANDING_OVER, Input.WRITE_NOT_APPLIED, State.IDLE, Effect.NOTHING),
+            new Transition(State.HANDING_OVER, Input.LEASE_EXPIRED, State.IDLE, Effect.NOTHING));
+
+    private static final class SliceView {
         State state = State.IDLE;
-        Voice voice = Voice.NONE;
+        Voice record = Voice.NONE;
         long revision;
-        /** The write on its way, or 0. */
-        long call;
+        /** Id of the unanswered write, or 0. */
+        long pendingWrite;
 
-        long expected, sentAt;
-        Voice asked;
+        long expectedRevision;
+        long sentAtNs;
+        Voice requested;
     }
 
-    /** Another member, or this one as the store has it. */
-    private static final class Seen {
+    /** The last known record of a member, this one included. */
+    private static final class MemberView {
         Member member;
         long revision;
-        /** When its latest beat was seen, by this member's clock. */
-        long beatAt;
+        /** When the latest heartbeat was seen, by this member's clock. */
+        long heartbeatSeenAtNs;
 
-        long markCall, markedAt;
-        /** Lives that another replaced, and when that was seen: they may speak until their lease has run out. */
-        final TreeMap<Long, Long> former = new TreeMap<>();
+        long closeWrite;
+        long closeSentAtNs;
+        /** Replaced incarnations, with the time each was seen replaced: they may act as owner until their lease expires. */
+        final TreeMap<Long, Long> previousIncarnations = new TreeMap<>();
     }
 
     private final Settings settings;
-    private final Set<Guard> without;
-    private final Slice[] slices;
-    private final TreeMap<Integer, Seen> members = new TreeMap<>();
-    private final List<Step> out = new ArrayList<>();
-    private final Map<Long, Integer> calls = new TreeMap<>();
-    private long nextCall = 1;
-    private boolean connected, synced;
-    private long syncedAt;
+    private final Set<Guard> disabledGuards;
+    private final SliceView[] slices;
+    private final TreeMap<Integer, MemberView> members = new TreeMap<>();
+    private final List<Step> pendingSteps = new ArrayList<>();
+    private final Map<Long, Integer> sliceByWrite = new TreeMap<>();
+    private long nextWriteId = 1;
+    private boolean connected;
+    private boolean synced;
+    private long syncedAtNs;
     private long incarnation;
-    private long beat;
+    private long heartbeat;
     private boolean leaving;
     private int flaps;
-    private long bornAt;
-    private long speakUntil = Long.MIN_VALUE;
-    /** The beat on its way: its call, when it was first sent and last sent. */
-    private long beatCall;
-
-    private Member beatAsked;
-    private long beatSentAt, beatRetryAt, beatRevision;
-    private long nextBeatAt;
-    private boolean standing;
-    private int[] shares;
-    /** Slices that may be out of place: a look leaves out all others, which are nearly all in a calm fleet. */
-    private final BitSet touched = new BitSet();
-
-    private Set<Integer> sharers = Set.of();
-    private long sharesSince;
-    private boolean saidLeft;
-    /** Former lives of this very process, which are silent. */
-    private final Set<Long> ownLives = new java.util.HashSet<>();
-
-    /** @param incarnation differs from that of any earlier life of this number */
+    private long incarnationStartNs;
+    private long leaseEndNs = Long.MIN_VALUE;
+    /** Id of the unanswered heartbeat write, or 0. */
+    private long heartbeatWrite;
+
+    /** The record that the latest heartbeat writes. */
+    private Member heartbeatRecord;
+
+    private long heartbeatSentAtNs;
+    private long heartbeatRetryAtNs;
+    private long heartbeatRevision;
+    private long nextHeartbeatAtNs;
+    private boolean leaseHeld;
+    private int[] assignment;
+    /** Slices that may not match the assignment. The others, nearly all of them in steady state, are skipped. */
+    private final BitSet slicesToReview = new BitSet();
+
+    private Set<Integer> assignedMembers = Set.of();
+    private long assignedSinceNs;
+    private boolean leftReported;
+    /** Earlier incarnations of this process; they no longer act as owner. */
+    private final Set<Long> ownPreviousIncarnations = new HashSet<>();
+
+    /**
+     * Creates the state machine; it does nothing until {@link #connected}.
+     *
+     * @param incarnation differs from every earlier incarnation under this member number
+     */
     public Lease(Settings settings, long incarnation) {
         this(settings, incarnation, Set.of());
     }
 
-    Lease(Settings settings, long incarnation, Set<Guard> without) {
+    Lease(Settings settings, long incarnation, Set<Guard> disabledGuards) {
         this.settings = settings;
         this.incarnation = incarnation;
-        this.without = without;
-        this.slices = new Slice[settings.slices];
+        this.disabledGuards = disabledGuards;
+        this.slices = new SliceView[settings.slices];
         for (int i = 0; i < slices.length; i++) {
-            slices[i] = new Slice();
+            slices[i] = new SliceView();
         }
-        this.bornAt = Long.MIN_VALUE;
+        this.incarnationStartNs = Long.MIN_VALUE;
     }
 
-    // ---- What comes in. Each answers with steps, in order.
+    // ---- Inputs. Each returns the resulting steps, in order.
 
-    /** The store's stream stands; all records follow, then {@link #synced}. */
+    /** The stream to the store is open; all records follow, then {@link #synced}. */
     public List<Step> connected(long now) {
         connected = true;
         synced = false;
         return steps();
     }
 
+    /** All records of the store have been passed in since {@link #connected}. */
     public List<Step> synced(long now) {
         synced = true;
-        syncedAt = now;
-        if (bornAt == Long.MIN_VALUE) {
-            born(now);
+        syncedAtNs = now;
+        if (incarnationStartNs == Long.MIN_VALUE) {
+            startFirstIncarnation(now);
         }
-        // Whatever was on its way may or may not have taken effect: the records just read tell.
-        beatCall = 0;
-        calls.clear();
+        // Unanswered writes may or may not have been applied: the records just read show which.
+        heartbeatWrite = 0;
+        sliceByWrite.clear();
         for (int i = 0; i < slices.length; i++) {
-            if (slices[i].call != 0) {
-                slices[i].call = 0;
-                touched.set(i);
-                act(i, Input.LOST, now);
+            if (slices[i].pendingWrite != 0) {
+                slices[i].pendingWrite = 0;
+                slicesToReview.set(i);
+                transition(i, Input.WRITE_NOT_APPLIED, now);
             }
         }
-        nextBeatAt = now;
+        nextHeartbeatAtNs = now;
         return tick(now);
     }
 
-    /** The stream is gone: nothing is known to be written until it stands again. */
+    /** The stream to the store is closed: no write is known to be applied until it is open again. */
     public List<Step> disconnected(long now) {
         connected = false;
         synced = false;
         return tick(now);
     }
 
-    /** A member's record as the store has it now, by watch or as an answer. */
+    /** A member's current record in the store, from the watch or as part of an answer to a write. */
     public List<Step> member(long now, long revision, Member member) {
-        Seen seen = members.computeIfAbsent(member.number(), n -> new Seen());
-        if (revision <= seen.revision) {
+        MemberView view = members.computeIfAbsent(member.number(), n -> new MemberView());
+        if (revision <= view.revision) {
             return steps();
         }
-        boolean mine = member.number() == settings.number;
-        if (seen.member != null && seen.member.incarnation() != member.incarnation()) {
-            // From now, not from its last beat: later ones may have been passed over while the stream was down.
-            seen.former.put(seen.member.incarnation(), now);
-        }
-        // A record met for the first time may be of any age: it is trusted for a lease from now.
-        seen.beatAt = now;
-        seen.member = member;
-        seen.revision = revision;
-        seen.markCall = 0;
-        if (mine && beatAsked != null && beatCall != 0 && member.equals(beatAsked)) {
-            beaten(now);
-        } else if (mine && standing && (member.incarnation() != incarnation || member.dead())) {
-            // Closed by another, or another process with this number: two must not both go on.
-            lapse(now);
-        } else if (mine && !standing && member.incarnation() == incarnation && member.dead()) {
-            renewLife(now);
+        boolean own = member.number() == settings.memberNumber;
+        if (view.member != null && view.member.incarnation() != member.incarnation()) {
+            // From now, not from the last heartbeat seen: later ones may have been missed while the stream was down.
+            view.previousIncarnations.put(view.member.incarnation(), now);
+        }
+        // A record seen for the first time may be of any age: the member counts as live for one lease from now.
+        view.heartbeatSeenAtNs = now;
+        view.member = member;
+        view.revision = revision;
+        view.closeWrite = 0;
+        if (own && heartbeatRecord != null && heartbeatWrite != 0 && member.equals(heartbeatRecord)) {
+            heartbeatApplied(now);
+        } else if (own && leaseHeld && (member.incarnation() != incarnation || member.dead())) {
+            // Another member closed the record, or another process uses this number: both must not continue as owners.
+            expireLease(now);
+        } else if (own && !leaseHeld && member.incarnation() == incarnation && member.dead()) {
+            startNewIncarnation(now);
         }
         return tick(now);
     }
 
-    /** A slice's record as the store has it now. */
+    /** A slice's current owner record in the store. */
     public List<Step> voice(long now, int slice, long revision, Voice voice) {
-        Slice s = slices[slice];
-        if (revision <= s.revision) {
+        SliceView view = slices[slice];
+        if (revision <= view.revision) {
             return steps();
         }
-        s.revision = revision;
-        s.voice = voice;
-        judge(slice, now);
+        view.revision = revision;
+        view.record = voice;
+        applyRecord(slice, now);
         return tick(now);
     }
 
-    /** The answer to a write; the record as it is after it comes along by {@link #member} or {@link #voice} first. */
+    /** The answer to a write. The resulting record is passed to {@link #member} or {@link #voice} before. */
     public List<Step> answered(long now, long id, boolean applied) {
-        if (id == beatCall) {
+        if (id == heartbeatWrite) {
             if (applied) {
-                beaten(now);
+                heartbeatApplied(now);
             } else {
-                // The record that came along says why; it is tried again upon that.
-                beatCall = 0;
-                nextBeatAt = now + settings.ns / (2 * BEATS);
+                // The record passed in before shows why; the next attempt is based on it.
+                heartbeatWrite = 0;
+                nextHeartbeatAtNs = now + settings.leaseNs / (2 * HEARTBEATS_PER_LEASE);
             }
             return tick(now);
         }
-        Integer slice = calls.remove(id);
-        if (slice != null && slices[slice].call == id) {
-            slices[slice].call = 0;
-            touched.set(slice);
-            act(slice, applied ? Input.WON : Input.LOST, now);
+        Integer slice = sliceByWrite.remove(id);
+        if (slice != null && slices[slice].pendingWrite == id) {
+            slices[slice].pendingWrite = 0;
+            slicesToReview.set(slice);
+            transition(slice, applied ? Input.WRITE_APPLIED : Input.WRITE_NOT_APPLIED, now);
         }
         return tick(now);
     }
 
-    /** A proxy, the store or a peer has seen a later term than the one under which this member spoke. */
+    /** A proxy, the store or a peer has seen a later term of the slice than the one this member holds. */
     public List<Step> toldStale(long now, int slice, long term) {
-        if (slices[slice].voice.term() < term && slices[slice].state == State.SPEAKING) {
-            act(slice, Input.SEEN_OTHER, now);
+        if (slices[slice].record.term() < term && slices[slice].state == State.OWNER) {
+            transition(slice, Input.RECORD_NAMES_OTHER, now);
         }
         return steps();
     }
 
-    /** Hands all on, and says {@link Step.Left} when nothing is held. */
+    /** Starts to hand over all slices; {@link Step.Left} follows once none is held. */
     public List<Step> leave(long now) {
         leaving = true;
-        nextBeatAt = now;
+        nextHeartbeatAtNs = now;
         return tick(now);
     }
 
+    /** Sends due heartbeats and retries, expires the lease, and moves slices towards the assignment. */
     public List<Step> tick(long now) {
-        if (standing && now >= speakUntil && !without.contains(Guard.STOPS_WHEN_LAPSED)) {
-            lapse(now);
+        if (leaseHeld && now >= leaseEndNs && !disabledGuards.contains(Guard.STOP_AT_EXPIRY)) {
+            expireLease(now);
         }
         if (connected && synced) {
-            beat(now);
-            if (standing && now < speakUntil) {
-                share(now);
+            sendHeartbeatIfDue(now);
+            if (leaseHeld && now < leaseEndNs) {
+                rebalance(now);
             }
         }
-        if (leaving && !saidLeft && held() == 0) {
-            saidLeft = true;
-            out.add(new Step.Left());
+        if (leaving && !leftReported && held() == 0) {
+            leftReported = true;
+            pendingSteps.add(new Step.Left());
         }
         return steps();
     }
 
     private List<Step> steps() {
-        List<Step> done = List.copyOf(out);
-        out.clear();
-        return done;
+        List<Step> steps = List.copyOf(pendingSteps);
+        pendingSteps.clear();
+        return steps;
     }
 
-    // ---- What can be asked.
+    // ---- Queries.
 
-    /** Orders may be sent until then, by this member's clock. */
+    /** Orders may be sent before this time, by this member's clock; {@code Long.MIN_VALUE} without a lease. */
     public long speakUntilNs() {
-        return standing ? speakUntil : Long.MIN_VALUE;
+        return leaseHeld ? leaseEndNs : Long.MIN_VALUE;
     }
 
+    /** Whether this member owns the slice; the lease end must be checked separately. */
     public boolean speaks(int slice) {
-        return slices[slice].state == State.SPEAKING;
+        return slices[slice].state == State.OWNER;
     }
 
+    /** The slice's latest known term, whoever owns it. */
     public long term(int slice) {
-        return slices[slice].voice.term();
+        return slices[slice].record.term();
     }
 
+    /** Slices that this member owns or is handing over. */
     public int held() {
         int held = 0;
-        for (Slice slice : slices) {
-            held += slice.state == State.SPEAKING || slice.state == State.GIVING ? 1 : 0;
+        for (SliceView slice : slices) {
+            held += slice.state == State.OWNER || slice.state == State.HANDING_OVER ? 1 : 0;
         }
         return held;
     }
@@ -329,245 +357,253 @@
         return incarnation;
     }
 
-    /** Members in this one's eyes, living ones only. */
+    /** The members whose lease this member considers valid, itself included. */
     public Collection<Member> living(long now) {
         return members.values().stream()
-                .filter(s -> alive(s, now))
+                .filter(s -> isLive(s, now))
                 .map(s -> s.member)
                 .toList();
     }
 
-    // ---- This member's own lease.
+    // ---- The member's own lease.
 
-    private void born(long now) {
-        bornAt = now;
-        Seen before = members.get(settings.number);
+    private void startFirstIncarnation(long now) {
+        incarnationStartNs = now;
+        MemberView before = members.get(settings.memberNumber);
         if (before != null && before.member != null) {
-            // A life that never settled, or settled and was gone again soon, makes this one wait longer.
-            boolean brief = before.member.beat() < (long) SHORT_LIFE * BEATS;
-            flaps = brief ? Math.min(MOST_FLAPS, before.member.flaps() + 1) : 0;
+            // If the previous incarnation was short, this one waits longer before it is assigned slices.
+            boolean shortLived = before.member.beat() < (long) SHORT_INCARNATION_LEASES * HEARTBEATS_PER_LEASE;
+            flaps = shortLived ? Math.min(MAX_FLAPS, before.member.flaps() + 1) : 0;
         }
     }
 
-    private boolean settled(long now) {
-        // One lease, so that whoever else lives has been seen; longer for one that came and went.
-        return now - bornAt >= settings.ns << flaps;
+    private boolean hasSettled(long now) {
+        // One lease, so that every other live member has been seen; longer after short incarnations.
+        return now - incarnationStartNs >= settings.leaseNs << flaps;
     }
 
-    private void beat(long now) {
-        Seen own = members.get(settings.number);
+    private void sendHeartbeatIfDue(long now) {
+        MemberView own = members.get(settings.memberNumber);
         long revision = own == null ? 0 : own.revision;
-        if (beatCall != 0) {
-            if (now >= beatRetryAt) {
-                // No answer: the same call again, which takes effect once at most.
-                beatRetryAt = now + settings.ns / BEATS;
-                out.add(new Step.WriteMember(beatCall, beatRevision, beatAsked));
+        if (heartbeatWrite != 0) {
+            if (now >= heartbeatRetryAtNs) {
+                // No answer: the same write is sent again; the store applies it at most once.
+                heartbeatRetryAtNs = now + settings.leaseNs / HEARTBEATS_PER_LEASE;
+                pendingSteps.add(new Step.WriteMember(heartbeatWrite, heartbeatRevision, heartbeatRecord));
             }
             return;
         }
-        if (now < nextBeatAt) {
+        if (now < nextHeartbeatAtNs) {
             return;
         }
         if (own != null
                 && own.member.incarnation() != incarnation
-                && !standing
-                && own.former.containsKey(incarnation)) {
-            // Its own number is held by a process that came later.
-            renewLife(now);
-        }
-        beatAsked = new Member(settings.number, incarnation, beat + 1, settled(now), leaving, flaps, false);
-        beatCall = nextCall++;
-        beatRevision = revision;
-        beatSentAt = now;
-        beatRetryAt = now + settings.ns / BEATS;
-        out.add(new Step.WriteMember(beatCall, beatRevision, beatAsked));
-    }
-
-    private void beaten(long now) {
-        beatCall = 0;
-        beat = beatAsked.beat();
-        nextBeatAt = beatSentAt + settings.ns / BEATS;
-        // From when it was first sent: it cannot have been seen by anybody earlier.
-        long until = beatSentAt + (long) (settings.ns * (without.contains(Guard.MARGIN) ? 1 + MARGIN : 1 - MARGIN));
-        if (now < until) {
-            standing = true;
-            speakUntil = until;
+                && !leaseHeld
+                && own.previousIncarnations.containsKey(incarnation)) {
+            // A process that started later holds this member number.
+            startNewIncarnation(now);
+        }
+        heartbeatRecord =
+                new Member(settings.memberNumber, incarnation, heartbeat + 1, hasSettled(now), leaving, flaps, false);
+        heartbeatWrite = nextWriteId++;
+        heartbeatRevision = revision;
+        heartbeatSentAtNs = now;
+        heartbeatRetryAtNs = now + settings.leaseNs / HEARTBEATS_PER_LEASE;
+        pendingSteps.add(new Step.WriteMember(heartbeatWrite, heartbeatRevision, heartbeatRecord));
+    }
+
+    private void heartbeatApplied(long now) {
+        heartbeatWrite = 0;
+        heartbeat = heartbeatRecord.beat();
+        nextHeartbeatAtNs = heartbeatSentAtNs + settings.leaseNs / HEARTBEATS_PER_LEASE;
+        // Counted from the first sending: no other member can have seen the heartbeat earlier.
+        long endNs = heartbeatSentAtNs
+                + (long) (settings.leaseNs
+                        * (disabledGuards.contains(Guard.CLOCK_MARGIN) ? 1 + CLOCK_MARGIN : 1 - CLOCK_MARGIN));
+        if (now < endNs) {
+            leaseHeld = true;
+            leaseEndNs = endNs;
             for (int i = 0; i < slices.length; i++) {
-                judge(i, now);
+                applyRecord(i, now);
             }
         }
     }
 
-    private void lapse(long now) {
-        standing = false;
+    private void expireLease(long now) {
+        leaseHeld = false;
         for (int i = 0; i < slices.length; i++) {
-            slices[i].call = 0;
-            touched.set(i);
-            act(i, Input.LAPSE, now);
+            slices[i].pendingWrite = 0;
+            slicesToReview.set(i);
+            transition(i, Input.LEASE_EXPIRED, now);
         }
-        calls.clear();
-        beatCall = 0;
-        nextBeatAt = now;
-        if (!without.contains(Guard.NEW_LIFE_AFTER_LAPSE)) {
-            renewLife(now);
+        sliceByWrite.clear();
+        heartbeatWrite = 0;
+        nextHeartbeatAtNs = now;
+        if (!disabledGuards.contains(Guard.NEW_INCARNATION_AFTER_EXPIRY)) {
+            startNewIncarnation(now);
         }
     }
 
-    private void renewLife(long now) {
-        ownLives.add(incarnation);
+    private void startNewIncarnation(long now) {
+        ownPreviousIncarnations.add(incarnation);
         incarnation++;
-        beat = 0;
-        bornAt = now;
+        heartbeat = 0;
+        incarnationStartNs = now;
     }
 
     // ---- Slices.
 
-    private boolean mine(Voice voice) {
-        return voice.owner() == settings.number && voice.incarnation() == incarnation;
+    private boolean namesSelf(Voice voice) {
+        return voice.owner() == settings.memberNumber && voice.incarnation() == incarnation;
     }
 
-    /** What the record says, put to the table. */
-    private void judge(int slice, long now) {
-        Slice s = slices[slice];
-        if (!mine(s.voice)) {
-            act(slice, Input.SEEN_OTHER, now);
-        } else if (standing && now < speakUntil && s.state != State.GIVING) {
-            act(slice, Input.SEEN_MINE, now);
+    /** Turns the slice's record into an input of the transition table. */
+    private void applyRecord(int slice, long now) {
+        SliceView view = slices[slice];
+        if (!namesSelf(view.record)) {
+            transition(slice, Input.RECORD_NAMES_OTHER, now);
+        } else if (leaseHeld && now < leaseEndNs && view.state != State.HANDING_OVER) {
+            transition(slice, Input.RECORD_NAMES_SELF, now);
         }
     }
 
-    private boolean alive(Seen seen, long now) {
-        return seen.member != null && !seen.member.dead() && now - seen.beatAt < expiry();
+    private boolean isLive(MemberView view, long now) {
+        return view.member != null && !view.member.dead() && now - view.heartbeatSeenAtNs < observedLeaseNs();
     }
 
-    private long expiry() {
-        return (long) (settings.ns * (without.contains(Guard.MARGIN) ? 1 - MARGIN : 1 + MARGIN));
+    private long observedLeaseNs() {
+        return (long) (settings.leaseNs
+                * (disabledGuards.contains(Guard.CLOCK_MARGIN) ? 1 - CLOCK_MARGIN : 1 + CLOCK_MARGIN));
     }
 
-    /** Whether whoever the record names may still speak, in this member's eyes. */
-    private boolean spoken(Voice voice, long now) {
+    /** Whether the owner that the record names may still act as owner, as far as this member can tell. */
+    private boolean mayStillBeOwned(Voice voice, long now) {
         if (voice.owner() < 0) {
             return false;
         }
-        if (ownLives.contains(voice.incarnation())) {
+        if (ownPreviousIncarnations.contains(voice.incarnation())) {
             return false;
         }
-        Seen seen = members.get(voice.owner());
-        if (seen == null || seen.member == null) {
-            return now - syncedAt < expiry();
+        MemberView view = members.get(voice.owner());
+        if (view == null || view.member == null) {
+            return now - syncedAtNs < observedLeaseNs();
         }
-        if (seen.member.incarnation() == voice.incarnation()) {
-            return without.contains(Guard.CLOSED_FIRST) ? alive(seen, now) : !seen.member.dead();
+        if (view.member.incarnation() == voice.incarnation()) {
+            return disabledGuards.contains(Guard.CLOSE_BEFORE_TAKEOVER) ? isLive(view, now) : !view.member.dead();
         }
-        Long last = seen.former.get(voice.incarnation());
-        return now - (last == null ? syncedAt : last) < expiry();
+        Long replacedAtNs = view.previousIncarnations.get(voice.incarnation());
+        return now - (replacedAtNs == null ? syncedAtNs : replacedAtNs) < observedLeaseNs();
     }
 
-    private void share(long now) {
-        Set<Integer> settledOnes = new TreeSet<>();
-        for (Seen seen : members.values()) {
-            if (alive(seen, now) && seen.member.settled() && !seen.member.leaving()) {
-                settledOnes.add(seen.member.number());
+    private void rebalance(long now) {
+        Set<Integer> assignable = new TreeSet<>();
+        for (MemberView view : members.values()) {
+            if (isLive(view, now) && view.member.settled() && !view.member.leaving()) {
+                assignable.add(view.member.number());
             }
         }
-        close(now);
-        // Where nobody has settled yet, nobody takes: a cold start waits one lease and then shares once.
-        if (shares == null || !settledOnes.equals(sharers)) {
-            sharers = settledOnes;
-            shares = Shares.of(settings.slices, sharers);
-            touched.set(0, slices.length);
-            sharesSince = now;
-        }
-        int left = settings.takesPerTick - calls.size();
-        // What was never held waits for those who started together with this one: it would only be handed on to them.
-        boolean together = now - sharesSince > settings.ns / 2;
-        boolean calm = leaving || now - sharesSince > CALM * settings.ns;
-        for (int i = touched.nextSetBit(0); i >= 0 && left > 0; i = touched.nextSetBit(i + 1)) {
-            Slice s = slices[i];
-            boolean inPlace = s.state != State.IDLE || shares[i] != settings.number;
-            inPlace &= s.state != State.SPEAKING || shares[i] < 0 || shares[i] == settings.number;
-            if (s.call == 0 && inPlace) {
-                touched.clear(i);
-            } else if (s.call != 0 && now - s.sentAt > settings.ns / BEATS) {
-                // No answer: the same call again, which takes effect once at most.
-                s.sentAt = now;
-                out.add(new Step.WriteVoice(s.call, i, s.expected, s.asked));
-                left--;
-            } else if (s.state == State.IDLE
-                    && s.call == 0
-                    && shares[i] == settings.number
+        closeExpiredMembers(now);
+        // Until a member has settled nothing is acquired: a cold start waits one lease and then assigns once.
+        if (assignment == null || !assignable.equals(assignedMembers)) {
+            assignedMembers = assignable;
+            assignment = SliceAssignment.of(settings.slices, assignedMembers);
+            slicesToReview.set(0, slices.length);
+            assignedSinceNs = now;
+        }
+        int transfersLeft = settings.maxTransfersPerTick - sliceByWrite.size();
+        // Slices that never had an owner wait for members started together with this one, to avoid handing them over.
+        boolean startupOver = now - assignedSinceNs > settings.leaseNs / 2;
+        boolean membershipStable = leaving || now - assignedSinceNs > STABLE_LEASES * settings.leaseNs;
+        for (int i = slicesToReview.nextSetBit(0); i >= 0 && transfersLeft > 0; i = slicesToReview.nextSetBit(i + 1)) {
+            SliceView view = slices[i];
+            boolean inPlace = view.state != State.IDLE || assignment[i] != settings.memberNumber;
+            inPlace &= view.state != State.OWNER || assignment[i] < 0 || assignment[i] == settings.memberNumber;
+            if (view.pendingWrite == 0 && inPlace) {
+                slicesToReview.clear(i);
+            } else if (view.pendingWrite != 0 && now - view.sentAtNs > settings.leaseNs / HEARTBEATS_PER_LEASE) {
+                // No answer: the same write is sent again; the store applies it at most once.
+                view.sentAtNs = now;
+                pendingSteps.add(new Step.WriteVoice(view.pendingWrite, i, view.expectedRevision, view.requested));
+                transfersLeft--;
+            } else if (view.state == State.IDLE
+                    && view.pendingWrite == 0
+                    && assignment[i] == settings.memberNumber
                     && !leaving
-                    && (together || s.voice.owner() >= 0)
-                    && !spoken(s.voice, now)) {
-                act(i, Input.TAKE, now);
-                left--;
-            } else if (s.state == State.SPEAKING && shares[i] >= 0 && shares[i] != settings.number && calm) {
-                act(i, Input.GIVE, now);
-                left--;
+                    && (startupOver || view.record.owner() >= 0)
+                    && !mayStillBeOwned(view.record, now)) {
+                transition(i, Input.ACQUIRE, now);
+                transfersLeft--;
+            } else if (view.state == State.OWNER
+                    && assignment[i] >= 0
+                    && assignment[i] != settings.memberNumber
+                    && membershipStable) {
+                transition(i, Input.HAND_OVER, now);
+                transfersLeft--;
             }
         }
     }
 
-    /** Closes the records of those whose lease has run out, so that what they held can be taken. */
-    private void close(long now) {
-        for (Seen seen : members.values()) {
-            if (seen.member.number() == settings.number || seen.member.dead() || alive(seen, now)) {
+    /** Closes the records of members whose lease has expired, so that their slices can be taken over. */
+    private void closeExpiredMembers(long now) {
+        for (MemberView view : members.values()) {
+            if (view.member.number() == settings.memberNumber || view.member.dead() || isLive(view, now)) {
                 continue;
             }
-            if (seen.markCall == 0) {
-                seen.markCall = nextCall++;
-                seen.markedAt = now - settings.ns;
+            if (view.closeWrite == 0) {
+                view.closeWrite = nextWriteId++;
+                view.closeSentAtNs = now - settings.leaseNs;
             }
-            if (now - seen.markedAt > settings.ns / BEATS) {
-                seen.markedAt = now;
-                out.add(new Step.WriteMember(seen.markCall, seen.revision, seen.member.closed()));
+            if (now - view.closeSentAtNs > settings.leaseNs / HEARTBEATS_PER_LEASE) {
+                view.closeSentAtNs = now;
+                pendingSteps.add(new Step.WriteMember(view.closeWrite, view.revision, view.member.closed()));
             }
         }
     }
 
-    private void act(int slice, Input input, long now) {
-        Slice s = slices[slice];
-        for (Row row : TABLE) {
-            if (row.in == s.state && row.on == input) {
-                touched.set(slice);
-                s.state = row.to;
-                if (s.call != 0 && (row.to == State.IDLE || row.to == State.SPEAKING)) {
-                    // Decided, by its answer or by the record itself.
-                    calls.remove(s.call);
-                    s.call = 0;
+    private void transition(int slice, Input input, long now) {
+        SliceView view = slices[slice];
+        for (Transition transition : TRANSITIONS) {
+            if (transition.from == view.state && transition.input == input) {
+                slicesToReview.set(slice);
+                view.state = transition.to;
+                if (view.pendingWrite != 0 && (transition.to == State.IDLE || transition.to == State.OWNER)) {
+                    // The write is settled, by its answer or by the record itself.
+                    sliceByWrite.remove(view.pendingWrite);
+                    view.pendingWrite = 0;
                 }
-                carry(slice, row.effect, now);
-                if (row.in == State.GIVING && input == Input.LOST) {
-                    judge(slice, now);
+                perform(slice, transition.effect, now);
+                if (transition.from == State.HANDING_OVER && input == Input.WRITE_NOT_APPLIED) {
+                    applyRecord(slice, now);
                 }
                 return;
             }
         }
     }
 
-    private void carry(int slice, Effect effect, long now) {
-        Slice s = slices[slice];
+    private void perform(int slice, Effect effect, long now) {
+        SliceView view = slices[slice];
         switch (effect) {
-            case WRITE_MINE -> write(slice, new Voice(settings.number, incarnation, s.voice.term() + 1), now);
-            case WRITE_OTHERS -> {
-                out.add(new Step.End(slice, Step.Why.HANDED_ON));
-                Member to = members.get(shares[slice]).member;
-                write(slice, new Voice(to.number(), to.incarnation(), s.voice.term() + 1), now);
+            case WRITE_SELF -> writeOwner(
+                    slice, new Voice(settings.memberNumber, incarnation, view.record.term() + 1), now);
+            case WRITE_SUCCESSOR -> {
+                pendingSteps.add(new Step.End(slice, Step.Why.HANDED_ON));
+                Member successor = members.get(assignment[slice]).member;
+                writeOwner(slice, new Voice(successor.number(), successor.incarnation(), view.record.term() + 1), now);
             }
-            case BEGIN -> out.add(new Step.Begin(slice, s.voice.term()));
-            case END_LAPSED -> out.add(new Step.End(slice, Step.Why.LAPSED));
-            case END_TAKEN -> out.add(new Step.End(slice, Step.Why.TAKEN_BY_ANOTHER));
+            case BEGIN -> pendingSteps.add(new Step.Begin(slice, view.record.term()));
+            case END_EXPIRED -> pendingSteps.add(new Step.End(slice, Step.Why.LAPSED));
+            case END_TAKEN_BY_ANOTHER -> pendingSteps.add(new Step.End(slice, Step.Why.TAKEN_BY_ANOTHER));
             default -> {}
         }
     }
 
-    private void write(int slice, Voice value, long now) {
-        Slice s = slices[slice];
-        s.asked = value;
-        s.call = nextCall++;
-        s.expected = without.contains(Guard.EXPECTED_REVISION) ? -1 : s.revision;
-        s.sentAt = now;
-        calls.put(s.call, slice);
-        out.add(new Step.WriteVoice(s.call, slice, s.expected, value));
+    private void writeOwner(int slice, Voice requested, long now) {
+        SliceView view = slices[slice];
+        view.requested = requested;
+        view.pendingWrite = nextWriteId++;
+        view.expectedRevision = disabledGuards.contains(Guard.EXPECTED_REVISION) ? -1 : view.revision;
+        view.sentAtNs = now;
+        sliceByWrite.put(view.pendingWrite, slice);
+        pendingSteps.add(new Step.WriteVoice(view.pendingWrite, slice, view.expectedRevision, requested));
     }
 }
--- a/src/main/java/puffinbarrow/lease/Member.java
+++ b/src/main/java/puffinbarrow/lease/Member.java
@@ -1,9 +1,16 @@
 package puffinbarrow.lease;
 
 /**
- * A coordinator's record in the store. Its lease runs from one beat to the next. Settled: it has stood long enough to be
- * given charges. Flaps: short lives in a row, each of which makes the next wait longer. Dead: another has seen the lease
- * run out and closed the record; this life can beat no more.
+ * A coordinator's record in the store. Each heartbeat rewrites it and starts the lease anew.
+ *
+ * @param number the member number
+ * @param incarnation changes with each restart of the process and each expiry of its lease
+ * @param beat the number of the heartbeat within this incarnation, from 1
+ * @param settled whether the member has been up long enough to be assigned slices
+ * @param leaving whether the member is handing over its slices before it ends
+ * @param flaps the number of short incarnations in a row; each doubles the wait before the member counts as settled
+ * @param dead whether another member found the lease expired and closed the record; this incarnation can send no further
+ *     heartbeat
  */
 public record Member(
         int number, long incarnation, long beat, boolean settled, boolean leaving, int flaps, boolean dead) {
--- a/src/main/java/puffinbarrow/lease/Pause.java
+++ b/src/main/java/puffinbarrow/lease/Pause.java
@@ -8,165 +8,180 @@
 import puffinbarrow.control.Order;
 
 /**
- * The pause between two owners of a slice that has a single one. A change of owner becomes two: the former one's line is
- * taken away with a mark, and the new line follows once no proxy can send to the former owner any more and what it
- * held has ended. Proxies that are joined say so by the mark; those that are not stop by themselves a proxy lease after
- * their stream broke or the slice changed hands. No I/O and no clock of its own.
+ * Keeps a gap between two consecutive owners of a slice whose writes go to a single server. A change of owner is split in
+ * two: first the slice's table is cleared, followed by a mark; the new owner's line follows once no proxy can send to the
+ * former owner any more and the writes in progress have ended. Connected proxies confirm the mark; the others stop by
+ * themselves one proxy lease after their stream broke or the slice came to another coordinator. The coordinator's
+ * decision thread calls it. It does no I/O and has no clock; all times are nanoseconds on the caller's clock.
  *
- * <p>Also caught: an owner that died. Its slice waits as long, for the dead may only be cut off. Harm: a slice without
- * an owner blocks its writes, so a change back and forth costs two pauses; the rule on bare slices bounds it, as the
- * longest expiry of a write does.
+ * <p>An owner that failed is waited for just as long, because it may only be unreachable. While a slice has no owner its
+ * writes are blocked, so a change back and forth costs two pauses. The length is bounded by the rule on slices without a
+ * server and by the longest expiry of a write.
  */
 public final class Pause {
-    private static final class Slice {
-        /** Whoever the proxies may send to, or null. */
+    private static final class SliceView {
+        /** The server that proxies may send to, or null. */
         String owner;
-        /** The line that waits, or null. */
-        Order.SetLine next;
-        /** The emptying under way, or 0. */
+        /** The new owner's line, held back until the pause is over, or null. */
+        Order.SetLine nextLine;
+        /** The mark behind the latest clearing of the table, or 0. */
         long mark;
 
-        final TreeSet<Integer> waiting = new TreeSet<>();
-        /** Not before then, whoever has answered. */
+        final TreeSet<Integer> unconfirmedProxies = new TreeSet<>();
+        /** The pause lasts at least until this time, whichever proxies have confirmed. */
         long untilNs;
 
-        boolean emptying;
+        boolean paused;
     }
 
     private final long proxyLeaseNs;
-    private final long writeNs;
-    private final TreeMap<Integer, Slice> slices = new TreeMap<>();
-    /** When a stream broke last: that proxy goes on for its lease. */
-    private long leftAt = Long.MIN_VALUE / 2;
+    private final long maxWriteNs;
+    private final TreeMap<Integer, SliceView> slices = new TreeMap<>();
+    /** When a proxy's stream last broke: that proxy continues to send for one proxy lease. */
+    private long lastLeftAtNs = Long.MIN_VALUE / 2;
 
-    private int marks;
+    private int lastMark;
     private long changes;
 
-    /** @param writeNs the longest that a write may be in hand, by its expiry */
-    public Pause(long proxyLeaseNs, long writeNs) {
+    /**
+     * Creates an instance that knows no slices.
+     *
+     * @param proxyLeaseNs how long a proxy without a stream continues to send
+     * @param maxWriteNs the longest that a write may be in progress, by its expiry
+     */
+    public Pause(long proxyLeaseNs, long maxWriteNs) {
         this.proxyLeaseNs = proxyLeaseNs;
-        this.writeNs = writeNs;
+        this.maxWriteNs = maxWriteNs;
     }
 
-    /** The slice came into charge; {@code owner} is the stored line's server, null if the table is empty. */
-    public void charged(long now, int slice, String owner) {
-        Slice s = slices.computeIfAbsent(slice, n -> new Slice());
-        s.owner = owner;
-        s.next = null;
-        s.waiting.clear();
-        // Proxies that have not read the store yet stop by then; an empty table may have been emptied only just now.
-        s.untilNs = now + proxyLeaseNs + (owner == null ? writeNs : 0);
-        s.emptying = owner == null;
+    /** This coordinator acquired the slice; {@code owner} is the server of its stored line, null if the table is empty. */
+    public void charged(long nowNs, int slice, String owner) {
+        SliceView view = slices.computeIfAbsent(slice, n -> new SliceView());
+        view.owner = owner;
+        view.nextLine = null;
+        view.unconfirmedProxies.clear();
+        // Proxies that have not read the store yet stop by then; an empty table may have been cleared only just now.
+        view.untilNs = nowNs + proxyLeaseNs + (owner == null ? maxWriteNs : 0);
+        view.paused = owner == null;
     }
 
+    /** This coordinator no longer holds the slice. */
     public void lost(int slice) {
         slices.remove(slice);
     }
 
-    /** The orders with each change of owner replaced by the emptying of its slice. */
-    public List<Order> orders(long now, List<Order> orders, Collection<Integer> joined) {
+    /** Returns the orders with each change of owner replaced by clearing the slice's table, and a mark at the end. */
+    public List<Order> orders(long nowNs, List<Order> orders, Collection<Integer> joined) {
         List<Order> out = new ArrayList<>();
-        List<Slice> begun = new ArrayList<>();
+        List<SliceView> newlyPaused = new ArrayList<>();
         for (Order order : orders) {
-            if (order instanceof Order.SetLine o && slices.containsKey(o.table())) {
-                Slice s = slices.get(o.table());
-                if (o.weight() <= 0
-                        ? o.server().equals(s.owner)
-                        : s.owner != null && !o.server().equals(s.owner)) {
-                    begin(now, s, o.table(), out, begun, joined);
+            if (order instanceof Order.SetLine line && slices.containsKey(line.table())) {
+                SliceView view = slices.get(line.table());
+                if (line.weight() <= 0
+                        ? line.server().equals(view.owner)
+                        : view.owner != null && !line.server().equals(view.owner)) {
+                    beginHandover(nowNs, view, line.table(), out, newlyPaused, joined);
                 }
-                if (o.weight() > 0) {
-                    if (s.emptying) {
-                        s.next = o;
+                if (line.weight() > 0) {
+                    if (view.paused) {
+                        view.nextLine = line;
                     } else {
-                        s.owner = o.server();
-                        out.add(o);
+                        view.owner = line.server();
+                        out.add(line);
                     }
-                } else if (s.next != null && s.next.server().equals(o.server())) {
-                    s.next = null;
+                } else if (view.nextLine != null && view.nextLine.server().equals(line.server())) {
+                    view.nextLine = null;
                 }
-            } else if (order instanceof Order.ClearTable o && slices.containsKey(o.table())) {
-                Slice s = slices.get(o.table());
-                s.next = null;
-                if (s.owner != null) {
-                    begin(now, s, o.table(), out, begun, joined);
+            } else if (order instanceof Order.ClearTable clear && slices.containsKey(clear.table())) {
+                SliceView view = slices.get(clear.table());
+                view.nextLine = null;
+                if (view.owner != null) {
+                    beginHandover(nowNs, view, clear.table(), out, newlyPaused, joined);
                 }
             } else {
                 out.add(order);
             }
         }
-        if (!begun.isEmpty()) {
-            int mark = --marks;
-            begun.forEach(s -> s.mark = mark);
+        if (!newlyPaused.isEmpty()) {
+            int mark = --lastMark;
+            newlyPaused.forEach(view -> view.mark = mark);
             out.add(new Order.Mark(mark, true));
         }
         return out;
     }
 
-    private void begin(long now, Slice s, int slice, List<Order> out, List<Slice> begun, Collection<Integer> joined) {
-        s.owner = null;
-        s.emptying = true;
-        s.waiting.clear();
-        s.waiting.addAll(joined);
-        s.untilNs = Math.max(Math.max(s.untilNs, leftAt + proxyLeaseNs), now) + writeNs;
-        begun.add(s);
+    private void beginHandover(
+            long nowNs,
+            SliceView view,
+            int slice,
+            List<Order> out,
+            List<SliceView> newlyPaused,
+            Collection<Integer> joined) {
+        view.owner = null;
+        view.paused = true;
+        view.unconfirmedProxies.clear();
+        view.unconfirmedProxies.addAll(joined);
+        view.untilNs = Math.max(Math.max(view.untilNs, lastLeftAtNs + proxyLeaseNs), nowNs) + maxWriteNs;
+        newlyPaused.add(view);
         out.add(new Order.ClearTable(slice));
         changes++;
     }
 
-    /** A proxy has taken the emptying in; marks are negative, so that they are no one else's. */
-    public void applied(long now, int proxy, long mark) {
-        for (Slice s : slices.values()) {
-            // Marks of a stream come in order: a later one answers all before.
-            if (s.emptying && s.mark >= mark && s.waiting.remove(proxy)) {
-                s.untilNs = Math.max(s.untilNs, now + writeNs);
+    /** A proxy has applied all orders up to the mark. Marks of this class are negative, unlike all others. */
+    public void applied(long nowNs, int proxy, long mark) {
+        for (SliceView view : slices.values()) {
+            // Marks on a stream are confirmed in order: a later one, which is lower, covers all earlier ones.
+            if (view.paused && view.mark >= mark && view.unconfirmedProxies.remove(proxy)) {
+                view.untilNs = Math.max(view.untilNs, nowNs + maxWriteNs);
             }
         }
     }
 
-    public void left(long now, int proxy) {
-        leftAt = now;
-        for (Slice s : slices.values()) {
-            if (s.emptying && s.waiting.remove(proxy)) {
-                s.untilNs = Math.max(s.untilNs, now + proxyLeaseNs + writeNs);
+    /** A proxy's stream broke. */
+    public void left(long nowNs, int proxy) {
+        lastLeftAtNs = nowNs;
+        for (SliceView view : slices.values()) {
+            if (view.paused && view.unconfirmedProxies.remove(proxy)) {
+                view.untilNs = Math.max(view.untilNs, nowNs + proxyLeaseNs + maxWriteNs);
             }
         }
     }
 
-    /** Lines whose pause is over. */
-    public List<Order> due(long now) {
+    /** Returns the lines whose pause is over, once each. */
+    public List<Order> due(long nowNs) {
         List<Order> due = new ArrayList<>();
-        for (Slice s : slices.values()) {
-            if (s.emptying && s.waiting.isEmpty() && now >= s.untilNs) {
-                if (s.next != null) {
-                    due.add(s.next);
-                    s.owner = s.next.server();
-                    s.next = null;
+        for (SliceView view : slices.values()) {
+            if (view.paused && view.unconfirmedProxies.isEmpty() && nowNs >= view.untilNs) {
+                if (view.nextLine != null) {
+                    due.add(view.nextLine);
+                    view.owner = view.nextLine.server();
+                    view.nextLine = null;
                 }
-                s.emptying = false;
+                view.paused = false;
             }
         }
         return due;
     }
 
-    /** When {@link #due} may give something without anything having come. */
+    /** When {@link #due} may next return a line without further input, or {@code Long.MAX_VALUE}. */
     public long nextAtNs() {
         long next = Long.MAX_VALUE;
-        for (Slice s : slices.values()) {
-            if (s.emptying && s.waiting.isEmpty()) {
-                next = Math.min(next, s.untilNs);
+        for (SliceView view : slices.values()) {
+            if (view.paused && view.unconfirmedProxies.isEmpty()) {
+                next = Math.min(next, view.untilNs);
             }
         }
         return next;
     }
 
-    /** Slices that wait for an owner. */
+    /** The number of slices whose new owner is held back. */
     public int pausing() {
         return (int) slices.values().stream()
-                .filter(s -> s.emptying && s.next != null)
+                .filter(view -> view.paused && view.nextLine != null)
                 .count();
     }
 
+    /** The number of pauses begun so far. */
     public long changes() {
         return changes;
     }
--- a/src/main/java/puffinbarrow/lease/Simulation.java
+++ b/src/main/java/puffinbarrow/lease/Simulation.java
@@ -14,11 +14,14 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Plays lease cores, a store, and proxies that know the fence, in simulated time: kills, pauses, splits, delays, lost
- * answers, doubled and late orders, clocks that run apart. The same plan gives the same run. It looks for two voices,
- * terms that go back, orders that take effect twice, and at the end, all healed, for slices without their voice.
+ * Deterministic simulation of several {@link Lease} instances, a store, and proxies that fence by term. It injects
+ * process kills, pauses, partitions, delays, lost answers, duplicated and late orders, and clocks of different rates. The
+ * same plan gives the same run. It checks that a slice never has two owners, that terms never decrease, that no order
+ * takes effect twice, and that after all faults have ended each slice has the owner that the assignment names. Tests and
+ * the lease benchmark run it on a single thread.
  */
 public final class Simulation {
+    /** The kind of an injected fault. */
     public enum Kind {
         KILL,
         PAUSE,
@@ -31,12 +34,28 @@
         JUMP
     }
 
-    /** Something that goes wrong; number is the member concerned. */
+    /**
+     * An injected fault.
+     *
+     * @param atNs when it begins, in simulated time
+     * @param forNs how long it lasts
+     * @param number the member concerned
+     */
     public record Fault(Kind kind, long atNs, long forNs, int number) {}
 
     /**
-     * @param drift the most by which clocks differ in rate, as a part
-     * @param jumps clocks may jump too: then two may speak at once for a while, and only the fence is looked at
+     * Parameters of one run.
+     *
+     * @param seed the seed of all random choices
+     * @param members the number of coordinators
+     * @param slices the number of slices
+     * @param proxies the number of proxies
+     * @param leaseNs the length of a lease
+     * @param lengthNs how long faults are injected; a recovery period follows
+     * @param drift the largest deviation of a member's clock rate from 1, for example 0.05
+     * @param jumps whether clocks may also jump: two members may then act as owners for a while, and only fencing is
+     *     checked
+     * @param faults the faults to inject
      */
     public record Plan(
             long seed,
@@ -49,7 +68,18 @@
             boolean jumps,
             List<Fault> faults) {}
 
-    /** What came of it; broken is null if all held. */
+    /**
+     * Result of a run.
+     *
+     * @param broken the first violation found, or null
+     * @param steps the number of simulated events
+     * @param silentMs how long slices had no owner between two owners, in milliseconds
+     * @param writes the number of writes that reached the store
+     * @param moves the number of times a member became the owner of a slice
+     * @param refused the number of orders that proxies refused for an old term
+     * @param doubled the number of repeated or late orders of the current term that proxies ignored
+     * @param unevenness the difference between the most and the fewest slices held by a running member at the end
+     */
     public record Outcome(
             String broken,
             long steps,
@@ -60,87 +90,95 @@
             long doubled,
             int unevenness) {}
 
-    private record Event(long atNs, long number, Runnable work) implements Comparable<Event> {
+    private record ScheduledEvent(long atNs, long number, Runnable action) implements Comparable<ScheduledEvent> {
         @Override
-        public int compareTo(Event other) {
+        public int compareTo(ScheduledEvent other) {
             return atNs != other.atNs ? Long.compare(atNs, other.atNs) : Long.compare(number, other.number);
         }
     }
 
-    private record Record(long revision, Object value) {}
+    private record StoredRecord(long revision, Object value) {}
 
-    private record Order(int slice, long term, int from, long sequence) {}
+    private record SimulatedOrder(int slice, long term, int from, long sequence) {}
 
-    /** Quiet time at the end in which all must settle: the longest wait of a flapping member and some leases more. */
-    private static final int QUIET_LEASES = 46;
+    /** Fault-free period at the end, in leases: the longest wait after flapping (32) and some more to settle. */
+    private static final int RECOVERY_LEASES = 46;
 
     private static final long MS = 1_000_000;
 
     private final Plan plan;
-    private final Set<Lease.Guard> without;
-    private final boolean fenced;
-    private final UniformRandomProvider chance;
-    private final PriorityQueue<Event> queue = new PriorityQueue<>();
-    private final Map<String, Record> store = new TreeMap<>();
+    private final Set<Lease.Guard> disabledGuards;
+    private final boolean fencing;
+    private final UniformRandomProvider random;
+    private final PriorityQueue<ScheduledEvent> queue = new PriorityQueue<>();
+    private final Map<String, StoredRecord> store = new TreeMap<>();
     private final Host[] hosts;
     private final Proxy[] proxies;
-    private final Map<Long, String> claims = new HashMap<>();
-    private final long[] silentSince;
-    private final int[] speakers;
-    private final Histogram silent = new Histogram(3_600_000, 3);
-    private long now, events, revisions, incarnations = 1, sequence;
+    private final Map<Long, String> ownerByTerm = new HashMap<>();
+    private final long[] ownerlessSinceNs;
+    private final int[] owners;
+    private final Histogram ownerlessMs = new Histogram(3_600_000, 3);
+    private long now;
+    private long nextEvent;
+    private long lastRevision;
+    private long nextIncarnation = 1;
+    private long nextSequence;
     private boolean storeDown;
-    private double storeSlow = 1;
-    private long writes, moves, refused, doubled;
+    private double storeDelayFactor = 1;
+    private long writes;
+    private long moves;
+    private long refused;
+    private long doubled;
     private String broken;
 
-    private Simulation(Plan plan, Set<Lease.Guard> without, boolean fenced) {
+    private Simulation(Plan plan, Set<Lease.Guard> disabledGuards, boolean fencing) {
         this.plan = plan;
-        this.without = without;
-        this.fenced = fenced;
-        this.chance = RandomSource.XO_RO_SHI_RO_128_PP.create(plan.seed);
+        this.disabledGuards = disabledGuards;
+        this.fencing = fencing;
+        this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(plan.seed);
         this.hosts = new Host[plan.members];
         this.proxies = new Proxy[plan.proxies];
-        this.silentSince = new long[plan.slices];
-        this.speakers = new int[plan.slices];
-        Arrays.fill(speakers, -1);
+        this.ownerlessSinceNs = new long[plan.slices];
+        this.owners = new int[plan.slices];
+        Arrays.fill(owners, -1);
         for (int i = 0; i < proxies.length; i++) {
             proxies[i] = new Proxy();
         }
     }
 
+    /** Runs the plan with all guards and with fencing. */
     public static Outcome run(Plan plan) {
         return run(plan, Set.of(), true);
     }
 
-    static Outcome run(Plan plan, Set<Lease.Guard> without, boolean fenced) {
-        return new Simulation(plan, without, fenced).play();
+    static Outcome run(Plan plan, Set<Lease.Guard> disabledGuards, boolean fencing) {
+        return new Simulation(plan, disabledGuards, fencing).play();
     }
 
-    /** A plan with faults drawn from the seed. */
+    /** Returns a plan with random faults drawn from the seed. */
     public static Plan plan(
             long seed, int members, int slices, long leaseNs, long lengthNs, double drift, boolean jumps) {
-        UniformRandomProvider chance = RandomSource.XO_RO_SHI_RO_128_PP.create(seed * 31 + 7);
+        UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed * 31 + 7);
         List<Fault> faults = new ArrayList<>();
-        // About one every three leases, so that troubles overlap.
-        for (long at = 3 * leaseNs; at < lengthNs; at += (long) (leaseNs * 6 * chance.nextDouble())) {
-            Kind kind = Kind.values()[chance.nextInt(Kind.values().length - (jumps ? 0 : 1))];
-            long lasts = (long) (leaseNs * (0.2 + 8 * chance.nextDouble() * chance.nextDouble()));
-            faults.add(new Fault(kind, at, lasts, chance.nextInt(members)));
+        // On average one every three leases, so that faults overlap.
+        for (long at = 3 * leaseNs; at < lengthNs; at += (long) (leaseNs * 6 * random.nextDouble())) {
+            Kind kind = Kind.values()[random.nextInt(Kind.values().length - (jumps ? 0 : 1))];
+            long durationNs = (long) (leaseNs * (0.2 + 8 * random.nextDouble() * random.nextDouble()));
+            faults.add(new Fault(kind, at, durationNs, random.nextInt(members)));
         }
         return new Plan(seed, members, slices, 4, leaseNs, lengthNs, drift, jumps, faults);
     }
 
-    /** The smallest set of the plan's faults that still breaks it. */
-    static Plan shrink(Plan plan, Set<Lease.Guard> without, boolean fenced) {
-        Plan least = plan;
-        boolean smaller = true;
-        while (smaller) {
-            smaller = false;
-            for (int i = 0; i < least.faults.size(); i++) {
-                List<Fault> fewer = new ArrayList<>(least.faults);
-                fewer.remove(i);
-                Plan next = new Plan(
+    /** Removes faults from a failing plan one by one while the run still fails. */
+    static Plan shrink(Plan plan, Set<Lease.Guard> disabledGuards, boolean fencing) {
+        Plan smallest = plan;
+        boolean reduced = true;
+        while (reduced) {
+            reduced = false;
+            for (int i = 0; i < smallest.faults.size(); i++) {
+                List<Fault> remaining = new ArrayList<>(smallest.faults);
+                remaining.remove(i);
+                Plan candidate = new Plan(
                         plan.seed,
                         plan.members,
                         plan.slices,
@@ -149,50 +187,51 @@
                         plan.lengthNs,
                         plan.drift,
                         plan.jumps,
-                        fewer);
-                if (run(next, without, fenced).broken() != null) {
-                    least = next;
-                    smaller = true;
+                        remaining);
+                if (run(candidate, disabledGuards, fencing).broken() != null) {
+                    smallest = candidate;
+                    reduced = true;
                     break;
                 }
             }
         }
-        return least;
+        return smallest;
     }
 
+    /** Reduces a failing plan, run with all guards and with fencing. */
     public static Plan shrink(Plan plan) {
         return shrink(plan, Set.of(), true);
     }
 
-    // ---- Time.
+    // ---- Event loop.
 
-    private void at(long atNs, Runnable work) {
-        queue.add(new Event(Math.max(now, atNs), events++, work));
+    private void at(long atNs, Runnable action) {
+        queue.add(new ScheduledEvent(Math.max(now, atNs), nextEvent++, action));
     }
 
-    private void after(double ns, Runnable work) {
-        at(now + (long) ns, work);
+    private void after(double ns, Runnable action) {
+        at(now + (long) ns, action);
     }
 
     private Outcome play() {
         for (int i = 0; i < hosts.length; i++) {
             hosts[i] = new Host(i);
             Host host = hosts[i];
-            after(plan.leaseNs * 0.3 * chance.nextDouble(), host::start);
+            after(plan.leaseNs * 0.3 * random.nextDouble(), host::start);
         }
         for (Fault fault : plan.faults) {
-            at(fault.atNs, () -> strike(fault));
+            at(fault.atNs, () -> inject(fault));
         }
-        long end = plan.lengthNs + QUIET_LEASES * plan.leaseNs;
+        long end = plan.lengthNs + RECOVERY_LEASES * plan.leaseNs;
         long steps = 0;
         while (!queue.isEmpty() && broken == null && queue.peek().atNs <= end) {
-            Event event = queue.poll();
+            ScheduledEvent event = queue.poll();
             now = event.atNs;
             steps++;
-            event.work.run();
+            event.action.run();
         }
-        int unevenness = broken == null ? settled() : 0;
-        return new Outcome(broken, steps, silent, writes, moves, refused, doubled, unevenness);
+        int unevenness = broken == null ? checkFinalState() : 0;
+        return new Outcome(broken, steps, ownerlessMs, writes, moves, refused, doubled, unevenness);
     }
 
     private void fail(String text) {
@@ -201,305 +240,312 @@
         }
     }
 
-    /** All healed: each slice has the voice that the shares of the living say. */
-    private int settled() {
-        List<Integer> there = new ArrayList<>();
+    /** Checks that each slice has its assigned owner among the running members; returns the unevenness. */
+    private int checkFinalState() {
+        List<Integer> running = new ArrayList<>();
         for (Host host : hosts) {
             if (host.lease != null && !host.leaving) {
-                there.add(host.number);
+                running.add(host.number);
             }
         }
-        int[] shares = Shares.of(plan.slices, there);
+        int[] assignment = SliceAssignment.of(plan.slices, running);
         int[] held = new int[hosts.length];
         for (int slice = 0; slice < plan.slices; slice++) {
-            int speaking = -1;
+            int owner = -1;
             for (Host host : hosts) {
-                if (host.speaks(slice)) {
-                    speaking = host.number;
+                if (host.isOwner(slice)) {
+                    owner = host.number;
                     held[host.number]++;
                 }
             }
-            if (speaking != shares[slice]) {
-                fail("slice " + slice + " is spoken for by " + speaking + " after all has healed, expected "
-                        + shares[slice]);
+            if (owner != assignment[slice]) {
+                fail("slice " + slice + " is owned by " + owner + " after recovery, expected " + assignment[slice]);
                 return 0;
             }
         }
-        return there.stream().mapToInt(i -> held[i]).max().orElse(0)
-                - there.stream().mapToInt(i -> held[i]).min().orElse(0);
+        return running.stream().mapToInt(i -> held[i]).max().orElse(0)
+                - running.stream().mapToInt(i -> held[i]).min().orElse(0);
     }
 
     // ---- Faults.
 
-    private void strike(Fault fault) {
+    private void inject(Fault fault) {
         Host host = hosts[fault.number];
         switch (fault.kind) {
             case KILL -> {
-                host.die();
+                host.kill();
                 after(fault.forNs, host::start);
             }
             case PAUSE -> {
-                host.paused++;
-                after(fault.forNs, host::wake);
+                host.pauses++;
+                after(fault.forNs, host::resume);
             }
             case CUT -> {
-                host.cut++;
-                host.streamEnds();
+                host.partitions++;
+                host.disconnect();
                 after(fault.forNs, () -> {
-                    host.cut--;
-                    host.dial();
+                    host.partitions--;
+                    host.connect();
                 });
             }
             case STORE_DOWN -> {
                 storeDown = true;
                 for (Host each : hosts) {
-                    each.streamEnds();
+                    each.disconnect();
                 }
                 after(Math.min(fault.forNs, 2.0 * plan.leaseNs), () -> {
                     storeDown = false;
                     for (Host each : hosts) {
-                        each.dial();
+                        each.connect();
                     }
                 });
             }
             case STORE_SLOW -> {
-                // Up to 1.1 s on the way: later than the margin of any lease.
-                storeSlow = 100;
-                after(fault.forNs, () -> storeSlow = 1);
+                // Up to 1.1 s one way, which exceeds the clock margin of any lease.
+                storeDelayFactor = 100;
+                after(fault.forNs, () -> storeDelayFactor = 1);
             }
             case ANSWERS_LOST -> {
-                host.deafTo++;
-                after(fault.forNs, () -> host.deafTo--);
+                host.answerLossFaults++;
+                after(fault.forNs, () -> host.answerLossFaults--);
             }
             case FLAP -> {
-                // Joining and leaving several times in a row.
+                // Starts and stops several times in a row.
                 for (int i = 0; i < 4; i++) {
-                    after(i * 0.8 * plan.leaseNs, host::die);
+                    after(i * 0.8 * plan.leaseNs, host::kill);
                     after(i * 0.8 * plan.leaseNs + 0.4 * plan.leaseNs, host::start);
                 }
             }
             case LEAVE -> {
                 host.leave();
-                // Long enough to hand all on; then the process ends and comes back.
-                after(6.0 * plan.leaseNs, host::die);
+                // Time enough to hand over all slices; then the process ends and starts again.
+                after(6.0 * plan.leaseNs, host::kill);
                 after(8.0 * plan.leaseNs, host::start);
             }
-                // Forward or back by as much as it would last.
-            case JUMP -> host.offset += fault.atNs % 2 == 0 ? fault.forNs : -fault.forNs;
+                // Forward or back by the fault's duration.
+            case JUMP -> host.clockOffsetNs += fault.atNs % 2 == 0 ? fault.forNs : -fault.forNs;
             default -> throw new IllegalStateException(fault.kind.name());
         }
     }
 
-    // ---- One coordinator's process and its stream to the store.
+    // ---- A coordinator process and its stream to the store.
 
     private final class Host {
         final int number;
-        final double rate;
-        final List<Runnable> asleep = new ArrayList<>();
-        final List<Order> outbound = new ArrayList<>();
+        final double clockRate;
+        final List<Runnable> deferred = new ArrayList<>();
+        final List<SimulatedOrder> outbound = new ArrayList<>();
         Lease lease;
         boolean leaving;
-        int paused, cut, deafTo;
-        /** Counts processes and streams: what belongs to a former one is lost. */
-        int life, stream;
+        int pauses;
+        int partitions;
+        int answerLossFaults;
+        /** Incremented with each process and stream: events of an earlier one are discarded. */
+        int processNumber;
+
+        int streamNumber;
 
-        boolean up;
-        long lastDelivery, offset;
+        boolean connected;
+        long lastDeliveryNs;
+        long clockOffsetNs;
 
         Host(int number) {
             this.number = number;
-            this.rate = 1 + plan.drift * (2 * chance.nextDouble() - 1);
+            this.clockRate = 1 + plan.drift * (2 * random.nextDouble() - 1);
         }
 
-        long local() {
-            return (long) (now * rate) + number * 7919L * MS + offset;
+        long localTime() {
+            return (long) (now * clockRate) + number * 7919L * MS + clockOffsetNs;
         }
 
         void start() {
             if (lease != null) {
                 return;
             }
-            life++;
+            processNumber++;
             leaving = false;
             lease = new Lease(
                     new Lease.Settings(number, plan.slices, plan.leaseNs, Math.max(4, plan.slices / 20)),
-                    incarnations++ << 20,
-                    without);
+                    nextIncarnation++ << 20,
+                    disabledGuards);
             outbound.clear();
-            dial();
-            tick(life);
-            speak(life);
+            connect();
+            tick(processNumber);
+            sendOrders(processNumber);
         }
 
-        void die() {
+        void kill() {
             if (lease != null) {
                 for (int i = 0; i < plan.slices; i++) {
-                    quiet(i, number);
+                    ownershipEnds(i, number);
                 }
             }
             lease = null;
-            life++;
-            streamEnds();
-            asleep.clear();
+            processNumber++;
+            disconnect();
+            deferred.clear();
             outbound.clear();
         }
 
         void leave() {
             if (lease != null) {
                 leaving = true;
-                run(() -> carry(lease.leave(local())));
+                run(() -> perform(lease.leave(localTime())));
             }
         }
 
-        void wake() {
-            if (--paused > 0) {
+        void resume() {
+            if (--pauses > 0) {
                 return;
             }
-            // What lay in the outbound queue leaves before the process has looked at its clock.
+            // Queued orders are sent before the process reads its clock.
             List.copyOf(outbound).forEach(Simulation.this::send);
             outbound.clear();
-            List<Runnable> missed = List.copyOf(asleep);
-            asleep.clear();
-            missed.forEach(Runnable::run);
+            List<Runnable> pending = List.copyOf(deferred);
+            deferred.clear();
+            pending.forEach(Runnable::run);
         }
 
-        /** On the process's own thread: at once, or when it runs again. */
-        void run(Runnable work) {
-            int mine = life;
+        /** Runs the action on the simulated process: at once, or when its pause ends. */
+        void run(Runnable action) {
+            int expectedProcess = processNumber;
             Runnable guarded = () -> {
-                if (life == mine && lease != null) {
-                    work.run();
+                if (processNumber == expectedProcess && lease != null) {
+                    action.run();
                 }
             };
-            if (paused > 0) {
-                asleep.add(guarded);
+            if (pauses > 0) {
+                deferred.add(guarded);
             } else {
                 guarded.run();
             }
         }
 
-        void tick(int mine) {
-            if (mine != life) {
+        void tick(int expectedProcess) {
+            if (expectedProcess != processNumber) {
                 return;
             }
-            run(() -> carry(lease.tick(local())));
-            after(plan.leaseNs / 20.0, () -> tick(mine));
+            run(() -> perform(lease.tick(localTime())));
+            after(plan.leaseNs / 20.0, () -> tick(expectedProcess));
         }
 
-        boolean speaks(int slice) {
+        boolean isOwner(int slice) {
             return lease != null
                     && lease.speaks(slice)
-                    && (local() < lease.speakUntilNs() || without.contains(Lease.Guard.STOPS_WHEN_LAPSED));
+                    && (localTime() < lease.speakUntilNs() || disabledGuards.contains(Lease.Guard.STOP_AT_EXPIRY));
         }
 
-        /** Sends orders now and then for what it speaks for. */
-        void speak(int mine) {
-            if (mine != life) {
+        /** Sends an order for a random slice, if owned, and schedules the next. */
+        void sendOrders(int expectedProcess) {
+            if (expectedProcess != processNumber) {
                 return;
             }
-            int slice = chance.nextInt(plan.slices);
-            if (paused > 0) {
-                // The queue as it was when the process was stopped.
-                if (speaks(slice) && outbound.size() < 20) {
-                    outbound.add(new Order(slice, lease.term(slice), number, sequence++));
+            int slice = random.nextInt(plan.slices);
+            if (pauses > 0) {
+                // Orders that were queued when the process was paused.
+                if (isOwner(slice) && outbound.size() < 20) {
+                    outbound.add(new SimulatedOrder(slice, lease.term(slice), number, nextSequence++));
                 }
-            } else if (speaks(slice)) {
-                send(new Order(slice, lease.term(slice), number, sequence++));
+            } else if (isOwner(slice)) {
+                send(new SimulatedOrder(slice, lease.term(slice), number, nextSequence++));
             }
-            after(plan.leaseNs / 15.0 * chance.nextDouble(), () -> speak(mine));
+            after(plan.leaseNs / 15.0 * random.nextDouble(), () -> sendOrders(expectedProcess));
         }
 
-        void streamEnds() {
-            stream++;
-            if (up) {
-                up = false;
+        void disconnect() {
+            streamNumber++;
+            if (connected) {
+                connected = false;
                 if (lease != null) {
-                    run(() -> carry(lease.disconnected(local())));
+                    run(() -> perform(lease.disconnected(localTime())));
                 }
             }
         }
 
-        void dial() {
-            if (lease == null || cut > 0 || storeDown || up) {
+        void connect() {
+            if (lease == null || partitions > 0 || storeDown || connected) {
                 return;
             }
-            up = true;
-            int mine = ++stream;
-            lastDelivery = now;
-            deliver(mine, () -> carry(lease.connected(local())));
-            store.forEach((key, record) -> deliver(mine, () -> carry(seen(key, record))));
-            deliver(mine, () -> carry(lease.synced(local())));
+            connected = true;
+            int expectedStream = ++streamNumber;
+            lastDeliveryNs = now;
+            deliver(expectedStream, () -> perform(lease.connected(localTime())));
+            store.forEach((key, record) -> deliver(expectedStream, () -> perform(applyRecord(key, record))));
+            deliver(expectedStream, () -> perform(lease.synced(localTime())));
         }
 
-        /** In order on the stream, each after some time. */
-        void deliver(int mine, Runnable work) {
-            if (mine != stream || !up) {
+        /** Delivers in stream order, each item after a random delay. */
+        void deliver(int expectedStream, Runnable action) {
+            if (expectedStream != streamNumber || !connected) {
                 return;
             }
-            lastDelivery = Math.max(
-                    lastDelivery, now + (long) ((1 + 10 * chance.nextDouble() * chance.nextDouble()) * MS * storeSlow));
-            int stands = life;
-            at(lastDelivery, () -> {
-                if (mine == stream && stands == life) {
-                    run(work);
+            lastDeliveryNs = Math.max(
+                    lastDeliveryNs,
+                    now + (long) ((1 + 10 * random.nextDouble() * random.nextDouble()) * MS * storeDelayFactor));
+            int expectedProcess = processNumber;
+            at(lastDeliveryNs, () -> {
+                if (expectedStream == streamNumber && expectedProcess == processNumber) {
+                    run(action);
                 }
             });
         }
 
-        List<Step> seen(String key, Record record) {
+        List<Step> applyRecord(String key, StoredRecord record) {
             return key.startsWith("m")
-                    ? lease.member(local(), record.revision, (Member) record.value)
-                    : lease.voice(local(), Integer.parseInt(key.substring(1)), record.revision, (Voice) record.value);
+                    ? lease.member(localTime(), record.revision, (Member) record.value)
+                    : lease.voice(
+                            localTime(), Integer.parseInt(key.substring(1)), record.revision, (Voice) record.value);
         }
 
-        void carry(List<Step> steps) {
+        void perform(List<Step> steps) {
             for (Step step : steps) {
                 if (step instanceof Step.Write write) {
-                    if (up) {
-                        int mine = stream;
+                    if (connected) {
+                        int expectedStream = streamNumber;
                         after(
-                                (1 + 10 * chance.nextDouble() * chance.nextDouble()) * MS * storeSlow,
-                                () -> arrives(this, mine, write));
+                                (1 + 10 * random.nextDouble() * random.nextDouble()) * MS * storeDelayFactor,
+                                () -> storeReceives(this, expectedStream, write));
                     }
                 } else if (step instanceof Step.Begin begin) {
-                    begins(this, begin);
+                    ownershipBegins(this, begin);
                 } else if (step instanceof Step.End end) {
-                    quiet(end.slice(), number);
+                    ownershipEnds(end.slice(), number);
                 }
             }
         }
     }
 
-    private void begins(Host host, Step.Begin begin) {
-        String claim = host.number + "/" + host.lease.incarnation();
-        String before = claims.putIfAbsent((long) begin.slice() << 32 | begin.term(), claim);
-        if (before != null && !before.equals(claim)) {
-            fail("term " + begin.term() + " of slice " + begin.slice() + " has two voices, " + before + " and "
-                    + claim);
+    private void ownershipBegins(Host host, Step.Begin begin) {
+        String owner = host.number + "/" + host.lease.incarnation();
+        String before = ownerByTerm.putIfAbsent((long) begin.slice() << 32 | begin.term(), owner);
+        if (before != null && !before.equals(owner)) {
+            fail("term " + begin.term() + " of slice " + begin.slice() + " has two owners, " + before + " and "
+                    + owner);
         }
         for (Host other : hosts) {
-            if (other != host && other.speaks(begin.slice()) && !plan.jumps) {
-                fail("slice " + begin.slice() + ": " + host.number + " speaks while " + other.number + " may, until "
-                        + (other.lease.speakUntilNs() - other.local()) / 1e6 + " ms from now by its clock");
+            if (other != host && other.isOwner(begin.slice()) && !plan.jumps) {
+                fail("slice " + begin.slice() + ": " + host.number + " becomes the owner while " + other.number
+                        + " still is, until " + (other.lease.speakUntilNs() - other.localTime()) / 1e6
+                        + " ms from now by its clock");
             }
         }
-        if (speakers[begin.slice()] < 0 && silentSince[begin.slice()] > 0) {
-            silent.recordValue(Math.min(3_600_000, (now - silentSince[begin.slice()]) / MS));
+        if (owners[begin.slice()] < 0 && ownerlessSinceNs[begin.slice()] > 0) {
+            ownerlessMs.recordValue(Math.min(3_600_000, (now - ownerlessSinceNs[begin.slice()]) / MS));
         }
         moves++;
-        speakers[begin.slice()] = host.number;
+        owners[begin.slice()] = host.number;
     }
 
-    private void quiet(int slice, int number) {
-        if (speakers[slice] == number) {
-            speakers[slice] = -1;
-            silentSince[slice] = now;
+    private void ownershipEnds(int slice, int number) {
+        if (owners[slice] == number) {
+            owners[slice] = -1;
+            ownerlessSinceNs[slice] = now;
         }
     }
 
     // ---- The store.
 
-    private void arrives(Host from, int stream, Step.Write write) {
+    private void storeReceives(Host from, int streamNumber, Step.Write write) {
         if (storeDown) {
             return;
         }
@@ -508,79 +554,79 @@
                 ? "m" + m.value().number()
                 : "v" + ((Step.WriteVoice) write).slice();
         Object value = write instanceof Step.WriteMember w ? w.value() : ((Step.WriteVoice) write).value();
-        Record record = store.getOrDefault(key, new Record(0, null));
+        StoredRecord record = store.getOrDefault(key, new StoredRecord(0, null));
         boolean applied = write.expected() == record.revision || write.expected() < 0;
         if (applied) {
             if (value instanceof Voice voice
                     && record.value instanceof Voice before
                     && voice.term() <= before.term()
-                    && fenced) {
-                fail("slice " + key + ": the store is told term " + voice.term() + " after " + before.term());
+                    && fencing) {
+                fail("slice " + key + ": the store receives term " + voice.term() + " after " + before.term());
             }
-            Record next = new Record(++revisions, value);
+            StoredRecord next = new StoredRecord(++lastRevision, value);
             store.put(key, next);
             for (Host host : hosts) {
-                host.deliver(host.stream, () -> host.carry(host.seen(key, next)));
+                host.deliver(host.streamNumber, () -> host.perform(host.applyRecord(key, next)));
             }
             if (value instanceof Voice voice) {
                 for (Proxy proxy : proxies) {
                     after(
-                            (5 + 200 * chance.nextDouble()) * MS,
-                            () -> proxy.told(Integer.parseInt(key.substring(1)), voice.term()));
+                            (5 + 200 * random.nextDouble()) * MS,
+                            () -> proxy.learnTerm(Integer.parseInt(key.substring(1)), voice.term()));
                 }
             }
         }
-        if (from.deafTo == 0 || chance.nextDouble() < 0.3) {
-            Record after = store.getOrDefault(key, record);
-            if (!applied && after.revision > 0) {
-                from.deliver(stream, () -> from.carry(from.seen(key, after)));
+        if (from.answerLossFaults == 0 || random.nextDouble() < 0.3) {
+            StoredRecord current = store.getOrDefault(key, record);
+            if (!applied && current.revision > 0) {
+                from.deliver(streamNumber, () -> from.perform(from.applyRecord(key, current)));
             }
-            from.deliver(stream, () -> from.carry(from.lease.answered(from.local(), write.id(), applied)));
+            from.deliver(streamNumber, () -> from.perform(from.lease.answered(from.localTime(), write.id(), applied)));
         }
     }
 
     // ---- Proxies.
 
-    private void send(Order order) {
+    private void send(SimulatedOrder order) {
         for (Proxy proxy : proxies) {
-            after((2 + 100 * chance.nextDouble()) * MS, () -> proxy.take(order));
-            if (chance.nextDouble() < 0.05) {
-                // A forwarder that slept and sends it on once more, much later.
-                after(plan.leaseNs * 4 * chance.nextDouble(), () -> proxy.take(order));
+            after((2 + 100 * random.nextDouble()) * MS, () -> proxy.receive(order));
+            if (random.nextDouble() < 0.05) {
+                // A delayed duplicate, as from a forwarder that was paused.
+                after(plan.leaseNs * 4 * random.nextDouble(), () -> proxy.receive(order));
             }
         }
     }
 
     private final class Proxy {
-        final Map<Integer, Long> terms = new HashMap<>();
-        final Map<Integer, Long> effective = new HashMap<>();
-        final Map<Integer, Long> last = new HashMap<>();
+        final Map<Integer, Long> knownTerms = new HashMap<>();
+        final Map<Integer, Long> lastTerm = new HashMap<>();
+        final Map<Integer, Long> lastSequence = new HashMap<>();
 
-        void told(int slice, long term) {
-            terms.merge(slice, term, Math::max);
+        void learnTerm(int slice, long term) {
+            knownTerms.merge(slice, term, Math::max);
         }
 
-        void take(Order order) {
-            long known = terms.getOrDefault(order.slice, 0L);
-            if (fenced && order.term < known) {
+        void receive(SimulatedOrder order) {
+            long known = knownTerms.getOrDefault(order.slice, 0L);
+            if (fencing && order.term < known) {
                 refused++;
                 Host from = hosts[order.from];
                 if (from.lease != null) {
-                    from.run(() -> from.carry(from.lease.toldStale(from.local(), order.slice, known)));
+                    from.run(() -> from.perform(from.lease.toldStale(from.localTime(), order.slice, known)));
                 }
                 return;
             }
-            terms.put(order.slice, Math.max(known, order.term));
-            long before = effective.getOrDefault(order.slice, 0L);
+            knownTerms.put(order.slice, Math.max(known, order.term));
+            long before = lastTerm.getOrDefault(order.slice, 0L);
             if (order.term < before) {
                 fail("a proxy takes an order of term " + order.term + " for slice " + order.slice + " after " + before);
             }
-            if (order.term == before && order.sequence <= last.getOrDefault(order.slice, -1L)) {
+            if (order.term == before && order.sequence <= lastSequence.getOrDefault(order.slice, -1L)) {
                 doubled++;
                 return;
             }
-            effective.put(order.slice, order.term);
-            last.put(order.slice, order.sequence);
+            lastTerm.put(order.slice, order.term);
+            lastSequence.put(order.slice, order.sequence);
         }
     }
 }
--- a/src/main/java/puffinbarrow/lease/Step.java
+++ b/src/main/java/puffinbarrow/lease/Step.java
@@ -1,10 +1,10 @@
 package puffinbarrow.lease;
 
-/** What the lease core asks of its surroundings, in order. */
+/** An action that {@link Lease} asks its caller to carry out, in the order returned. */
 public sealed interface Step {
     /**
-     * Writes the record if its revision is still the one expected (0: it does not exist). The same call may be sent
-     * again when no answer came: it takes effect once at most.
+     * Writes a record to the store if its revision is still the expected one; 0 means that the record does not exist. A
+     * write without an answer may be sent again under the same id; the store applies it at most once.
      */
     sealed interface Write extends Step {
         long id();
@@ -12,19 +12,22 @@
         long expected();
     }
 
+    /** Writes a member record. */
     record WriteMember(long id, long expected, Member value) implements Write {}
 
+    /** Writes a slice's owner record. */
     record WriteVoice(long id, int slice, long expected, Voice value) implements Write {}
 
-    /** Orders for the slice may be sent from now on, under this term. */
+    /** This member now owns the slice: orders for it may be sent under this term. */
     record Begin(int slice, long term) implements Step {}
 
-    /** None may any more. */
+    /** This member no longer owns the slice: no more orders may be sent for it. */
     record End(int slice, Why why) implements Step {}
 
-    /** A leaving member holds nothing any more. */
+    /** A leaving member no longer holds any slice. */
     record Left() implements Step {}
 
+    /** Why ownership of a slice ended. The names are the causes in the metric {@code lease.ended}. */
     enum Why {
         LAPSED,
         HANDED_ON,
--- a/src/main/java/puffinbarrow/lease/Voice.java
+++ b/src/main/java/puffinbarrow/lease/Voice.java
@@ -1,7 +1,13 @@
 package puffinbarrow.lease;
 
-/** A slice's record in the store: who speaks for it, in which life, under which term. Terms only grow. */
+/**
+ * A slice's owner record in the store.
+ *
+ * @param owner the owner's member number, or -1 if the slice never had an owner
+ * @param incarnation the owner's incarnation that acquired the slice
+ * @param term the term of the ownership; it grows with each change of owner
+ */
 public record Voice(int owner, long incarnation, long term) {
-    /** Never held. */
+    /** The record of a slice that never had an owner. */
     static final Voice NONE = new Voice(-1, 0, 0);
 }
--- a/src/test/java/puffinbarrow/lease/ModelTest.java
+++ b/src/test/java/puffinbarrow/lease/ModelTest.java
@@ -16,25 +16,25 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The protocol as an Alloy model, within small bounds: its claims hold, and break without any of their guards. */
+/** Checks the Alloy model of the lease protocol within small bounds: every assertion holds, and fails without a guard. */
 class ModelTest {
     @Test
-    void theClaimsHoldAndEachGuardIsNeeded(@TempDir Path folder) throws Exception {
+    void assertionsHoldWithAllGuardsAndFailWithoutAnyOne(@TempDir Path folder) throws Exception {
         Path model = folder.resolve("lease.als");
         try (var in = ModelTest.class.getResourceAsStream("/puffinbarrow/lease.als")) {
             Files.copy(in, model);
         }
-        Module world = CompUtil.parseEverything_fromFile(A4Reporter.NOP, null, model.toString());
+        Module module = CompUtil.parseEverything_fromFile(A4Reporter.NOP, null, model.toString());
         A4Options options = new A4Options();
-        Map<String, Boolean> broken = new TreeMap<>();
+        Map<String, Boolean> counterexamples = new TreeMap<>();
         Map<String, Boolean> expected = new TreeMap<>();
-        for (Command command : world.getAllCommands()) {
+        for (Command command : module.getAllCommands()) {
             A4Solution solution = TranslateAlloyToKodkod.execute_command(
-                    A4Reporter.NOP, world.getAllReachableSigs(), command, options);
-            broken.put(command.label, solution.satisfiable());
+                    A4Reporter.NOP, module.getAllReachableSigs(), command, options);
+            counterexamples.put(command.label, solution.satisfiable());
             expected.put(command.label, command.label.startsWith("Without"));
         }
-        assertEquals(expected, broken, "true: a counterexample was found");
-        assertEquals(10, broken.size());
+        assertEquals(expected, counterexamples, "true: a counterexample was found");
+        assertEquals(10, counterexamples.size());
     }
 }
--- a/src/test/java/puffinbarrow/lease/SimulationTest.java
+++ b/src/test/java/puffinbarrow/lease/SimulationTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Random troubles against the lease core, and the same with one guard left out, which must show. */
+/** Random faults in {@link Simulation} cause no violation, and do cause one with any single guard disabled. */
 class SimulationTest {
     private static final long LEASE = 1_500_000_000L;
 
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void clocksThatJumpBreakNeitherTermsNorTheFence() {
+    void clockJumpsViolateNeitherTermOrderNorFencing() {
         for (long seed = 1; seed <= 8; seed++) {
             assertNull(
                     Simulation.run(Simulation.plan(seed, 4, 24, LEASE, 60 * LEASE, 0.05, true))
@@ -30,46 +30,47 @@
     }
 
     @Test
-    void noTroubleMakesTwoVoicesAndAllHeals() {
+    void randomFaultsNeverGiveTwoOwnersAndAllSlicesRecover() {
         long steps = 0;
         for (long seed = 1; steps < 300_000; seed++) {
             Simulation.Outcome outcome = Simulation.run(plan(seed));
             if (outcome.broken() != null) {
-                Simulation.Plan least = Simulation.shrink(plan(seed));
-                assertNull(outcome.broken(), "seed " + seed + ", least faults " + least.faults());
+                Simulation.Plan smallest = Simulation.shrink(plan(seed));
+                assertNull(outcome.broken(), "seed " + seed + ", smallest set of faults " + smallest.faults());
             }
             steps += outcome.steps();
         }
     }
 
     @Test
-    void theSamePlanGivesTheSameRun() {
-        Simulation.Outcome a = Simulation.run(plan(9));
-        Simulation.Outcome b = Simulation.run(plan(9));
+    void samePlanGivesSameRun() {
+        Simulation.Outcome first = Simulation.run(plan(9));
+        Simulation.Outcome second = Simulation.run(plan(9));
         assertEquals(
-                List.of(a.steps(), a.writes(), a.moves(), a.refused()),
-                List.of(b.steps(), b.writes(), b.moves(), b.refused()));
-        assertTrue(a.refused() > 0, "old orders came and were refused");
+                List.of(first.steps(), first.writes(), first.moves(), first.refused()),
+                List.of(second.steps(), second.writes(), second.moves(), second.refused()));
+        assertTrue(first.refused() > 0, "late orders of old terms arrive and are refused");
     }
 
     @ParameterizedTest
     @EnumSource(Lease.Guard.class)
-    void withoutAGuardItBreaks(Lease.Guard guard) {
-        assertNotNull(firstBroken(Set.of(guard), true), guard + " was left out and nothing showed");
+    void eachDisabledGuardCausesAViolation(Lease.Guard guard) {
+        assertNotNull(firstViolation(Set.of(guard), true), guard + " was disabled and no violation was found");
     }
 
     @Test
-    void withoutTheFenceOldOrdersTakeEffect() {
-        String broken = firstBroken(Set.of(), false);
-        assertNotNull(broken);
-        assertTrue(broken.contains("a proxy takes an order of term"), broken);
+    void withoutFencingOldOrdersTakeEffect() {
+        String violation = firstViolation(Set.of(), false);
+        assertNotNull(violation);
+        assertTrue(violation.contains("a proxy takes an order of term"), violation);
     }
 
-    private static String firstBroken(Set<Lease.Guard> without, boolean fenced) {
+    private static String firstViolation(Set<Lease.Guard> disabledGuards, boolean fencing) {
         for (long seed = 1; seed <= 300; seed++) {
-            String broken = Simulation.run(plan(seed), without, fenced).broken();
-            if (broken != null) {
-                return broken;
+            String violation =
+                    Simulation.run(plan(seed), disabledGuards, fencing).broken();
+            if (violation != null) {
+                return violation;
             }
         }
         return null;
