--- a/src/bench/java/puffinbarrow/memory/MemoryBench.java
+++ b/src/bench/java/puffinbarrow/memory/MemoryBench.java
@@ -9,6 +9,7 @@
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
+import java.nio.ByteBuffer;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.sql.Connection;
@@ -25,7 +26,10 @@
 import puffinbarrow.control.Event;
 import puffinbarrow.control.Order;
 
-/** What memory costs: the hand-off on the decision thread, a commit, a start. One run, each against another way. */
+/**
+ * Measures the cost of memory: the hand-off on the decision thread, a commit, and a start. Commit and start are compared
+ * with SQLite, the start also with CBOR.
+ */
 public final class MemoryBench {
     private static final long SECOND = 1_000_000_000L;
 
@@ -71,9 +75,9 @@
     public static void main(String[] args) throws Exception {
         Path folder = Files.createTempDirectory("memory-bench");
         try {
-            handOff(folder.resolve("hand"));
-            commits(folder);
-            start(folder);
+            benchHandOff(folder.resolve("hand"));
+            benchCommits(folder);
+            benchStart(folder);
         } finally {
             try (Stream<Path> all = Files.walk(folder)) {
                 all.sorted(Comparator.reverseOrder()).forEach(p -> p.toFile().delete());
@@ -81,8 +85,8 @@
         }
     }
 
-    /** Rounds of sums at 80 servers and 300 slices, a tenth of the slices moved in each. */
-    private static void handOff(Path folder) {
+    /** Measures rounds of reports at 80 servers and 300 slices, a tenth of the slices moved in each. */
+    private static void benchHandOff(Path folder) {
         Keeper keeper = Keeper.open(folder, 64 << 20, 200_000);
         Notes notes = new Notes(1);
         List<Event.Entry> entries = new ArrayList<>();
@@ -96,7 +100,7 @@
         for (int i = 0; i < 300; i++) {
             round.add(new Event.SliceDemand(i, 0, 9, 0, SECOND));
         }
-        long spent = 0;
+        long spentNs = 0;
         int measured = 0;
         for (int n = 0; n < 400; n++) {
             List<Order> orders = new ArrayList<>();
@@ -108,7 +112,7 @@
             notes.ordered(orders);
             keeper.offer(notes.changed(n, n, false, List.of()));
             if (n >= 200) {
-                spent += System.nanoTime() - before;
+                spentNs += System.nanoTime() - before;
                 measured++;
             }
             pause(10);
@@ -117,9 +121,9 @@
                 Locale.ROOT,
                 "hand-off of a round at 80 servers and 300 slices, 30 of them moved: %.0f us on the "
                         + "decision thread, %d of 400 rounds committed together%n",
-                spent / 1e3 / measured,
+                spentNs / 1e3 / measured,
                 400 - keeper.commits());
-        // What it writes at the pace of rounds, when nothing coalesces.
+        // Bytes written at one round a second, when each round is a commit of its own.
         long bytes = keeper.bytes();
         for (int n = 0; n < 10; n++) {
             notes.heard(n, round);
@@ -134,35 +138,35 @@
     private static void pause(long ms) {
         try {
             Thread.sleep(ms);
-        } catch (InterruptedException stop) {
-            throw new IllegalStateException(stop);
+        } catch (InterruptedException interrupted) {
+            throw new IllegalStateException(interrupted);
         }
     }
 
-    /** The same commits of 80 servers and 30 slices, forced each, to our journal and to SQLite (WAL, full sync). */
-    private static void commits(Path folder) throws Exception {
+    /** Measures the same commits of 80 servers and 30 slices, each forced, with the journal and with SQLite (WAL, full sync). */
+    private static void benchCommits(Path folder) throws Exception {
         int count = 300;
         for (int turn = 0; turn < 2; turn++) {
-            long began = System.nanoTime();
+            long startNs = System.nanoTime();
             try (Store store = Store.open(new RealDisk(folder.resolve("ours" + turn)), 64 << 20, new ArrayList<>())) {
                 for (int i = 0; i < count; i++) {
                     store.commit(state(80, 30, i), List.of());
                 }
             }
-            double ours = (System.nanoTime() - began) / 1e6 / count;
-            began = System.nanoTime();
+            double journalMs = (System.nanoTime() - startNs) / 1e6 / count;
+            startNs = System.nanoTime();
             try (Connection db = database(folder.resolve("commits" + turn + ".db"))) {
                 for (int i = 0; i < count; i++) {
                     insert(db, state(80, 30, i));
                 }
             }
-            double sqlite = (System.nanoTime() - began) / 1e6 / count;
+            double sqliteMs = (System.nanoTime() - startNs) / 1e6 / count;
             System.out.printf(
                     Locale.ROOT,
                     "a forced commit of 110 facts: ours %.2f ms, SQLite %.2f ms, ratio %.2f%n",
-                    ours,
-                    sqlite,
-                    ours / sqlite);
+                    journalMs,
+                    sqliteMs,
+                    journalMs / sqliteMs);
         }
     }
 
@@ -181,10 +185,10 @@
         Codec codec = new Codec();
         try (PreparedStatement put = db.prepareStatement("insert or replace into facts values (?, ?)")) {
             for (Facts.Fact fact : facts) {
-                codec.begin();
+                codec.beginBatch();
                 codec.add(fact);
-                byte[] bytes = new byte[codec.bytes()];
-                codec.end(1).get(bytes, 0, bytes.length);
+                byte[] bytes = new byte[codec.position()];
+                codec.endBatch(1).get(bytes, 0, bytes.length);
                 put.setString(1, fact.key());
                 put.setBytes(2, bytes);
                 put.addBatch();
@@ -194,33 +198,33 @@
         db.commit();
     }
 
-    /** A start with 10,000 servers and 100,000 slices: ours, the same in plain Jackson CBOR, and out of SQLite. */
-    private static void start(Path folder) throws Exception {
+    /** Measures a start with 10,000 servers and 100,000 slices from the store, from a CBOR file (Jackson), and from SQLite. */
+    private static void benchStart(Path folder) throws Exception {
         List<Facts.Fact> all = state(10_000, 100_000, 7);
-        Path ours = folder.resolve("large");
-        try (Store store = Store.open(new RealDisk(ours), 1 << 30, new ArrayList<>())) {
+        Path journalFolder = folder.resolve("large");
+        try (Store store = Store.open(new RealDisk(journalFolder), 1 << 30, new ArrayList<>())) {
             for (int from = 0; from < all.size(); from += 10_000) {
                 store.commit(all.subList(from, Math.min(all.size(), from + 10_000)), List.of());
             }
             store.compact();
         }
-        Path packed = folder.resolve("large.cbor");
-        writeCbor(packed, all);
-        Path file = folder.resolve("large.db");
-        try (Connection db = database(file)) {
+        Path cborFile = folder.resolve("large.cbor");
+        writeCbor(cborFile, all);
+        Path databaseFile = folder.resolve("large.db");
+        try (Connection db = database(databaseFile)) {
             insert(db, all);
         }
-        double[] best = {1e9, 1e9, 1e9};
+        double[] bestMs = {1e9, 1e9, 1e9};
         for (int turn = 0; turn < 5; turn++) {
-            long began = System.nanoTime();
-            int found = Store.read(new RealDisk(ours)).image().size();
-            best[0] = Math.min(best[0], (System.nanoTime() - began) / 1e6);
-            began = System.nanoTime();
-            int read = readCbor(packed);
-            best[1] = Math.min(best[1], (System.nanoTime() - began) / 1e6);
-            began = System.nanoTime();
-            int rows = readDatabase(file);
-            best[2] = Math.min(best[2], (System.nanoTime() - began) / 1e6);
+            long startNs = System.nanoTime();
+            int found = Store.read(new RealDisk(journalFolder)).image().size();
+            bestMs[0] = Math.min(bestMs[0], (System.nanoTime() - startNs) / 1e6);
+            startNs = System.nanoTime();
+            int read = readCbor(cborFile);
+            bestMs[1] = Math.min(bestMs[1], (System.nanoTime() - startNs) / 1e6);
+            startNs = System.nanoTime();
+            int rows = readDatabase(databaseFile);
+            bestMs[2] = Math.min(bestMs[2], (System.nanoTime() - startNs) / 1e6);
             if (found != all.size() || read != all.size() || rows != all.size()) {
                 throw new IllegalStateException(found + " " + read + " " + rows);
             }
@@ -229,12 +233,12 @@
                 Locale.ROOT,
                 "a start with 10,000 servers and 100,000 slices: ours %.0f ms, CBOR %.0f ms (ratio "
                         + "%.2f), SQLite %.0f ms (ratio %.2f); %.1f MB%n",
-                best[0],
-                best[1],
-                best[0] / best[1],
-                best[2],
-                best[0] / best[2],
-                size(ours) / 1e6);
+                bestMs[0],
+                bestMs[1],
+                bestMs[0] / bestMs[1],
+                bestMs[2],
+                bestMs[0] / bestMs[2],
+                size(journalFolder) / 1e6);
     }
 
     private static long size(Path folder) throws IOException {
@@ -344,14 +348,14 @@
                 Statement statement = db.createStatement();
                 var rows = statement.executeQuery("select value from facts")) {
             while (rows.next()) {
-                Codec.batch(java.nio.ByteBuffer.wrap(rows.getBytes(1)), Codec.VERSION, new Codec.Into() {
+                Codec.readBatch(ByteBuffer.wrap(rows.getBytes(1)), Codec.VERSION, new Codec.BatchVisitor() {
                     @Override
                     public void fact(Facts.Fact fact) {
                         image.put(fact);
                     }
 
                     @Override
-                    public void gone(String key) {}
+                    public void removed(String key) {}
                 });
             }
         }
--- a/src/main/java/puffinbarrow/memory/Codec.java
+++ b/src/main/java/puffinbarrow/memory/Codec.java
@@ -10,34 +10,42 @@
 import java.util.zip.CRC32C;
 
 /**
- * Facts as bytes, and batches of them that stand or fall as one; docs/memory-format.md states every byte. Reading
- * never throws out of here but {@link Damaged}, and never trusts a length. Not thread-safe.
+ * Binary encoding of facts, and of batches of facts that are valid only as a whole; docs/memory-format.md specifies the
+ * format. Reading checks every length against the input and reports any invalid input as {@link CorruptException}. Not
+ * thread-safe; {@link Store} has one instance for writing.
  */
 final class Codec {
     static final int MAGIC = 0x50554646;
     static final int VERSION = 2;
-    /** The oldest version that is read: it had no size and load of a server, and no calm load of a whole fleet. */
-    static final int OLDEST = 1;
+    /** The oldest readable version: it has no size and load of a server, and no calm load of the whole fleet. */
+    static final int OLDEST_VERSION = 1;
 
+    /** Length of a file's header, in bytes. */
     static final int FILE_HEADER = 24;
+    /** Length of a batch's header, in bytes. */
     static final int BATCH_HEADER = 20;
-    private static final int SERVER = 1, SLICE = 2, SELF = 3, GONE = 4, END = 5;
-    /** A batch over this is damage: the writer never hands over more than its bounded queue. */
-    static final int LONGEST_BATCH = 64 << 20;
 
-    /** The bytes are not what was written. */
-    static final class Damaged extends Exception {
+    private static final int SERVER = 1;
+    private static final int SLICE = 2;
+    private static final int SELF = 3;
+    private static final int REMOVED = 4;
+    private static final int END = 5;
+    /** In bytes. A longer batch is corrupt, because the writer's queue is bounded. */
+    static final int MAX_BATCH = 64 << 20;
+
+    /** The input is not a valid file or batch. */
+    static final class CorruptException extends Exception {
         private static final long serialVersionUID = 1;
 
-        Damaged(String message) {
+        CorruptException(String message) {
             super(message, null, false, false);
         }
     }
 
-    private ByteBuffer to = ByteBuffer.allocate(1 << 16);
+    private ByteBuffer buffer = ByteBuffer.allocate(1 << 16);
     private final CRC32C crc = new CRC32C();
 
-    /** A file's first bytes: magic, version, kind, generation, checksum of these. */
+    /** Returns a file's header: magic, version, kind, generation, four zero bytes, checksum of these. */
     static ByteBuffer header(int version, int kind, long generation) {
         ByteBuffer header = ByteBuffer.allocate(FILE_HEADER);
         header.putInt(MAGIC)
@@ -45,30 +53,31 @@
                 .putShort((short) kind)
                 .putLong(generation)
                 .putInt(0);
-        CRC32C sum = new CRC32C();
-        sum.update(header.array(), 0, 20);
-        return header.putInt((int) sum.getValue()).flip();
+        CRC32C checksum = new CRC32C();
+        checksum.update(header.array(), 0, 20);
+        return header.putInt((int) checksum.getValue()).flip();
     }
 
     record Header(int version, int kind, long generation) {}
 
-    static Header header(ByteBuffer in) throws Damaged {
+    static Header readHeader(ByteBuffer in) throws CorruptException {
         if (in.remaining() < FILE_HEADER) {
-            throw new Damaged("the file ends within its header");
+            throw new CorruptException("file truncated within its header");
         }
-        CRC32C sum = new CRC32C();
-        sum.update(in.slice(in.position(), 20));
+        CRC32C checksum = new CRC32C();
+        checksum.update(in.slice(in.position(), 20));
         int magic = in.getInt();
         Header header = new Header(in.getShort() & 0xffff, in.getShort() & 0xffff, in.getLong());
         in.getInt();
         if (magic != MAGIC) {
-            throw new Damaged("no memory file");
+            throw new CorruptException("not a memory file: wrong magic number");
         }
-        if (in.getInt() != (int) sum.getValue()) {
-            throw new Damaged("the header's checksum is wrong");
+        if (in.getInt() != (int) checksum.getValue()) {
+            throw new CorruptException("wrong checksum of the file header");
         }
-        if (header.version < OLDEST || header.version > VERSION) {
-            throw new Damaged("version " + header.version + ", read are " + OLDEST + " to " + VERSION);
+        if (header.version < OLDEST_VERSION || header.version > VERSION) {
+            throw new CorruptException(
+                    "version " + header.version + ", supported are " + OLDEST_VERSION + " to " + VERSION);
         }
         return header;
     }
@@ -77,47 +86,49 @@
 
     private int count;
 
-    void begin() {
-        to.clear();
-        to.position(BATCH_HEADER);
+    /** Starts a batch; the buffer of the previous one is reused. */
+    void beginBatch() {
+        buffer.clear();
+        buffer.position(BATCH_HEADER);
         count = 0;
     }
 
+    /** Adds a fact to the batch. */
     void add(Facts.Fact fact) {
         count++;
         if (fact instanceof Facts.OfServer f) {
             byte[] id = f.id().getBytes(StandardCharsets.UTF_8);
             byte[] standing = f.standing().getBytes(StandardCharsets.UTF_8);
-            room(64
+            ensureCapacity(64
                     + id.length
                     + standing.length
                     + 8 * (f.starts().size() + f.falls().size() + f.returns().size())
                     + 24);
-            to.put((byte) SERVER);
-            text(id);
-            to.putLong(f.atNs()).putLong(f.drainingSinceNs());
-            times(f.starts());
-            times(f.falls());
-            times(f.returns());
-            text(standing);
-            to.putLong(f.holdNs()).putDouble(f.tookNs()).putDouble(f.size()).putDouble(f.load());
+            buffer.put((byte) SERVER);
+            putText(id);
+            buffer.putLong(f.atNs()).putLong(f.drainingSinceNs());
+            putTimes(f.starts());
+            putTimes(f.falls());
+            putTimes(f.returns());
+            putText(standing);
+            buffer.putLong(f.holdNs()).putDouble(f.tookNs()).putDouble(f.size()).putDouble(f.load());
         } else if (fact instanceof Facts.OfSlice f) {
-            room(40);
-            to.put((byte) SLICE)
+            ensureCapacity(40);
+            buffer.put((byte) SLICE)
                     .putInt(f.slice())
                     .putLong(f.atNs())
                     .putDouble(f.demand())
                     .putLong(f.version());
-            to.putShort((short) f.lines().size());
+            buffer.putShort((short) f.lines().size());
             for (Facts.Line line : f.lines()) {
                 byte[] server = line.server().getBytes(StandardCharsets.UTF_8);
-                room(10 + server.length);
-                text(server);
-                to.putDouble(line.weight());
+                ensureCapacity(10 + server.length);
+                putText(server);
+                buffer.putDouble(line.weight());
             }
         } else if (fact instanceof Facts.OfSelf f) {
-            room(72 + 4 * f.charges().size());
-            to.put((byte) SELF)
+            ensureCapacity(72 + 4 * f.charges().size());
+            buffer.put((byte) SELF)
                     .putLong(f.atNs())
                     .putLong(f.runNs())
                     .putLong(f.incarnation())
@@ -126,176 +137,180 @@
                     .putDouble(f.shed())
                     .put((byte) (f.strained() ? 1 : 0))
                     .putInt(f.charges().size());
-            f.charges().forEach(to::putInt);
-            to.putDouble(f.calmWhole());
+            f.charges().forEach(buffer::putInt);
+            buffer.putDouble(f.calmWhole());
         }
     }
 
-    void addGone(String key) {
+    /** Adds the removal of the fact with this key. */
+    void addRemoved(String key) {
         count++;
         byte[] bytes = key.getBytes(StandardCharsets.UTF_8);
-        room(3 + bytes.length);
-        to.put((byte) GONE);
-        text(bytes);
+        ensureCapacity(3 + bytes.length);
+        buffer.put((byte) REMOVED);
+        putText(bytes);
     }
 
-    /** Marks that a snapshot is whole: without it, one that was cut between two batches would look whole too. */
+    /** Marks the end of a snapshot: without it, a snapshot truncated between two batches would look complete. */
     void addEnd(long facts) {
         count++;
-        room(9);
-        to.put((byte) END).putLong(facts);
+        ensureCapacity(9);
+        buffer.put((byte) END).putLong(facts);
     }
 
-    /** The batch: length, count, sequence, checksum, facts. The writer keeps the buffer until the next begin. */
-    ByteBuffer end(long sequence) {
-        int length = to.position() - BATCH_HEADER;
-        to.putInt(0, length).putInt(4, count).putLong(8, sequence);
+    /** Returns the finished batch: length, count, sequence, checksum, facts. It is valid until {@link #beginBatch}. */
+    ByteBuffer endBatch(long sequence) {
+        int length = buffer.position() - BATCH_HEADER;
+        buffer.putInt(0, length).putInt(4, count).putLong(8, sequence);
         crc.reset();
-        crc.update(to.array(), 0, 16);
-        crc.update(to.array(), BATCH_HEADER, length);
-        to.putInt(16, (int) crc.getValue());
-        return ByteBuffer.wrap(to.array(), 0, BATCH_HEADER + length);
+        crc.update(buffer.array(), 0, 16);
+        crc.update(buffer.array(), BATCH_HEADER, length);
+        buffer.putInt(16, (int) crc.getValue());
+        return ByteBuffer.wrap(buffer.array(), 0, BATCH_HEADER + length);
     }
 
-    int bytes() {
-        return to.position();
+    /** The length so far of the batch being written, including its header, in bytes. */
+    int position() {
+        return buffer.position();
     }
 
-    private void times(List<Long> times) {
-        to.put((byte) times.size());
-        times.forEach(to::putLong);
+    private void putTimes(List<Long> times) {
+        buffer.put((byte) times.size());
+        times.forEach(buffer::putLong);
     }
 
-    private void text(byte[] bytes) {
-        to.putShort((short) bytes.length).put(bytes);
+    private void putText(byte[] bytes) {
+        buffer.putShort((short) bytes.length).put(bytes);
     }
 
-    private void room(int bytes) {
-        if (to.remaining() < bytes) {
-            ByteBuffer larger = ByteBuffer.allocate(Math.max(to.capacity() * 2, to.position() + bytes));
-            to.flip();
-            larger.put(to);
-            to = larger;
+    private void ensureCapacity(int bytes) {
+        if (buffer.remaining() < bytes) {
+            ByteBuffer larger = ByteBuffer.allocate(Math.max(buffer.capacity() * 2, buffer.position() + bytes));
+            buffer.flip();
+            larger.put(buffer);
+            buffer = larger;
         }
     }
 
     // ---- Reading.
 
-    /** What a batch says. */
-    interface Into {
+    /** Receives the contents of a batch in order. */
+    interface BatchVisitor {
         void fact(Facts.Fact fact);
 
-        void gone(String key);
+        void removed(String key);
 
+        /** The end of a snapshot with so many facts. */
         default void end(long facts) {}
     }
 
-    /** Reads one batch whole; its sequence, or -1 at a clean end. */
-    static long batch(ByteBuffer in, int version, Into into) throws Damaged {
+    /** Reads one batch and returns its sequence, or -1 at the end of the input. The visitor is called only if it is valid. */
+    static long readBatch(ByteBuffer in, int version, BatchVisitor visitor) throws CorruptException {
         if (!in.hasRemaining()) {
             return -1;
         }
         if (in.remaining() < BATCH_HEADER) {
-            throw new Damaged("the file ends within a batch's header");
+            throw new CorruptException("file truncated within a batch header");
         }
-        int begin = in.position();
+        int start = in.position();
         int length = in.getInt();
         int count = in.getInt();
         long sequence = in.getLong();
-        int stated = in.getInt();
-        if (length < 0 || length > LONGEST_BATCH || length > in.remaining() || count < 0 || sequence < 0) {
-            throw new Damaged("a batch of " + length + " bytes where " + in.remaining() + " are left");
+        int expectedChecksum = in.getInt();
+        if (length < 0 || length > MAX_BATCH || length > in.remaining() || count < 0 || sequence < 0) {
+            throw new CorruptException("batch of " + length + " bytes, but " + in.remaining() + " bytes are left");
         }
-        CRC32C sum = new CRC32C();
-        sum.update(in.slice(begin, 16));
-        sum.update(in.slice(in.position(), length));
-        if ((int) sum.getValue() != stated) {
-            throw new Damaged("a batch's checksum is wrong");
+        CRC32C checksum = new CRC32C();
+        checksum.update(in.slice(start, 16));
+        checksum.update(in.slice(in.position(), length));
+        if ((int) checksum.getValue() != expectedChecksum) {
+            throw new CorruptException("wrong checksum of a batch");
         }
         ByteBuffer body = in.slice(in.position(), length);
-        List<Runnable> all = new ArrayList<>();
+        List<Runnable> calls = new ArrayList<>();
         try {
             for (int i = 0; i < count; i++) {
-                one(body, version, into, all::add);
+                readFact(body, version, visitor, calls::add);
             }
-        } catch (BufferUnderflowException | IndexOutOfBoundsException | CharacterCodingException cut) {
-            throw new Damaged("a fact ends within a field");
+        } catch (BufferUnderflowException | IndexOutOfBoundsException | CharacterCodingException malformed) {
+            throw new CorruptException("malformed fact in a batch");
         }
         if (body.hasRemaining()) {
-            throw new Damaged("a batch is longer than its facts");
+            throw new CorruptException("batch is longer than its facts");
         }
-        // Only a batch that is sound to its end says anything.
-        all.forEach(Runnable::run);
-        in.position(begin + BATCH_HEADER + length);
+        // The visitor is called only once the whole batch has been read without error.
+        calls.forEach(Runnable::run);
+        in.position(start + BATCH_HEADER + length);
         return sequence;
     }
 
-    private static void one(ByteBuffer in, int version, Into into, Consumer<Runnable> later)
-            throws Damaged, CharacterCodingException {
+    private static void readFact(ByteBuffer in, int version, BatchVisitor visitor, Consumer<Runnable> deferred)
+            throws CorruptException, CharacterCodingException {
         int kind = in.get();
         switch (kind) {
             case SERVER -> {
-                String id = text(in);
-                long at = in.getLong();
-                long draining = in.getLong();
-                List<Long> starts = times(in);
-                List<Long> falls = times(in);
-                List<Long> returns = times(in);
-                String standing = text(in);
-                long hold = in.getLong();
-                double took = in.getDouble();
+                String id = getText(in);
+                long atNs = in.getLong();
+                long drainingSinceNs = in.getLong();
+                List<Long> starts = getTimes(in);
+                List<Long> falls = getTimes(in);
+                List<Long> returns = getTimes(in);
+                String standing = getText(in);
+                long holdNs = in.getLong();
+                double tookNs = in.getDouble();
                 double size = version >= 2 ? in.getDouble() : 1;
                 double load = version >= 2 ? in.getDouble() : Double.NaN;
-                Facts.Fact fact =
-                        new Facts.OfServer(id, at, draining, starts, falls, returns, standing, hold, size, took, load);
-                later.accept(() -> into.fact(fact));
+                Facts.Fact fact = new Facts.OfServer(
+                        id, atNs, drainingSinceNs, starts, falls, returns, standing, holdNs, size, tookNs, load);
+                deferred.accept(() -> visitor.fact(fact));
             }
             case SLICE -> {
                 int slice = in.getInt();
-                long at = in.getLong();
+                long atNs = in.getLong();
                 double demand = in.getDouble();
-                long ordered = in.getLong();
+                long tableVersion = in.getLong();
                 int count = in.getShort() & 0xffff;
                 List<Facts.Line> lines = new ArrayList<>(Math.min(count, 64));
                 for (int i = 0; i < count; i++) {
-                    lines.add(new Facts.Line(text(in), in.getDouble()));
+                    lines.add(new Facts.Line(getText(in), in.getDouble()));
                 }
-                Facts.Fact fact = new Facts.OfSlice(slice, at, lines, demand, ordered);
-                later.accept(() -> into.fact(fact));
+                Facts.Fact fact = new Facts.OfSlice(slice, atNs, lines, demand, tableVersion);
+                deferred.accept(() -> visitor.fact(fact));
             }
             case SELF -> {
-                long at = in.getLong();
-                long run = in.getLong();
+                long atNs = in.getLong();
+                long runNs = in.getLong();
                 long incarnation = in.getLong();
-                boolean clean = in.get() != 0;
-                double calm = in.getDouble();
+                boolean cleanEnd = in.get() != 0;
+                double calmLoad = in.getDouble();
                 double shed = in.getDouble();
                 boolean strained = in.get() != 0;
                 int count = in.getInt();
                 if (count < 0 || count > in.remaining() / 4) {
-                    throw new Damaged("a count of " + count);
+                    throw new CorruptException("invalid number of slices: " + count);
                 }
                 List<Integer> charges = new ArrayList<>(count);
                 for (int i = 0; i < count; i++) {
                     charges.add(in.getInt());
                 }
-                double whole = version >= 2 ? in.getDouble() : 0;
-                Facts.Fact fact = new Facts.OfSelf(at, run, incarnation, clean, charges, calm, whole, shed, strained);
-                later.accept(() -> into.fact(fact));
+                double calmWhole = version >= 2 ? in.getDouble() : 0;
+                Facts.Fact fact = new Facts.OfSelf(
+                        atNs, runNs, incarnation, cleanEnd, charges, calmLoad, calmWhole, shed, strained);
+                deferred.accept(() -> visitor.fact(fact));
             }
-            case GONE -> {
-                String key = text(in);
-                later.accept(() -> into.gone(key));
+            case REMOVED -> {
+                String key = getText(in);
+                deferred.accept(() -> visitor.removed(key));
             }
             case END -> {
                 long facts = in.getLong();
-                later.accept(() -> into.end(facts));
+                deferred.accept(() -> visitor.end(facts));
             }
-            default -> throw new Damaged("a fact of kind " + kind);
+            default -> throw new CorruptException("unknown kind of fact: " + kind);
         }
     }
 
-    private static List<Long> times(ByteBuffer in) {
+    private static List<Long> getTimes(ByteBuffer in) {
         int count = in.get() & 0xff;
         List<Long> times = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
@@ -304,13 +319,13 @@
         return times;
     }
 
-    private static String text(ByteBuffer in) throws CharacterCodingException {
+    private static String getText(ByteBuffer in) throws CharacterCodingException {
         int length = in.getShort() & 0xffff;
-        ByteBuffer part = in.slice(in.position(), Math.min(length, in.remaining()));
-        if (part.remaining() < length) {
+        ByteBuffer encoded = in.slice(in.position(), Math.min(length, in.remaining()));
+        if (encoded.remaining() < length) {
             throw new BufferUnderflowException();
         }
         in.position(in.position() + length);
-        return StandardCharsets.UTF_8.newDecoder().decode(part).toString();
+        return StandardCharsets.UTF_8.newDecoder().decode(encoded).toString();
     }
 }
--- a/src/main/java/puffinbarrow/memory/Disk.java
+++ b/src/main/java/puffinbarrow/memory/Disk.java
@@ -4,37 +4,45 @@
 import java.nio.ByteBuffer;
 import java.util.List;
 
-/** The little of a folder that the store needs. Tests put one below it that drops, tears and reorders. */
+/**
+ * The operations on a directory that {@link Store} needs. Tests replace it by one that simulates power cuts, which lose,
+ * tear and reorder what was not forced.
+ */
 interface Disk extends AutoCloseable {
-    /** A file being written at its end. */
+    /** A file opened for appending. */
     interface Out extends AutoCloseable {
-        /** One write; all of it or an exception, though a power cut may leave any part. */
+        /** Writes all bytes or throws; after a power cut any part of them may be on the disk. */
         void write(ByteBuffer bytes) throws IOException;
 
-        /** What was written is on the disk when this returns. */
+        /** Returns once everything written is on the disk. */
         void force() throws IOException;
 
         @Override
         void close() throws IOException;
     }
 
+    /** Returns the names of all files. */
     List<String> list() throws IOException;
 
-    /** A whole file, read only. */
+    /** Returns the content of a file. */
     ByteBuffer read(String name) throws IOException;
 
+    /** Creates a file, or empties an existing one. */
     Out create(String name) throws IOException;
 
-    /** Atomic; lasting only after {@link #forceFolder}. */
+    /** Renames atomically, replacing {@code to}; durable only after {@link #forceFolder}. */
     void rename(String from, String to) throws IOException;
 
+    /** Deletes a file if it exists. */
     void delete(String name) throws IOException;
 
+    /** Returns once all names (files created, renamed and deleted) are on the disk. */
     void forceFolder() throws IOException;
 
-    /** One owner at a time; throws if another process or store has it. */
+    /** Locks the directory for this store; throws if another process or store holds the lock. */
     void lock() throws IOException;
 
+    /** Releases the lock, if held. */
     @Override
     void close() throws IOException;
 }
--- a/src/main/java/puffinbarrow/memory/Facts.java
+++ b/src/main/java/puffinbarrow/memory/Facts.java
@@ -4,11 +4,14 @@
 import java.util.List;
 import java.util.TreeMap;
 
-/** What a coordinator learned, as values. Times are wall time in nanoseconds since 1970; 0 means never. Pure. */
+/**
+ * Immutable values that a coordinator stores across restarts: its knowledge about servers, slices and itself. Times are
+ * wall time in nanoseconds since 1970; 0 means never.
+ */
 public final class Facts {
     private Facts() {}
 
-    /** One thing known; {@link #key} names what it is about, and a newer fact of that key replaces it. */
+    /** A stored value. {@link #key} names its subject; a newer fact with the same key replaces an older one. */
     public sealed interface Fact {
         String key();
 
@@ -16,8 +19,20 @@
     }
 
     /**
-     * A server. {@code starts} are the starts that the list stated (on its own clock), newest last; {@code falls} and
-     * {@code returns} when it left and came back; {@code standing} its state in the health table.
+     * A server.
+     *
+     * @param id the server's address, as in the discovery list
+     * @param atNs when the fact was recorded
+     * @param drainingSinceNs since when the server is draining, or 0
+     * @param starts the start times that the discovery list stated, on that list's clock, newest last
+     * @param falls when the server left the list or was found restarted, newest last
+     * @param returns when it came back, newest last
+     * @param standing one of {@code well}, {@code held}, {@code draining}, {@code gone}
+     * @param holdNs length of the latest hold, during which a failed server gets no traffic, or 0; doubles while
+     *     trials fail
+     * @param size the server's capacity weight as listed
+     * @param tookNs the mean latency in the latest report, in nanoseconds
+     * @param load the latest reported value of {@code Measure.BUSY}, or NaN if unknown
      */
     public record OfServer(
             String id,
@@ -32,7 +47,7 @@
             double tookNs,
             double load)
             implements Fact {
-        /** Enough to tell flapping from a release: a server that fell more often has told all it can. */
+        /** The most times kept in each list; enough to tell flapping from a release. */
         public static final int TIMES = 8;
 
         @Override
@@ -41,8 +56,18 @@
         }
     }
 
+    /** A server's weight in a slice's table. */
     public record Line(String server, double weight) {}
 
+    /**
+     * A slice.
+     *
+     * @param slice the slice's number
+     * @param atNs when the fact was recorded
+     * @param lines the slice's table
+     * @param demand the flows of the slice in the latest report
+     * @param version how many lines have been ordered for the slice by this process
+     */
     public record OfSlice(int slice, long atNs, List<Line> lines, double demand, long version) implements Fact {
         @Override
         public String key() {
@@ -50,7 +75,19 @@
         }
     }
 
-    /** The coordinator itself. {@code runNs} is its own monotonic clock, so that a jump of the wall clock shows. */
+    /**
+     * The coordinator itself.
+     *
+     * @param atNs when the fact was recorded
+     * @param runNs the same moment on the coordinator's monotonic clock, which reveals jumps of the wall clock
+     * @param incarnation the coordinator's incarnation
+     * @param cleanEnd whether this was written by an orderly shutdown
+     * @param charges the slices that the coordinator held
+     * @param calmLoad the highest demand per unit of available capacity that the fleet has handled without overload
+     * @param calmWhole the same per unit of the whole fleet's capacity
+     * @param shed the amount of traffic being shed, in traffic groups, with fractions
+     * @param strained whether the fleet was overloaded
+     */
     public record OfSelf(
             long atNs,
             long runNs,
@@ -68,7 +105,7 @@
         }
     }
 
-    /** All that is known, by key. */
+    /** A mutable set of facts, at most one a key. Not thread-safe. */
     public static final class Image {
         private final TreeMap<String, Fact> facts = new TreeMap<>();
 
@@ -92,6 +129,7 @@
             return facts.size();
         }
 
+        /** The coordinator's own fact, or null. */
         public OfSelf self() {
             return facts.get("self") instanceof OfSelf self ? self : null;
         }
--- a/src/main/java/puffinbarrow/memory/Inspect.java
+++ b/src/main/java/puffinbarrow/memory/Inspect.java
@@ -10,31 +10,41 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What people ask of a memory folder, live or dead. Only {@link #compact} writes. */
+/**
+ * Operations of the command line on a memory folder, which a coordinator may be using. Only {@link #compact} writes.
+ */
 public final class Inspect {
-    /** What a folder holds and whether it is whole. */
+    /**
+     * Contents of a folder.
+     *
+     * @param whole whether a complete snapshot was found
+     * @param commit the number of the last commit in the image
+     * @param image the facts found
+     * @param words one line for each file that was used or rejected
+     */
     public record Found(boolean whole, long commit, Facts.Image image, List<String> words) {}
 
     private Inspect() {}
 
+    /** Reads a folder without locking it. */
     public static Found look(Path folder) throws IOException {
         if (!Files.isDirectory(folder)) {
             throw new IOException("no folder " + folder);
         }
-        Store.Opened found = Store.read(new RealDisk(folder));
-        return new Found(found.whole(), found.sequence(), found.image(), found.words());
+        Store.Contents contents = Store.read(new RealDisk(folder));
+        return new Found(contents.whole(), contents.sequence(), contents.image(), contents.messages());
     }
 
-    /** Takes the folder, so it fails on a live one, and writes one snapshot of what is believed. */
-    public static List<String> compact(Path folder, long cap) throws IOException {
-        List<String> words = new ArrayList<>();
-        try (Store store = Store.open(new RealDisk(folder), cap, words)) {
-            words.add("one snapshot of " + store.image().size() + " facts, up to commit " + store.sequence());
+    /** Replaces the files by one snapshot of the valid contents; fails if a coordinator is using the folder. */
+    public static List<String> compact(Path folder, long maxBytes) throws IOException {
+        List<String> messages = new ArrayList<>();
+        try (Store store = Store.open(new RealDisk(folder), maxBytes, messages)) {
+            messages.add("wrote one snapshot of " + store.image().size() + " facts, up to commit " + store.sequence());
         }
-        return words;
+        return messages;
     }
 
-    /** One JSON object a line. */
+    /** Writes the facts as JSON, one object a line. */
     public static void export(Facts.Image image, OutputStream to) throws IOException {
         JsonFactory json = new JsonFactory();
         for (Facts.Fact fact : image.all()) {
@@ -45,9 +55,9 @@
                 out.writeNumberField("atNs", fact.atNs());
                 if (fact instanceof Facts.OfServer f) {
                     out.writeNumberField("drainingSinceNs", f.drainingSinceNs());
-                    times(out, "starts", f.starts());
-                    times(out, "falls", f.falls());
-                    times(out, "returns", f.returns());
+                    writeTimes(out, "starts", f.starts());
+                    writeTimes(out, "falls", f.falls());
+                    writeTimes(out, "returns", f.returns());
                     out.writeStringField("standing", f.standing());
                     out.writeNumberField("holdNs", f.holdNs());
                     out.writeNumberField("size", f.size());
@@ -76,7 +86,7 @@
         }
     }
 
-    private static void times(JsonGenerator out, String name, List<Long> times) throws IOException {
+    private static void writeTimes(JsonGenerator out, String name, List<Long> times) throws IOException {
         out.writeArrayFieldStart(name);
         for (long time : times) {
             out.writeNumber(time);
--- a/src/main/java/puffinbarrow/memory/Keeper.java
+++ b/src/main/java/puffinbarrow/memory/Keeper.java
@@ -13,44 +13,56 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes facts to a folder on a thread of its own. {@link #offer} never waits for a disk: it puts facts into a map
- * by key, where a newer one replaces an older, up to a cap over which new keys are skipped and counted. An error of
- * the disk ends keeping until a try some seconds later succeeds; what was learned meanwhile waits in the map.
+ * Writes facts to a directory on its own thread. The coordinator's decision thread calls {@link #offer}, which never waits
+ * for the disk: it puts the facts into a map by key, where a newer one replaces an older one. Above a limit on the number
+ * of keys, facts with new keys are dropped and counted. After a disk error nothing is written until the directory can be
+ * opened again, which is tried every {@link #REOPEN_INTERVAL_MS}; facts offered meanwhile wait in the map.
  */
 public final class Keeper implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger("puffinbarrow.memory");
-    /** A restart loses no more than this; more often would cost the disk and gain nothing a round of sums does not. */
-    private static final long EVERY_MS = 200;
+    /** The most that a restart loses. Reports arrive less often, so that committing more often would only cost disk time. */
+    private static final long COMMIT_INTERVAL_MS = 200;
 
-    private static final long RETRY_MS = 2000;
+    private static final long REOPEN_INTERVAL_MS = 2000;
+
+    private static final long JOIN_TIMEOUT_MS = 5000;
 
     private final Path folder;
-    private final long cap;
-    private final int mostKeys;
+    private final long maxBytes;
+    private final int maxPendingKeys;
     private final ReentrantLock lock = new ReentrantLock();
-    private final Condition more = lock.newCondition();
+    private final Condition closeRequested = lock.newCondition();
     private LinkedHashMap<String, Facts.Fact> pending = new LinkedHashMap<>();
-    private volatile long skipped, commits, bytes, failures;
+    private volatile long skipped;
+    private volatile long commits;
+    private volatile long bytes;
+    private volatile long failures;
     private volatile boolean well;
     private boolean closing;
     private Store store;
     private RealDisk disk;
     private Facts.Image remembered = new Facts.Image();
-    private final Thread writer = new Thread(this::write, "memory");
+    private final Thread writer = new Thread(this::runWriter, "memory");
 
-    private Keeper(Path folder, long cap, int mostKeys) {
+    private Keeper(Path folder, long maxBytes, int maxPendingKeys) {
         this.folder = folder;
-        this.cap = cap;
-        this.mostKeys = mostKeys;
+        this.maxBytes = maxBytes;
+        this.maxPendingKeys = maxPendingKeys;
         writer.setDaemon(true);
     }
 
-    /** Reads what the folder holds and keeps from now on; a folder that cannot be used gives a keeper without memory. */
-    public static Keeper open(Path folder, long cap, int mostKeys) {
-        Keeper keeper = new Keeper(folder, cap, mostKeys);
+    /**
+     * Reads the directory and starts the writer thread. If the directory cannot be used, nothing is remembered and the
+     * writer tries to open it again.
+     *
+     * @param maxBytes the most bytes that the directory may take
+     * @param maxPendingKeys the most facts that may wait for the disk
+     */
+    public static Keeper open(Path folder, long maxBytes, int maxPendingKeys) {
+        Keeper keeper = new Keeper(folder, maxBytes, maxPendingKeys);
         keeper.tryOpen();
         if (keeper.store != null) {
-            // A copy, as the store's own goes on.
+            // A copy, because the store changes its own image.
             Facts.Image copy = new Facts.Image();
             keeper.store.image().all().forEach(copy::put);
             keeper.remembered = copy;
@@ -59,37 +71,42 @@
         return keeper;
     }
 
-    /** What a former life left, as it was at the start. */
+    /** Returns the facts read at start, from the previous run of the coordinator. */
     public Facts.Image remembered() {
         return remembered;
     }
 
+    /** Whether the directory is open and the last commit succeeded. */
     public boolean well() {
         return well;
     }
 
+    /** The number of facts dropped because too many keys were waiting. */
     public long skipped() {
         return skipped;
     }
 
+    /** The number of commits since the start. */
     public long commits() {
         return commits;
     }
 
+    /** The number of bytes written since the directory was last opened. */
     public long bytes() {
         return bytes;
     }
 
+    /** The number of failed commits and failed attempts to open the directory. */
     public long failures() {
         return failures;
     }
 
-    /** From the decision thread. */
+    /** Queues the facts for the next commit; called on the decision thread. */
     public void offer(List<Facts.Fact> facts) {
         lock.lock();
         try {
             for (Facts.Fact fact : facts) {
-                if (pending.size() < mostKeys || pending.containsKey(fact.key())) {
+                if (pending.size() < maxPendingKeys || pending.containsKey(fact.key())) {
                     pending.put(fact.key(), fact);
                 } else {
                     skipped++;
@@ -101,73 +118,73 @@
     }
 
     private void tryOpen() {
-        List<String> words = new ArrayList<>();
-        RealDisk on = new RealDisk(folder);
+        List<String> messages = new ArrayList<>();
+        RealDisk candidate = new RealDisk(folder);
         try {
-            store = Store.open(on, cap, words);
-            disk = on;
-            words.forEach(LOG::info);
+            store = Store.open(candidate, maxBytes, messages);
+            disk = candidate;
+            messages.forEach(LOG::info);
             well = true;
             LOG.atInfo()
                     .addKeyValue("folder", folder)
                     .addKeyValue("facts", store.image().size())
-                    .log("memory is kept");
-        } catch (IOException unusable) {
-            failed("no memory: " + said(unusable));
-            closeQuietly(on);
+                    .log("memory folder opened");
+        } catch (IOException failure) {
+            recordFailure("cannot open memory folder: " + describe(failure));
+            closeQuietly(candidate);
         }
     }
 
-    private static String said(IOException failure) {
+    private static String describe(IOException failure) {
         return failure.getClass().getSimpleName() + " " + failure.getMessage();
     }
 
-    /** Said once for each time that it was well; counted always. */
-    private void failed(String what) {
+    /** Counts the failure, and logs the first one after each success. */
+    private void recordFailure(String message) {
         failures++;
         if (well || failures == 1) {
-            LOG.warn("{}; the coordinator goes on without", what);
+            LOG.warn("{}; the coordinator continues without memory", message);
         }
         well = false;
     }
 
-    private static void closeQuietly(AutoCloseable what) {
+    private static void closeQuietly(AutoCloseable resource) {
         try {
-            what.close();
+            resource.close();
         } catch (Exception ignored) {
-            // It is given up on already.
+            // The resource is being abandoned.
         }
     }
 
-    private void write() {
-        long retryAt = 0;
+    private void runWriter() {
+        long reopenAtNs = 0;
         while (true) {
             LinkedHashMap<String, Facts.Fact> batch;
-            boolean last;
+            boolean lastRound;
             lock.lock();
             try {
                 if (!closing) {
-                    more.awaitNanos(TimeUnit.MILLISECONDS.toNanos(EVERY_MS));
+                    closeRequested.awaitNanos(TimeUnit.MILLISECONDS.toNanos(COMMIT_INTERVAL_MS));
                 }
-                last = closing;
+                lastRound = closing;
                 batch = pending;
                 pending = new LinkedHashMap<>();
-            } catch (InterruptedException stop) {
+            } catch (InterruptedException interrupted) {
                 return;
             } finally {
                 lock.unlock();
             }
-            if (store == null && (System.nanoTime() >= retryAt || last)) {
+            if (store == null && (System.nanoTime() >= reopenAtNs || lastRound)) {
                 tryOpen();
-                retryAt = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(RETRY_MS);
+                reopenAtNs = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(REOPEN_INTERVAL_MS);
             }
             if (Thread.currentThread().isInterrupted()) {
                 return;
             }
             if (!batch.isEmpty() && !commit(batch)) {
-                putBack(batch);
+                restorePending(batch);
             }
-            if (last) {
+            if (lastRound) {
                 if (store != null) {
                     closeQuietly(store);
                 }
@@ -182,22 +199,23 @@
         }
         try {
             if (!disk.list().contains("lock")) {
-                // A folder that was removed takes writes into files that nobody will ever find.
-                throw new IOException("the folder has vanished");
+                // After the directory is removed, writes to the open journal succeed but the file cannot be found
+                // again.
+                throw new IOException("memory folder was removed");
             }
             store.commit(List.copyOf(batch.values()), List.of());
             commits++;
             bytes = store.writtenBytes();
             return true;
-        } catch (IOException broken) {
-            failed("memory is not kept: " + said(broken));
+        } catch (IOException failure) {
+            recordFailure("cannot write memory: " + describe(failure));
             closeQuietly(store);
             store = null;
             return false;
         }
     }
 
-    private void putBack(Map<String, Facts.Fact> batch) {
+    private void restorePending(Map<String, Facts.Fact> batch) {
         lock.lock();
         try {
             batch.forEach(pending::putIfAbsent);
@@ -206,12 +224,12 @@
         }
     }
 
-    /** As a killed process: what waits is lost, the folder is let go. */
+    /** Stops like a killed process: queued facts are lost, the lock is released. */
     public void kill() {
         writer.interrupt();
         try {
-            writer.join(5000);
-        } catch (InterruptedException hurried) {
+            writer.join(JOIN_TIMEOUT_MS);
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
         if (store != null) {
@@ -219,19 +237,19 @@
         }
     }
 
-    /** Writes what waits and lets the folder go. */
+    /** Writes the queued facts and releases the lock; waits up to 5 s for the writer. */
     @Override
     public void close() {
         lock.lock();
         try {
             closing = true;
-            more.signal();
+            closeRequested.signal();
         } finally {
             lock.unlock();
         }
         try {
-            writer.join(5000);
-        } catch (InterruptedException hurried) {
+            writer.join(JOIN_TIMEOUT_MS);
+        } catch (InterruptedException interrupted) {
             Thread.currentThread().interrupt();
         }
     }
--- a/src/main/java/puffinbarrow/memory/Notes.java
+++ b/src/main/java/puffinbarrow/memory/Notes.java
@@ -13,41 +13,45 @@
 import puffinbarrow.control.Order;
 
 /**
- * Watches what a coordinator hears and orders, and makes facts of it. On the decision thread; a few map operations an
- * event. Pure: the wall time is passed in.
+ * Derives facts from a coordinator's events and orders. The coordinator calls it on the decision thread, the emulator in
+ * simulated time; an event costs a few map operations. Does no I/O; the wall time is passed in, in nanoseconds.
  */
 public final class Notes {
-    private static final class Server {
+    private static final class ServerNotes {
         boolean listed;
-        long drainingSince;
+        long drainingSinceNs;
         final List<Long> starts = new ArrayList<>();
         final List<Long> falls = new ArrayList<>();
         final List<Long> returns = new ArrayList<>();
-        double size = 1, took, load = Double.NaN, holdNs;
+        double size = 1;
+        double tookNs;
+        double load = Double.NaN;
+        double holdNs;
     }
 
-    private static final class Slice {
+    private static final class SliceNotes {
         final TreeMap<String, Double> lines = new TreeMap<>();
         double demand;
         long version;
     }
 
-    private final Map<String, Server> servers = new HashMap<>();
-    private final Map<Integer, Slice> slices = new HashMap<>();
+    private final Map<String, ServerNotes> servers = new HashMap<>();
+    private final Map<Integer, SliceNotes> slices = new HashMap<>();
     private final TreeSet<Integer> charges = new TreeSet<>();
     private final Set<String> dirtyServers = new HashSet<>();
     private final Set<Integer> dirtySlices = new HashSet<>();
     private final long incarnation;
 
+    /** Starts empty; {@code incarnation} goes into the coordinator's own fact. */
     public Notes(long incarnation) {
         this.incarnation = incarnation;
     }
 
-    /** Goes on from what a former life remembered of the servers. */
+    /** Takes over the servers' facts of the previous run. */
     public void resume(Facts.Image image) {
         for (Facts.Fact fact : image.all()) {
             if (fact instanceof Facts.OfServer f) {
-                Server server = new Server();
+                ServerNotes server = new ServerNotes();
                 server.listed = !f.starts().isEmpty();
                 server.starts.addAll(f.starts());
                 server.falls.addAll(f.falls());
@@ -58,89 +62,91 @@
         }
     }
 
+    /** Takes note of events that the coordinator received. */
     public void heard(long wallNs, Collection<Event> events) {
         for (Event event : events) {
             if (event instanceof Event.ServerList e && e.kind() != Event.ListKind.BROKEN) {
-                list(wallNs, e);
+                applyList(wallNs, e);
             } else if (event instanceof Event.ServerSums e) {
-                Server server = servers.get(e.server());
+                ServerNotes server = servers.get(e.server());
                 if (server != null) {
-                    server.took = e.tookNs();
+                    server.tookNs = e.tookNs();
                     server.load = e.report().getOrDefault(Event.Measure.BUSY, server.load);
                     dirtyServers.add(e.server());
                 }
             } else if (event instanceof Event.SliceDemand e) {
-                slice(e.slice()).demand = e.flows();
+                notesOf(e.slice()).demand = e.flows();
             } else if (event instanceof Event.SliceCharge e) {
                 boolean changed = e.given() ? charges.add(e.slice()) : charges.remove(e.slice());
-                slice(e.slice()).lines.clear();
+                notesOf(e.slice()).lines.clear();
             } else if (event instanceof Event.StoredLine e) {
-                slice(e.slice()).lines.put(e.server(), e.weight());
+                notesOf(e.slice()).lines.put(e.server(), e.weight());
             }
         }
     }
 
-    private void list(long wallNs, Event.ServerList list) {
-        Set<String> named = new HashSet<>();
+    private void applyList(long wallNs, Event.ServerList list) {
+        Set<String> listedIds = new HashSet<>();
         for (Event.Entry entry : list.entries()) {
-            named.add(entry.server());
-            Server server = servers.computeIfAbsent(entry.server(), s -> new Server());
+            listedIds.add(entry.server());
+            ServerNotes server = servers.computeIfAbsent(entry.server(), s -> new ServerNotes());
             dirtyServers.add(entry.server());
             if (entry.listed() == Event.Listed.READY) {
                 boolean newStart =
                         server.starts.isEmpty() || server.starts.get(server.starts.size() - 1) != entry.startedNs();
                 if (newStart && server.listed) {
-                    // It fell and came back between two lists.
-                    add(server.falls, wallNs);
+                    // It restarted between two lists.
+                    addTime(server.falls, wallNs);
                 }
                 if (newStart) {
-                    add(server.starts, entry.startedNs());
+                    addTime(server.starts, entry.startedNs());
                 }
                 if (newStart && server.starts.size() > 1 || !server.listed && !server.falls.isEmpty()) {
-                    add(server.returns, wallNs);
+                    addTime(server.returns, wallNs);
                 }
                 server.listed = true;
-                server.drainingSince = 0;
+                server.drainingSinceNs = 0;
                 server.size = entry.size();
             } else if (entry.listed() == Event.Listed.DRAINING) {
-                server.drainingSince = server.drainingSince == 0 ? wallNs : server.drainingSince;
+                server.drainingSinceNs = server.drainingSinceNs == 0 ? wallNs : server.drainingSinceNs;
             } else {
-                leaves(wallNs, server);
+                recordDeparture(wallNs, server);
             }
         }
         if (list.kind() != Event.ListKind.PATCH) {
             servers.forEach((id, server) -> {
-                if (!named.contains(id) && server.listed) {
-                    leaves(wallNs, server);
+                if (!listedIds.contains(id) && server.listed) {
+                    recordDeparture(wallNs, server);
                     dirtyServers.add(id);
                 }
             });
         }
     }
 
-    private static void leaves(long wallNs, Server server) {
+    private static void recordDeparture(long wallNs, ServerNotes server) {
         if (server.listed) {
-            add(server.falls, wallNs);
+            addTime(server.falls, wallNs);
         }
         server.listed = false;
-        server.drainingSince = 0;
+        server.drainingSinceNs = 0;
     }
 
-    private static void add(List<Long> times, long at) {
-        times.add(at);
+    private static void addTime(List<Long> times, long timeNs) {
+        times.add(timeNs);
         if (times.size() > Facts.OfServer.TIMES) {
             times.remove(0);
         }
     }
 
-    private Slice slice(int number) {
-        return slices.computeIfAbsent(number, n -> new Slice());
+    private SliceNotes notesOf(int number) {
+        return slices.computeIfAbsent(number, n -> new SliceNotes());
     }
 
+    /** Takes note of lines that the coordinator ordered. */
     public void ordered(Collection<Order> orders) {
         for (Order order : orders) {
             if (order instanceof Order.SetLine o) {
-                Slice slice = slice(o.table());
+                SliceNotes slice = notesOf(o.table());
                 slice.lines.compute(o.server(), (s, was) -> o.weight() > 0 ? o.weight() : null);
                 slice.version++;
                 dirtySlices.add(o.table());
@@ -148,45 +154,54 @@
         }
     }
 
-    /** What has changed since the last call, and the coordinator itself; {@code known} is the decisions' own word. */
+    /**
+     * Returns the facts changed since the last call, and the coordinator's own fact.
+     *
+     * @param wallNs the wall time
+     * @param runNs the same moment on the coordinator's monotonic clock
+     * @param cleanEnd whether the coordinator is shutting down in order
+     * @param known the values that the decision logic wants remembered
+     */
     public List<Facts.Fact> changed(long wallNs, long runNs, boolean cleanEnd, List<Event.Recalled> known) {
-        double[] own = new double[Event.Recall.values().length];
-        Map<String, Double> holds = new HashMap<>();
-        for (Event.Recalled each : known) {
-            if (each.server().isEmpty()) {
-                own[each.kind().ordinal()] = each.value();
-            } else if (each.kind() == Event.Recall.HOLD_NS) {
-                holds.put(each.server(), each.value());
+        double[] fleetValues = new double[Event.Recall.values().length];
+        Map<String, Double> holdNsByServer = new HashMap<>();
+        for (Event.Recalled recalled : known) {
+            if (recalled.server().isEmpty()) {
+                fleetValues[recalled.kind().ordinal()] = recalled.value();
+            } else if (recalled.kind() == Event.Recall.HOLD_NS) {
+                holdNsByServer.put(recalled.server(), recalled.value());
             }
         }
         servers.forEach((id, server) -> {
-            double hold = holds.getOrDefault(id, 0.0);
-            if (hold != server.holdNs) {
-                server.holdNs = hold;
+            double holdNs = holdNsByServer.getOrDefault(id, 0.0);
+            if (holdNs != server.holdNs) {
+                server.holdNs = holdNs;
                 dirtyServers.add(id);
             }
         });
         List<Facts.Fact> facts = new ArrayList<>(dirtyServers.size() + dirtySlices.size() + 1);
         for (String id : dirtyServers) {
-            Server s = servers.get(id);
+            ServerNotes server = servers.get(id);
             facts.add(new Facts.OfServer(
                     id,
                     wallNs,
-                    s.drainingSince,
-                    List.copyOf(s.starts),
-                    List.copyOf(s.falls),
-                    List.copyOf(s.returns),
-                    s.drainingSince > 0 ? "draining" : !s.listed ? "gone" : s.holdNs > 0 ? "held" : "well",
-                    (long) s.holdNs,
-                    s.size,
-                    s.took,
-                    s.load));
+                    server.drainingSinceNs,
+                    List.copyOf(server.starts),
+                    List.copyOf(server.falls),
+                    List.copyOf(server.returns),
+                    server.drainingSinceNs > 0
+                            ? "draining"
+                            : !server.listed ? "gone" : server.holdNs > 0 ? "held" : "well",
+                    (long) server.holdNs,
+                    server.size,
+                    server.tookNs,
+                    server.load));
         }
         for (int number : dirtySlices) {
-            Slice s = slices.get(number);
-            List<Facts.Line> lines = new ArrayList<>(s.lines.size());
-            s.lines.forEach((server, weight) -> lines.add(new Facts.Line(server, weight)));
-            facts.add(new Facts.OfSlice(number, wallNs, lines, s.demand, s.version));
+            SliceNotes slice = slices.get(number);
+            List<Facts.Line> lines = new ArrayList<>(slice.lines.size());
+            slice.lines.forEach((server, weight) -> lines.add(new Facts.Line(server, weight)));
+            facts.add(new Facts.OfSlice(number, wallNs, lines, slice.demand, slice.version));
         }
         dirtyServers.clear();
         dirtySlices.clear();
@@ -196,10 +211,10 @@
                 incarnation,
                 cleanEnd,
                 List.copyOf(charges),
-                own[Event.Recall.CALM_LOAD.ordinal()],
-                own[Event.Recall.CALM_WHOLE.ordinal()],
-                own[Event.Recall.SHED.ordinal()],
-                own[Event.Recall.STRAINED.ordinal()] > 0));
+                fleetValues[Event.Recall.CALM_LOAD.ordinal()],
+                fleetValues[Event.Recall.CALM_WHOLE.ordinal()],
+                fleetValues[Event.Recall.SHED.ordinal()],
+                fleetValues[Event.Recall.STRAINED.ordinal()] > 0));
         return facts;
     }
 }
--- a/src/main/java/puffinbarrow/memory/RealDisk.java
+++ b/src/main/java/puffinbarrow/memory/RealDisk.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** A folder of the file system. */
+/** A directory of the file system, locked through the file {@code lock} in it. */
 final class RealDisk implements Disk {
     private final Path folder;
     private FileChannel lockFile;
@@ -88,7 +88,7 @@
         lockFile = FileChannel.open(folder.resolve("lock"), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         try {
             lock = lockFile.tryLock();
-        } catch (OverlappingFileLockException here) {
+        } catch (OverlappingFileLockException heldInThisProcess) {
             lock = null;
         }
         if (lock == null) {
--- a/src/main/java/puffinbarrow/memory/Recall.java
+++ b/src/main/java/puffinbarrow/memory/Recall.java
@@ -8,19 +8,20 @@
 import puffinbarrow.control.Event;
 
 /**
- * What remembered facts are still worth: for each kind a half-life, and for each fact a confidence by its age. The
- * present list wins over memory at once. Pure: facts, list and time in; events for the decisions and words out.
+ * Turns the facts of a previous run into events for the decision logic, each with a confidence that decays with the fact's
+ * age by a half-life per kind. The current server list takes precedence over remembered facts. Stateless; called once,
+ * when the first list arrives.
  */
 public final class Recall {
     private static final long SECOND = 1_000_000_000L;
     private static final long MINUTE = 60 * SECOND;
 
     /**
-     * Half-lives. Flapping comes of a host's or network's fault, which lasts minutes and seldom hours. A hold answers
-     * a trouble of half a minute. Overload rises and falls in seconds. What a fleet bears changes with a release, say
-     * once a day.
+     * Half-lives in nanoseconds. Flapping is caused by faults of a host or network, which last minutes and seldom hours.
+     * A hold responds to a disturbance of about half a minute. Overload rises and falls within seconds. The load that a
+     * fleet can bear changes with a release, about once a day.
      */
-    private static final Map<Event.Recall, Long> HALF_LIFE = new EnumMap<>(Map.of(
+    private static final Map<Event.Recall, Long> HALF_LIVES_NS = new EnumMap<>(Map.of(
             Event.Recall.FLAPPING,
             10 * MINUTE,
             Event.Recall.HOLD_NS,
@@ -33,88 +34,98 @@
             24 * 60 * MINUTE,
             Event.Recall.CALM_WHOLE,
             24 * 60 * MINUTE));
-    /** Under this a fact says nothing; the half-lives above reach it after some four of them. */
-    private static final double WORTHLESS = 0.05;
-    /** Clocks of one machine do not differ; a little is left for steps that keep time right. */
-    private static final long FUTURE_NS = 5 * SECOND;
-    /** Far ahead: no coordinator is down for longer than this and finds the fleet it left. */
-    private static final long STALE_NS = 7 * 24 * 60 * MINUTE;
+    /** Facts with a lower confidence are ignored; it is reached after somewhat more than four half-lives. */
+    private static final double MIN_CONFIDENCE = 0.05;
+    /** How far a fact may lie in the future: the same machine wrote it, but its clock may have been stepped back. */
+    private static final long MAX_CLOCK_STEP_NS = 5 * SECOND;
+    /** Older memory is ignored: after a longer downtime the fleet is a different one. */
+    private static final long MAX_AGE_NS = 7 * 24 * 60 * MINUTE;
 
     private Recall() {}
 
-    /** @param words gets a line for each thing not believed, for the log */
-    public static List<Event.Recalled> of(Facts.Image image, List<Event.Entry> list, long nowNs, List<String> words) {
+    /**
+     * Returns the events for the remembered facts that still count.
+     *
+     * @param list the current server list
+     * @param nowNs the wall time
+     * @param messages receives lines for the log: the memory's age, or why it is ignored
+     */
+    public static List<Event.Recalled> of(
+            Facts.Image image, List<Event.Entry> list, long nowNs, List<String> messages) {
         List<Event.Recalled> events = new ArrayList<>();
         Facts.OfSelf self = image.self();
         if (self == null) {
             return events;
         }
-        long away = nowNs - self.atNs();
-        if (away < -FUTURE_NS) {
-            words.add("memory is from " + -away / SECOND
-                    + " s ahead: the clock went back or the file is foreign; nothing" + " is recalled");
+        long ageNs = nowNs - self.atNs();
+        if (ageNs < -MAX_CLOCK_STEP_NS) {
+            messages.add("memory is from " + -ageNs / SECOND
+                    + " s ahead: the clock was set back or the files come from another machine; ignored");
             return events;
         }
-        if (away > STALE_NS) {
-            words.add("memory is " + away / (24 * 60 * MINUTE) + " days old; nothing is recalled");
+        if (ageNs > MAX_AGE_NS) {
+            messages.add("memory is " + ageNs / (24 * 60 * MINUTE) + " days old; ignored");
             return events;
         }
-        words.add(String.format(
+        messages.add(String.format(
                 Locale.ROOT,
-                "memory of %.1f s ago, %s end, %d facts",
-                away / 1e9,
+                "memory of %.1f s ago, %s shutdown, %d facts",
+                ageNs / 1e9,
                 self.cleanEnd() ? "clean" : "unclean",
                 image.size()));
-        add(events, Event.Recall.CALM_LOAD, "", self.calmLoad(), away);
-        add(events, Event.Recall.CALM_WHOLE, "", self.calmWhole(), away);
-        add(events, Event.Recall.SHED, "", self.shed(), away);
-        add(events, Event.Recall.STRAINED, "", self.strained() ? 1 : 0, away);
-        int unseen = 0;
+        addIfConfident(events, Event.Recall.CALM_LOAD, "", self.calmLoad(), ageNs);
+        addIfConfident(events, Event.Recall.CALM_WHOLE, "", self.calmWhole(), ageNs);
+        addIfConfident(events, Event.Recall.SHED, "", self.shed(), ageNs);
+        addIfConfident(events, Event.Recall.STRAINED, "", self.strained() ? 1 : 0, ageNs);
+        int unknown = 0;
         int restarted = 0;
         for (Event.Entry entry : list) {
             if (!(image.get("server " + entry.server()) instanceof Facts.OfServer server)) {
-                unseen++;
+                unknown++;
                 continue;
             }
-            boolean same = server.starts().isEmpty()
+            boolean sameProcess = server.starts().isEmpty()
                     || server.starts().get(server.starts().size() - 1) == entry.startedNs();
-            restarted += same ? 0 : 1;
+            restarted += sameProcess ? 0 : 1;
             if (entry.listed() != Event.Listed.READY) {
                 continue;
             }
-            flapping(events, server, same, nowNs);
-            if (same) {
-                // A new process need not have what ailed the old one.
-                add(events, Event.Recall.HOLD_NS, server.id(), server.holdNs(), nowNs - server.atNs());
+            addFlapping(events, server, sameProcess, nowNs);
+            if (sameProcess) {
+                // The cause of a hold may be gone with the old process.
+                addIfConfident(events, Event.Recall.HOLD_NS, server.id(), server.holdNs(), nowNs - server.atNs());
             }
         }
-        if (unseen + restarted > 0) {
-            words.add(unseen + " servers of the list are new to memory, " + restarted + " have restarted since");
+        if (unknown + restarted > 0) {
+            messages.add(unknown + " listed servers are not in memory, " + restarted
+                    + " have restarted since it was written");
         }
         return events;
     }
 
-    /** One fall is a release or a crash; what falls again within some minutes flaps. */
-    private static void flapping(List<Event.Recalled> events, Facts.OfServer server, boolean same, long nowNs) {
-        double falls = same ? 0 : 1;
+    /** A single fall is a release or a crash; a server that falls again within minutes is flapping. */
+    private static void addFlapping(
+            List<Event.Recalled> events, Facts.OfServer server, boolean sameProcess, long nowNs) {
+        double falls = sameProcess ? 0 : 1;
         for (long fall : server.falls()) {
-            falls += fall > nowNs + FUTURE_NS ? 0 : worth(Event.Recall.FLAPPING, nowNs - fall);
+            falls += fall > nowNs + MAX_CLOCK_STEP_NS ? 0 : confidence(Event.Recall.FLAPPING, nowNs - fall);
         }
         double confidence = Math.min(1, falls - 1);
-        if (confidence > WORTHLESS) {
+        if (confidence > MIN_CONFIDENCE) {
             events.add(new Event.Recalled(Event.Recall.FLAPPING, server.id(), falls, confidence));
         }
     }
 
-    private static void add(List<Event.Recalled> events, Event.Recall kind, String server, double value, long age) {
-        double confidence = worth(kind, age);
-        if (value > 0 && Double.isFinite(value) && confidence > WORTHLESS) {
+    private static void addIfConfident(
+            List<Event.Recalled> events, Event.Recall kind, String server, double value, long ageNs) {
+        double confidence = confidence(kind, ageNs);
+        if (value > 0 && Double.isFinite(value) && confidence > MIN_CONFIDENCE) {
             events.add(new Event.Recalled(kind, server, value, confidence));
         }
     }
 
-    /** From 1 for what is of now to a half at the half-life and so on. */
-    static double worth(Event.Recall kind, long ageNs) {
-        return Math.pow(0.5, Math.max(0, ageNs) / (double) HALF_LIFE.get(kind));
+    /** Returns the confidence in a fact: 1 at age 0, halved with every half-life. */
+    static double confidence(Event.Recall kind, long ageNs) {
+        return Math.pow(0.5, Math.max(0, ageNs) / (double) HALF_LIVES_NS.get(kind));
     }
 }
--- a/src/main/java/puffinbarrow/memory/Store.java
+++ b/src/main/java/puffinbarrow/memory/Store.java
@@ -1,29 +1,41 @@
 package puffinbarrow.memory;
 
 import java.io.IOException;
+import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.TreeMap;
 
 /**
- * A snapshot and a journal behind it, by generation. A batch is committed by one write and a force; a new generation
- * by the rename of its snapshot, which is whole and forced before. At every moment the newest whole snapshot and the
- * sound beginning of its journal are a whole state no older than the last commit acknowledged. Used by one thread.
+ * Durable storage of facts in one directory: in each generation a snapshot, and a journal of the commits after it. A
+ * batch is committed by one write and a force; a new generation by the rename of its snapshot, which is complete and
+ * forced before. At any moment the newest complete snapshot plus the valid prefix of its journal is a consistent state no
+ * older than the last acknowledged commit. Not thread-safe; {@link Keeper} uses it on its writer thread.
  */
 final class Store implements AutoCloseable {
-    /** What a start found; {@code words} says in one line each what was believed and what was not. */
-    record Opened(Facts.Image image, long sequence, boolean whole, List<String> words) {}
+    /**
+     * Contents of a directory.
+     *
+     * @param image the facts found
+     * @param sequence the number of the last commit in the image, or 0
+     * @param whole whether a complete snapshot was found
+     * @param messages one line for each file that was used or rejected
+     */
+    record Contents(Facts.Image image, long sequence, boolean whole, List<String> messages) {}
 
-    private static final String SNAPSHOT = "snapshot-", JOURNAL = "journal-", PART = ".part";
-    private static final int KIND_SNAPSHOT = 1, KIND_JOURNAL = 2;
-    /** Facts in one batch of a snapshot, so that its buffer stays small whatever the fleet's size. */
-    private static final int SNAPSHOT_BATCH = 4096;
-    /** Under this a new generation costs more than the journal it saves. */
-    private static final int LEAST_JOURNAL = 1 << 16;
+    private static final String SNAPSHOT = "snapshot-";
+    private static final String JOURNAL = "journal-";
+    private static final String PART = ".part";
+    private static final int KIND_SNAPSHOT = 1;
+    private static final int KIND_JOURNAL = 2;
+    /** Facts in one batch of a snapshot; keeps the buffer small for any size of the fleet. */
+    private static final int SNAPSHOT_BATCH_FACTS = 4096;
+    /** With a shorter journal, a new generation costs more than it saves. */
+    private static final int MIN_JOURNAL_BYTES = 1 << 16;
 
     private final Disk disk;
-    private final long cap;
+    private final long maxBytes;
     private final Codec codec = new Codec();
     private final Facts.Image image;
     private long generation;
@@ -31,26 +43,27 @@
     private Disk.Out journal;
     private long journalBytes;
     private long snapshotBytes;
-    private long written;
+    private long writtenBytes;
 
-    private Store(Disk disk, long cap, Facts.Image image, long generation, long sequence) {
+    private Store(Disk disk, long maxBytes, Facts.Image image, long generation, long sequence) {
         this.disk = disk;
-        this.cap = cap;
+        this.maxBytes = maxBytes;
         this.image = image;
         this.generation = generation;
         this.sequence = sequence;
     }
 
-    /** Takes the folder, reads what is there and begins a new generation with it. */
-    static Store open(Disk disk, long cap, List<String> words) throws IOException {
+    /** Locks the directory, reads its contents and starts a new generation with them. */
+    static Store open(Disk disk, long maxBytes, List<String> messages) throws IOException {
         disk.lock();
-        Opened found = read(disk);
-        words.addAll(found.words);
-        long newest = 0;
+        Contents contents = read(disk);
+        messages.addAll(contents.messages);
+        long newestGeneration = 0;
         for (String name : disk.list()) {
-            newest = Math.max(newest, Math.max(generation(name, SNAPSHOT), generation(name, JOURNAL)));
+            newestGeneration =
+                    Math.max(newestGeneration, Math.max(generation(name, SNAPSHOT), generation(name, JOURNAL)));
         }
-        Store store = new Store(disk, cap, found.image, newest, found.sequence);
+        Store store = new Store(disk, maxBytes, contents.image, newestGeneration, contents.sequence);
         store.compact();
         return store;
     }
@@ -60,9 +73,9 @@
         return digits.matches("[0-9]{1,18}") ? Long.parseLong(digits) : 0;
     }
 
-    /** Reads without owning or writing: what a live or dead folder holds. */
-    static Opened read(Disk disk) throws IOException {
-        List<String> words = new ArrayList<>();
+    /** Reads the directory without locking or writing; another process may be using it. */
+    static Contents read(Disk disk) throws IOException {
+        List<String> messages = new ArrayList<>();
         TreeMap<Long, String> snapshots = new TreeMap<>();
         List<String> names = disk.list();
         for (String name : names) {
@@ -73,86 +86,89 @@
         for (String name : snapshots.descendingMap().values()) {
             Facts.Image image = new Facts.Image();
             try {
-                long sequence = snapshot(disk.read(name), image);
+                long sequence = readSnapshot(disk.read(name), image);
                 long generation = generation(name, SNAPSHOT);
                 if (names.contains(JOURNAL + generation)) {
-                    sequence = journal(disk.read(JOURNAL + generation), generation, image, sequence, words);
+                    sequence = readJournal(disk.read(JOURNAL + generation), generation, image, sequence, messages);
                 }
-                words.add(name + ": whole, " + image.size() + " facts up to commit " + sequence);
-                return new Opened(image, sequence, true, words);
-            } catch (Codec.Damaged damaged) {
-                words.add(name + ": not believed, " + damaged.getMessage());
+                messages.add(name + ": complete, " + image.size() + " facts up to commit " + sequence);
+                return new Contents(image, sequence, true, messages);
+            } catch (Codec.CorruptException corrupt) {
+                messages.add(name + ": rejected, " + corrupt.getMessage());
             } catch (IOException unreadable) {
-                words.add(name + ": unreadable, " + unreadable.getMessage());
+                messages.add(name + ": unreadable, " + unreadable.getMessage());
             }
         }
-        words.add(snapshots.isEmpty() ? "no memory here" : "nothing is believed");
-        return new Opened(new Facts.Image(), 0, false, words);
+        messages.add(snapshots.isEmpty() ? "no snapshot found" : "no valid snapshot found");
+        return new Contents(new Facts.Image(), 0, false, messages);
     }
 
-    private static long snapshot(ByteBuffer in, Facts.Image image) throws Codec.Damaged {
-        Codec.Header header = Codec.header(in);
+    private static long readSnapshot(ByteBuffer in, Facts.Image image) throws Codec.CorruptException {
+        Codec.Header header = Codec.readHeader(in);
         if (header.kind() != KIND_SNAPSHOT) {
-            throw new Codec.Damaged("no snapshot");
+            throw new Codec.CorruptException("not a snapshot file");
         }
-        long[] end = {-1};
+        long[] statedSize = {-1};
         long sequence = 0;
-        while (in.hasRemaining() && end[0] < 0) {
-            sequence = Codec.batch(in, header.version(), new Codec.Into() {
+        while (in.hasRemaining() && statedSize[0] < 0) {
+            sequence = Codec.readBatch(in, header.version(), new Codec.BatchVisitor() {
                 @Override
                 public void fact(Facts.Fact fact) {
                     image.put(fact);
                 }
 
                 @Override
-                public void gone(String key) {
+                public void removed(String key) {
                     image.remove(key);
                 }
 
                 @Override
                 public void end(long facts) {
-                    end[0] = facts;
+                    statedSize[0] = facts;
                 }
             });
         }
-        if (end[0] != image.size()) {
-            throw new Codec.Damaged(
-                    end[0] < 0
-                            ? "it ends before its last batch"
-                            : "it says " + end[0] + " facts and holds " + image.size());
+        if (statedSize[0] != image.size()) {
+            throw new Codec.CorruptException(
+                    statedSize[0] < 0
+                            ? "truncated before its last batch"
+                            : "states " + statedSize[0] + " facts but holds " + image.size());
         }
         return sequence;
     }
 
-    /** Takes what is sound from the beginning; behind a damaged batch nothing is believed, as an order may be missing. */
-    private static long journal(ByteBuffer in, long generation, Facts.Image image, long from, List<String> words) {
-        long sequence = from;
+    /** Applies the valid prefix of a journal; batches after a corrupt one are ignored, as a change may be missing. */
+    private static long readJournal(
+            ByteBuffer in, long generation, Facts.Image image, long snapshotSequence, List<String> messages) {
+        long sequence = snapshotSequence;
         try {
-            Codec.Header header = Codec.header(in);
+            Codec.Header header = Codec.readHeader(in);
             if (header.kind() != KIND_JOURNAL || header.generation() != generation) {
-                throw new Codec.Damaged("the journal of another snapshot");
+                throw new Codec.CorruptException("journal of another snapshot");
             }
             while (in.hasRemaining()) {
-                ByteBuffer ahead = in.duplicate();
-                ahead.getInt();
-                if (in.remaining() >= Codec.BATCH_HEADER && ahead.getInt() >= 0 && ahead.getLong() != sequence + 1) {
-                    throw new Codec.Damaged("commit " + (sequence + 1) + " is missing");
+                ByteBuffer lookahead = in.duplicate();
+                lookahead.getInt();
+                if (in.remaining() >= Codec.BATCH_HEADER
+                        && lookahead.getInt() >= 0
+                        && lookahead.getLong() != sequence + 1) {
+                    throw new Codec.CorruptException("commit " + (sequence + 1) + " is missing");
                 }
-                sequence = Codec.batch(in, header.version(), new Codec.Into() {
+                sequence = Codec.readBatch(in, header.version(), new Codec.BatchVisitor() {
                     @Override
                     public void fact(Facts.Fact fact) {
                         image.put(fact);
                     }
 
                     @Override
-                    public void gone(String key) {
+                    public void removed(String key) {
                         image.remove(key);
                     }
                 });
             }
-        } catch (Codec.Damaged | java.nio.BufferUnderflowException damaged) {
-            words.add(JOURNAL + generation + ": believed up to commit " + sequence + ", then "
-                    + (damaged.getMessage() == null ? "it is cut" : damaged.getMessage()));
+        } catch (Codec.CorruptException | BufferUnderflowException corrupt) {
+            messages.add(JOURNAL + generation + ": valid up to commit " + sequence + "; "
+                    + (corrupt.getMessage() == null ? "truncated" : corrupt.getMessage()));
         }
         return sequence;
     }
@@ -166,35 +182,35 @@
     }
 
     long writtenBytes() {
-        return written;
+        return writtenBytes;
     }
 
-    /** Commits the facts as one: they are all there after a crash, or none of them. */
-    long commit(List<Facts.Fact> facts, List<String> gone) throws IOException {
-        if (journalBytes > Math.max(LEAST_JOURNAL, Math.min(cap / 2, 2 * snapshotBytes))) {
-            // A new snapshot holds what is committed so far; this batch is the first behind it. Before the batch is
-            // laid out: both are written from the one buffer.
+    /** Commits the changes atomically: after a crash all of them are there, or none. Returns the commit's number. */
+    long commit(List<Facts.Fact> facts, List<String> removed) throws IOException {
+        if (journalBytes > Math.max(MIN_JOURNAL_BYTES, Math.min(maxBytes / 2, 2 * snapshotBytes))) {
+            // The new snapshot holds all earlier commits, and this batch is the first after it. This must precede the
+            // encoding of the batch, because both use the same buffer.
             compact();
         }
-        codec.begin();
+        codec.beginBatch();
         facts.forEach(codec::add);
-        gone.forEach(codec::addGone);
-        ByteBuffer batch = codec.end(sequence + 1);
-        if (snapshotBytes + journalBytes + batch.remaining() > cap) {
-            throw new IOException("memory would take over " + cap + " bytes");
+        removed.forEach(codec::addRemoved);
+        ByteBuffer batch = codec.endBatch(sequence + 1);
+        if (snapshotBytes + journalBytes + batch.remaining() > maxBytes) {
+            throw new IOException("memory would exceed its limit of " + maxBytes + " bytes");
         }
         int length = batch.remaining();
         journal.write(batch);
         journal.force();
         sequence++;
         journalBytes += length;
-        written += length;
+        writtenBytes += length;
         facts.forEach(image::put);
-        gone.forEach(image::remove);
+        removed.forEach(image::remove);
         return sequence;
     }
 
-    /** Writes a new generation: a whole snapshot under another name, its journal, then the one rename that counts. */
+    /** Starts a new generation: writes a snapshot under a temporary name and its journal, then renames the snapshot. */
     void compact() throws IOException {
         if (journal != null) {
             journal.close();
@@ -206,35 +222,36 @@
         try (Disk.Out out = disk.create(name + PART)) {
             out.write(Codec.header(Codec.VERSION, KIND_SNAPSHOT, next));
             List<Facts.Fact> all = image.all();
-            for (int from = 0; from <= all.size(); from += SNAPSHOT_BATCH) {
-                codec.begin();
-                all.subList(from, Math.min(all.size(), from + SNAPSHOT_BATCH)).forEach(codec::add);
-                if (from + SNAPSHOT_BATCH > all.size()) {
+            for (int from = 0; from <= all.size(); from += SNAPSHOT_BATCH_FACTS) {
+                codec.beginBatch();
+                all.subList(from, Math.min(all.size(), from + SNAPSHOT_BATCH_FACTS))
+                        .forEach(codec::add);
+                if (from + SNAPSHOT_BATCH_FACTS > all.size()) {
                     codec.addEnd(all.size());
                 }
-                ByteBuffer batch = codec.end(sequence);
+                ByteBuffer batch = codec.endBatch(sequence);
                 bytes += batch.remaining();
-                if (bytes > cap) {
-                    throw new IOException("memory would take over " + cap + " bytes");
+                if (bytes > maxBytes) {
+                    throw new IOException("memory would exceed its limit of " + maxBytes + " bytes");
                 }
                 out.write(batch);
             }
             out.force();
         }
-        Disk.Out fresh = disk.create(JOURNAL + next);
-        fresh.write(Codec.header(Codec.VERSION, KIND_JOURNAL, next));
-        fresh.force();
+        Disk.Out newJournal = disk.create(JOURNAL + next);
+        newJournal.write(Codec.header(Codec.VERSION, KIND_JOURNAL, next));
+        newJournal.force();
         disk.rename(name + PART, name);
         disk.forceFolder();
-        journal = fresh;
+        journal = newJournal;
         journalBytes = Codec.FILE_HEADER;
         snapshotBytes = bytes;
-        written += bytes;
+        writtenBytes += bytes;
         generation = next;
-        // Only now is the former generation not needed any more.
+        // Only now is the former generation no longer needed.
         for (String old : disk.list()) {
-            long of = Math.max(generation(old, SNAPSHOT), generation(old, JOURNAL));
-            if (of > 0 && of < next) {
+            long oldGeneration = Math.max(generation(old, SNAPSHOT), generation(old, JOURNAL));
+            if (oldGeneration > 0 && oldGeneration < next) {
                 disk.delete(old);
             }
         }
--- a/src/test/java/puffinbarrow/memory/RecallTest.java
+++ b/src/test/java/puffinbarrow/memory/RecallTest.java
@@ -10,16 +10,19 @@
 import puffinbarrow.control.Event.Recall;
 import puffinbarrow.control.Order;
 
+/** Tests which remembered facts still count, and the facts that {@link Notes} derives. */
 class RecallTest {
-    private static final long SECOND = 1_000_000_000L, MINUTE = 60 * SECOND, NOW = 1_000_000 * SECOND;
+    private static final long SECOND = 1_000_000_000L;
+    private static final long MINUTE = 60 * SECOND;
+    private static final long NOW = 1_000_000 * SECOND;
     private final Facts.Image image = new Facts.Image();
-    private final List<String> words = new ArrayList<>();
+    private final List<String> messages = new ArrayList<>();
 
-    private void self(long ago, double calm, double shed, boolean strained) {
+    private void putSelf(long ago, double calm, double shed, boolean strained) {
         image.put(new Facts.OfSelf(NOW - ago, 0, 1, false, List.of(), calm, calm, shed, strained));
     }
 
-    private void server(String id, long ago, long started, long holdNs, long... fellAgo) {
+    private void putServer(String id, long ago, long started, long holdNs, long... fellAgo) {
         List<Long> falls = new ArrayList<>();
         for (long fell : fellAgo) {
             falls.add(NOW - fell);
@@ -32,7 +35,7 @@
     }
 
     private double confidence(Recall kind, String server, Event.Entry... list) {
-        return puffinbarrow.memory.Recall.of(image, List.of(list), NOW, words).stream()
+        return puffinbarrow.memory.Recall.of(image, List.of(list), NOW, messages).stream()
                 .filter(e -> e.kind() == kind && e.server().equals(server))
                 .mapToDouble(Event.Recalled::confidence)
                 .findFirst()
@@ -40,50 +43,50 @@
     }
 
     @Test
-    void eachKindIsWorthLessTheOlderItIsByItsOwnHalfLife() {
-        self(10 * SECOND, 3, 0.5, true);
+    void confidenceDecaysByTheHalfLifeOfTheKind() {
+        putSelf(10 * SECOND, 3, 0.5, true);
         assertEquals(0.5, confidence(Recall.SHED, ""), 1e-9);
         assertEquals(0.5, confidence(Recall.STRAINED, ""), 1e-9);
         assertTrue(confidence(Recall.CALM_LOAD, "") > 0.999);
-        self(2 * MINUTE, 3, 0.5, true);
+        putSelf(2 * MINUTE, 3, 0.5, true);
         assertEquals(0, confidence(Recall.SHED, ""));
     }
 
     @Test
-    void oneFallIsAReleaseSeveralAreFlappingUntilTheyAreOld() {
-        self(SECOND, 0, 0, false);
-        server("once", SECOND, 5, 0, MINUTE);
-        server("often", SECOND, 5, 0, MINUTE, 2 * MINUTE, 3 * MINUTE);
-        server("longAgo", SECOND, 5, 0, 60 * MINUTE, 61 * MINUTE, 62 * MINUTE);
+    void severalRecentFallsAreFlappingAndOneIsNot() {
+        putSelf(SECOND, 0, 0, false);
+        putServer("once", SECOND, 5, 0, MINUTE);
+        putServer("often", SECOND, 5, 0, MINUTE, 2 * MINUTE, 3 * MINUTE);
+        putServer("longAgo", SECOND, 5, 0, 60 * MINUTE, 61 * MINUTE, 62 * MINUTE);
         assertEquals(0, confidence(Recall.FLAPPING, "once", listed("once", 5)));
         assertTrue(confidence(Recall.FLAPPING, "often", listed("often", 5)) > 0.9);
         assertEquals(0, confidence(Recall.FLAPPING, "longAgo", listed("longAgo", 5)));
     }
 
     @Test
-    void thePresentListWinsOverMemory() {
-        self(SECOND, 0, 0, false);
-        server("a", SECOND, 5, 12 * SECOND);
+    void currentListTakesPrecedenceOverMemory() {
+        putSelf(SECOND, 0, 0, false);
+        putServer("a", SECOND, 5, 12 * SECOND);
         assertTrue(confidence(Recall.HOLD_NS, "a", listed("a", 5)) > 0.9);
-        assertEquals(0, confidence(Recall.HOLD_NS, "a", listed("a", 6)), "a new start need not be ill");
-        assertEquals(0, confidence(Recall.HOLD_NS, "a", listed("b", 5)), "one that is not listed is forgotten");
+        assertEquals(0, confidence(Recall.HOLD_NS, "a", listed("a", 6)), "a restarted server is not held");
+        assertEquals(0, confidence(Recall.HOLD_NS, "a", listed("b", 5)), "a server that is not listed is ignored");
         assertEquals(0, confidence(Recall.HOLD_NS, "a", new Event.Entry("a", 0, 0, 0, Event.Listed.DRAINING, 1, 5)));
     }
 
     @Test
-    void aWeekOldAFutureAndAnEmptyMemoryGiveNothingAndSaySo() {
-        server("a", SECOND, 5, 12 * SECOND, MINUTE, MINUTE);
-        assertEquals(List.of(), puffinbarrow.memory.Recall.of(image, List.of(listed("a", 5)), NOW, words));
-        self(8 * 24 * 60 * MINUTE, 3, 1, true);
-        assertEquals(List.of(), puffinbarrow.memory.Recall.of(image, List.of(listed("a", 5)), NOW, words));
-        assertTrue(words.toString().contains("8 days old"));
-        self(-3600 * SECOND, 3, 1, true);
-        assertEquals(List.of(), puffinbarrow.memory.Recall.of(image, List.of(listed("a", 5)), NOW, words));
-        assertTrue(words.toString().contains("3600 s ahead"));
+    void oldFutureAndEmptyMemoryAreIgnored() {
+        putServer("a", SECOND, 5, 12 * SECOND, MINUTE, MINUTE);
+        assertEquals(List.of(), puffinbarrow.memory.Recall.of(image, List.of(listed("a", 5)), NOW, messages));
+        putSelf(8 * 24 * 60 * MINUTE, 3, 1, true);
+        assertEquals(List.of(), puffinbarrow.memory.Recall.of(image, List.of(listed("a", 5)), NOW, messages));
+        assertTrue(messages.toString().contains("8 days old"));
+        putSelf(-3600 * SECOND, 3, 1, true);
+        assertEquals(List.of(), puffinbarrow.memory.Recall.of(image, List.of(listed("a", 5)), NOW, messages));
+        assertTrue(messages.toString().contains("3600 s ahead"));
     }
 
     @Test
-    void notesMakeFactsOfWhatWasHeardAndGoOnAfterARestart() {
+    void notesDeriveFactsFromEventsAndContinueAfterARestart() {
         Notes notes = new Notes(1);
         notes.heard(
                 NOW,
@@ -112,7 +115,7 @@
         Facts.OfServer a = (Facts.OfServer) image.get("server a");
         Facts.OfServer b = (Facts.OfServer) image.get("server b");
         assertEquals(List.of(5L, 9L, 11L), a.starts());
-        assertEquals(3, a.falls().size(), "gone once, two new starts while it was thought to run");
+        assertEquals(3, a.falls().size(), "removed once, restarted twice while listed");
         assertEquals(6, b.holdNs());
         assertEquals("held", b.standing());
         assertEquals(List.of(new Facts.Line("b", 1)), ((Facts.OfSlice) image.get("slice 3")).lines());
--- a/src/test/java/puffinbarrow/memory/SimDisk.java
+++ b/src/test/java/puffinbarrow/memory/SimDisk.java
@@ -6,25 +6,26 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.TreeMap;
+import java.util.TreeSet;
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * A folder in memory that can lose its power at any byte of any write and at any force or rename. What was not forced
- * may be there, not there, or torn; names that were not forced may be old or new.
+ * Simulated directory whose power can fail at any byte of a write and at any force, rename or delete. After that, unforced
+ * bytes may be present, missing or torn, and unforced names may be old or new.
  */
 final class SimDisk implements Disk {
     static final class PowerCut extends IOException {
         private static final long serialVersionUID = 1;
     }
 
-    private static final class Content {
+    private static final class FileContent {
         byte[] forced = new byte[0];
-        byte[] now = new byte[0];
+        byte[] current = new byte[0];
     }
 
-    private TreeMap<String, Content> names = new TreeMap<>();
-    private TreeMap<String, Content> lastingNames = new TreeMap<>();
-    /** Steps until the power goes: each byte written, each force, rename and delete is one. */
+    private TreeMap<String, FileContent> names = new TreeMap<>();
+    private TreeMap<String, FileContent> durableNames = new TreeMap<>();
+    /** Steps until the power fails. Each byte written and each create, force, rename and delete is a step. */
     long stepsLeft = Long.MAX_VALUE;
 
     long steps;
@@ -45,33 +46,33 @@
 
     @Override
     public ByteBuffer read(String name) throws IOException {
-        Content content = names.get(name);
+        FileContent content = names.get(name);
         if (content == null) {
             throw new IOException("no file " + name);
         }
-        return ByteBuffer.wrap(content.now.clone());
+        return ByteBuffer.wrap(content.current.clone());
     }
 
     @Override
     public Out create(String name) throws IOException {
         step(1);
-        Content content = new Content();
+        FileContent content = new FileContent();
         names.put(name, content);
         return new Out() {
             @Override
             public void write(ByteBuffer bytes) throws IOException {
-                int some = (int) Math.min(bytes.remaining(), Math.max(0, stepsLeft));
-                int before = content.now.length;
-                content.now = Arrays.copyOf(content.now, before + some);
-                int whole = bytes.remaining();
-                bytes.get(content.now, before, some);
-                step(whole);
+                int writable = (int) Math.min(bytes.remaining(), Math.max(0, stepsLeft));
+                int before = content.current.length;
+                content.current = Arrays.copyOf(content.current, before + writable);
+                int requested = bytes.remaining();
+                bytes.get(content.current, before, writable);
+                step(requested);
             }
 
             @Override
             public void force() throws IOException {
                 step(1);
-                content.forced = content.now.clone();
+                content.forced = content.current.clone();
             }
 
             @Override
@@ -94,7 +95,7 @@
     @Override
     public void forceFolder() throws IOException {
         step(1);
-        lastingNames = new TreeMap<>(names);
+        durableNames = new TreeMap<>(names);
     }
 
     @Override
@@ -110,51 +111,52 @@
         locked = false;
     }
 
-    /** What is there after the power came back: unforced bytes dropped, torn or damaged, unforced names old or new. */
-    SimDisk afterPowerCut(UniformRandomProvider chance) {
+    /** Returns the directory after power is restored: unforced bytes lost, torn or zeroed, unforced names old or new. */
+    SimDisk afterPowerCut(UniformRandomProvider random) {
         SimDisk after = new SimDisk();
-        TreeMap<String, Content> survive = new TreeMap<>();
-        // Names change one by one: each may have reached the disk or not. A name that was forced stays unless its
-        // removal or replacement has.
-        java.util.TreeSet<String> all = new java.util.TreeSet<>(names.keySet());
-        all.addAll(lastingNames.keySet());
+        TreeMap<String, FileContent> surviving = new TreeMap<>();
+        // Name changes are independent: each may have reached the disk or not. A forced name stays unless its
+        // removal or replacement reached the disk.
+        TreeSet<String> all = new TreeSet<>(names.keySet());
+        all.addAll(durableNames.keySet());
         for (String name : all) {
-            Content before = lastingNames.get(name);
-            Content now = names.get(name);
-            Content chosen = before == now || chance.nextBoolean() ? now : before;
+            FileContent before = durableNames.get(name);
+            FileContent current = names.get(name);
+            FileContent chosen = before == current || random.nextBoolean() ? current : before;
             if (chosen != null) {
-                survive.put(name, torn(chosen, chance));
+                surviving.put(name, torn(chosen, random));
             }
         }
-        after.names = survive;
-        after.lastingNames = new TreeMap<>(survive);
+        after.names = surviving;
+        after.durableNames = new TreeMap<>(surviving);
         return after;
     }
 
-    private static Content torn(Content content, UniformRandomProvider chance) {
-        Content left = new Content();
-        int unforced = content.now.length - content.forced.length;
-        int keep = unforced <= 0 ? 0 : chance.nextInt(unforced + 1);
-        left.now = Arrays.copyOf(content.now, content.forced.length + keep);
-        if (keep > 0 && chance.nextBoolean()) {
-            // A sector that was not written while a later one was: zeros in the middle.
-            int from = content.forced.length + chance.nextInt(keep);
-            Arrays.fill(left.now, from, Math.min(left.now.length, from + 1 + chance.nextInt(64)), (byte) 0);
+    private static FileContent torn(FileContent content, UniformRandomProvider random) {
+        FileContent survivor = new FileContent();
+        int unforced = content.current.length - content.forced.length;
+        int keep = unforced <= 0 ? 0 : random.nextInt(unforced + 1);
+        survivor.current = Arrays.copyOf(content.current, content.forced.length + keep);
+        if (keep > 0 && random.nextBoolean()) {
+            // A sector was not written although a later one was: zeros in the middle.
+            int from = content.forced.length + random.nextInt(keep);
+            Arrays.fill(
+                    survivor.current, from, Math.min(survivor.current.length, from + 1 + random.nextInt(64)), (byte) 0);
         }
-        left.forced = left.now.clone();
-        return left;
+        survivor.forced = survivor.current.clone();
+        return survivor;
     }
 
-    /** For damage by hand. */
+    /** The current bytes of a file, for tests that corrupt them. */
     byte[] bytes(String name) {
-        return names.get(name).now;
+        return names.get(name).current;
     }
 
     void put(String name, byte[] bytes) {
-        Content content = new Content();
-        content.now = bytes;
+        FileContent content = new FileContent();
+        content.current = bytes;
         content.forced = bytes.clone();
         names.put(name, content);
-        lastingNames.put(name, content);
+        durableNames.put(name, content);
     }
 }
--- a/src/test/java/puffinbarrow/memory/StoreTest.java
+++ b/src/test/java/puffinbarrow/memory/StoreTest.java
@@ -12,15 +12,18 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
+import java.util.function.BooleanSupplier;
+import java.util.zip.CRC32C;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** Tests {@link Store}, {@link Codec} and {@link Keeper}: power cuts, corrupt files, limits, and a killed process. */
 class StoreTest {
-    private static final long CAP = 1 << 20;
+    private static final long MAX_BYTES = 1 << 20;
 
-    private static List<Facts.Fact> commit(long number) {
+    private static List<Facts.Fact> factsOfCommit(long number) {
         List<Facts.Fact> facts = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
             facts.add(new Facts.OfSlice(i, number, List.of(new Facts.Line("s" + i, 1)), number, number));
@@ -32,59 +35,60 @@
         return new Facts.OfServer(id, at, 7, List.of(1L, 2L), List.of(3L), List.of(4L), "held", 6, 1.5, 9, 0.4);
     }
 
-    private static SimDisk written(int commits) throws IOException {
+    private static SimDisk diskAfter(int commits) throws IOException {
         SimDisk disk = new SimDisk();
-        try (Store store = Store.open(disk, CAP, new ArrayList<>())) {
+        try (Store store = Store.open(disk, MAX_BYTES, new ArrayList<>())) {
             for (int i = 1; i <= commits; i++) {
-                store.commit(commit(i), List.of());
+                store.commit(factsOfCommit(i), List.of());
             }
         }
         return disk;
     }
 
     @Test
-    void whatWasCommittedIsReadAgainWithEveryField() throws IOException {
+    void committedFactsAreReadWithAllFields() throws IOException {
         SimDisk disk = new SimDisk();
         Facts.OfSelf self = new Facts.OfSelf(5, 6, 7, true, List.of(1, 2), 0.5, 0.4, 0.75, true);
-        try (Store store = Store.open(disk, CAP, new ArrayList<>())) {
+        try (Store store = Store.open(disk, MAX_BYTES, new ArrayList<>())) {
             store.commit(
                     List.of(server("a:1", 5), self, new Facts.OfSlice(3, 5, List.of(new Facts.Line("a:1", 1)), 2, 9)),
                     List.of());
             store.commit(List.of(server("b:1", 6)), List.of("slice 3"));
         }
-        Store.Opened found = Store.read(disk);
+        Store.Contents found = Store.read(disk);
         assertEquals(
                 List.of(self, server("a:1", 5), server("b:1", 6)), found.image().all());
         assertEquals(2, found.sequence());
     }
 
     @Test
-    void powerCutAnywhereLeavesAWholeStateNoOlderThanTheLastAcknowledged() throws IOException {
-        UniformRandomProvider chance = RandomSource.XO_RO_SHI_RO_128_PP.create(5);
-        // How many steps a life takes that opens, commits and compacts.
+    void powerCutAtAnyStepLeavesConsistentStateNoOlderThanLastCommit() throws IOException {
+        UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(5);
+        // Counts the steps of an uninterrupted run.
         SimDisk whole = new SimDisk();
-        life(whole, new long[1]);
+        openAndCommit(whole, new long[1]);
         long steps = whole.steps;
         int cuts = 0;
-        // Every force, rename and delete, and bytes all over: a prime stride over the steps, then the whole tail.
+        // Every one of the first 3000 steps, then every 53rd; a prime, so that cuts fall at varying offsets of the
+        // batches.
         for (long cut = 0; cut <= steps; cut += cut < 3000 ? 1 : 53) {
             SimDisk disk = new SimDisk();
             disk.stepsLeft = cut;
             long[] acknowledged = {0};
             assertThrows(SimDisk.PowerCut.class, () -> {
-                life(disk, acknowledged);
+                openAndCommit(disk, acknowledged);
                 throw new SimDisk.PowerCut();
             });
-            SimDisk after = disk.afterPowerCut(chance);
-            Store.Opened found = Store.read(after);
-            assertEquals(null, Kills.fault(found, acknowledged[0]), "cut at " + cut + ": " + found.words());
-            // And a second cut while the next life begins.
-            after.stepsLeft = chance.nextInt(3000);
-            try (Store again = Store.open(after, CAP, new ArrayList<>())) {
+            SimDisk after = disk.afterPowerCut(random);
+            Store.Contents found = Store.read(after);
+            assertEquals(null, Kills.violation(found, acknowledged[0]), "cut at " + cut + ": " + found.messages());
+            // A second cut while the store is opened again.
+            after.stepsLeft = random.nextInt(3000);
+            try (Store again = Store.open(after, MAX_BYTES, new ArrayList<>())) {
                 assertTrue(again.sequence() >= acknowledged[0]);
             } catch (SimDisk.PowerCut second) {
-                Store.Opened later = Store.read(after.afterPowerCut(chance));
-                assertEquals(null, Kills.fault(later, acknowledged[0]), "second cut after " + cut);
+                Store.Contents later = Store.read(after.afterPowerCut(random));
+                assertEquals(null, Kills.violation(later, acknowledged[0]), "second cut after the one at " + cut);
             }
             cuts++;
         }
@@ -93,11 +97,11 @@
                 whole.list().toString());
     }
 
-    private static void life(SimDisk disk, long[] acknowledged) throws IOException {
-        Store store = Store.open(disk, CAP, new ArrayList<>());
-        // Some generations by hand, then so many commits that the next comes by itself.
+    private static void openAndCommit(SimDisk disk, long[] acknowledged) throws IOException {
+        Store store = Store.open(disk, MAX_BYTES, new ArrayList<>());
+        // Two explicit compactions, then enough commits to cause another one.
         for (int i = 1; i <= 45; i++) {
-            acknowledged[0] = store.commit(commit(i), List.of());
+            acknowledged[0] = store.commit(factsOfCommit(i), List.of());
             if (i == 2 || i == 5) {
                 store.compact();
             }
@@ -105,34 +109,34 @@
     }
 
     @Test
-    void tenThousandBitFlipsNeverThrowAndNeverGiveAFactThatWasNotWritten() throws IOException {
-        SimDisk disk = written(6);
-        Set<Facts.Fact> ever = new HashSet<>();
+    void bitFlipsNeitherThrowNorYieldFactsThatWereNotWritten() throws IOException {
+        SimDisk disk = diskAfter(6);
+        Set<Facts.Fact> allWritten = new HashSet<>();
         for (int i = 1; i <= 6; i++) {
-            ever.addAll(commit(i));
+            allWritten.addAll(factsOfCommit(i));
         }
-        UniformRandomProvider chance = RandomSource.XO_RO_SHI_RO_128_PP.create(9);
+        UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(9);
         List<String> names = disk.list().stream().filter(n -> !n.equals("lock")).toList();
-        int changed = 0;
+        int detected = 0;
         for (int i = 0; i < 10_000; i++) {
-            String name = names.get(chance.nextInt(names.size()));
+            String name = names.get(random.nextInt(names.size()));
             byte[] good = disk.bytes(name);
             byte[] bad = good.clone();
-            for (int flips = 1 + chance.nextInt(3); flips > 0; flips--) {
-                bad[chance.nextInt(bad.length)] ^= (byte) (1 << chance.nextInt(8));
+            for (int flips = 1 + random.nextInt(3); flips > 0; flips--) {
+                bad[random.nextInt(bad.length)] ^= (byte) (1 << random.nextInt(8));
             }
             disk.put(name, bad);
-            Store.Opened found = Store.read(disk);
-            assertTrue(ever.containsAll(found.image().all()), "flip " + i);
-            changed += found.sequence() < 6 ? 1 : 0;
+            Store.Contents found = Store.read(disk);
+            assertTrue(allWritten.containsAll(found.image().all()), "flip " + i);
+            detected += found.sequence() < 6 ? 1 : 0;
             disk.put(name, good);
         }
-        assertTrue(changed > 9_000, "flips that were noticed: " + changed);
+        assertTrue(detected > 9_000, "detected flips: " + detected);
     }
 
     @Test
-    void behindAHoleInTheJournalNothingIsBelieved() throws IOException {
-        SimDisk disk = written(5);
+    void journalIsIgnoredAfterAMissingCommit() throws IOException {
+        SimDisk disk = diskAfter(5);
         String journal = disk.list().stream()
                 .filter(n -> n.startsWith("journal"))
                 .findFirst()
@@ -150,52 +154,53 @@
                 Codec.FILE_HEADER + first,
                 hole.length - Codec.FILE_HEADER - first);
         disk.put(journal, hole);
-        Store.Opened found = Store.read(disk);
+        Store.Contents found = Store.read(disk);
         assertEquals(1, found.sequence());
-        assertTrue(found.words().toString().contains("believed up to commit 1, then commit 2 is missing"));
+        assertTrue(found.messages().toString().contains("valid up to commit 1; commit 2 is missing"));
     }
 
     @Test
-    void anOlderVersionIsReadAndANewerOneIsNot() throws Exception {
+    void olderVersionIsReadAndNewerOneRejected() throws Exception {
         for (int version = 0; version <= 3; version++) {
             SimDisk disk = new SimDisk();
             Codec codec = new Codec();
-            codec.begin();
+            codec.beginBatch();
             codec.add(new Facts.OfSlice(1, 5, List.of(), 1, 1));
             codec.addEnd(1);
-            ByteBuffer batch = codec.end(4);
+            ByteBuffer batch = codec.endBatch(4);
             ByteBuffer file = ByteBuffer.allocate(Codec.FILE_HEADER + batch.remaining());
             file.put(Codec.header(version, 1, 1)).put(batch);
             disk.put("snapshot-1", file.array());
-            Store.Opened found = Store.read(disk);
+            Store.Contents found = Store.read(disk);
             assertEquals(version == 1 || version == 2, found.whole(), "version " + version);
-            assertTrue(found.whole() || found.words().toString().contains("version " + version + ", read are 1 to 2"));
+            assertTrue(found.whole()
+                    || found.messages().toString().contains("version " + version + ", supported are 1 to 2"));
         }
     }
 
     @Test
-    void aVersionOneServerHasNoSizeAndLoad() throws Exception {
+    void serverOfVersionOneHasDefaultSizeAndUnknownLoad() throws Exception {
         Codec codec = new Codec();
-        codec.begin();
+        codec.beginBatch();
         codec.add(server("a", 5));
-        ByteBuffer now = codec.end(1);
+        ByteBuffer now = codec.endBatch(1);
         byte[] old = new byte[now.remaining() - 16];
         now.get(old);
         ByteBuffer in = ByteBuffer.wrap(old);
         in.putInt(0, old.length - Codec.BATCH_HEADER);
-        java.util.zip.CRC32C crc = new java.util.zip.CRC32C();
+        CRC32C crc = new CRC32C();
         crc.update(old, 0, 16);
         crc.update(old, Codec.BATCH_HEADER, old.length - Codec.BATCH_HEADER);
         in.putInt(16, (int) crc.getValue());
         List<Facts.Fact> read = new ArrayList<>();
-        Codec.batch(in, 1, new Codec.Into() {
+        Codec.readBatch(in, 1, new Codec.BatchVisitor() {
             @Override
             public void fact(Facts.Fact fact) {
                 read.add(fact);
             }
 
             @Override
-            public void gone(String key) {}
+            public void removed(String key) {}
         });
         Facts.OfServer found = (Facts.OfServer) read.get(0);
         assertEquals(1, found.size());
@@ -204,7 +209,7 @@
     }
 
     @Test
-    void overItsCapItRefusesAndWhatIsThereStays() throws IOException {
+    void commitAboveTheSizeLimitIsRefusedAndEarlierOnesStay() throws IOException {
         SimDisk disk = new SimDisk();
         Store store = Store.open(disk, 4096, new ArrayList<>());
         long last = store.commit(List.of(server("a", 1)), List.of());
@@ -217,60 +222,61 @@
     }
 
     @Test
-    void twoOwnersOfOneFolderAreOneTooMany(@TempDir Path folder) throws IOException {
-        List<String> words = new ArrayList<>();
-        try (Store store = Store.open(new RealDisk(folder), CAP, words)) {
-            store.commit(commit(1), List.of());
-            IOException second = assertThrows(IOException.class, () -> Store.open(new RealDisk(folder), CAP, words));
+    void folderCanBeOpenedByOneStoreAtATime(@TempDir Path folder) throws IOException {
+        List<String> messages = new ArrayList<>();
+        try (Store store = Store.open(new RealDisk(folder), MAX_BYTES, messages)) {
+            store.commit(factsOfCommit(1), List.of());
+            IOException second =
+                    assertThrows(IOException.class, () -> Store.open(new RealDisk(folder), MAX_BYTES, messages));
             assertTrue(second.getMessage().contains("another coordinator"));
             assertEquals(1, Inspect.look(folder).commit());
         }
-        try (Store store = Store.open(new RealDisk(folder), CAP, words)) {
+        try (Store store = Store.open(new RealDisk(folder), MAX_BYTES, messages)) {
             assertEquals(1, store.sequence());
         }
     }
 
     @Test
-    void aVanishedFolderEndsKeepingAndItsReturnBeginsItAgain(@TempDir Path parent) throws Exception {
+    void writingStopsWhenTheFolderIsRemovedAndResumesWhenItCanBeCreated(@TempDir Path parent) throws Exception {
         Path folder = parent.resolve("memory");
-        Keeper keeper = Keeper.open(folder, CAP, 100);
-        keeper.offer(commit(1));
-        until(() -> keeper.commits() == 1);
+        Keeper keeper = Keeper.open(folder, MAX_BYTES, 100);
+        keeper.offer(factsOfCommit(1));
+        await(() -> keeper.commits() == 1);
         for (String name : new RealDisk(folder).list()) {
             Files.delete(folder.resolve(name));
         }
         Files.delete(folder);
         Files.writeString(folder, "in the way");
-        keeper.offer(commit(2));
-        until(() -> !keeper.well());
-        keeper.offer(commit(3));
+        keeper.offer(factsOfCommit(2));
+        await(() -> !keeper.well());
+        keeper.offer(factsOfCommit(3));
         Files.delete(folder);
-        until(keeper::well);
-        until(() -> keeper.commits() == 2);
+        await(keeper::well);
+        await(() -> keeper.commits() == 2);
         keeper.close();
         assertEquals(40, Inspect.look(folder).image().size());
         assertTrue(Inspect.look(folder).image().all().stream().allMatch(f -> f.atNs() == 3));
     }
 
     @Test
-    void newKeysOverTheCapAreSkippedAndCountedWhileKnownOnesAreReplaced(@TempDir Path parent) throws Exception {
+    void newKeysAboveTheLimitAreDroppedAndCounted(@TempDir Path parent) throws Exception {
         Path blocked = Files.writeString(parent.resolve("file"), "no folder");
-        Keeper keeper = Keeper.open(blocked, CAP, 40);
-        keeper.offer(commit(1));
-        keeper.offer(commit(2));
+        Keeper keeper = Keeper.open(blocked, MAX_BYTES, 40);
+        keeper.offer(factsOfCommit(1));
+        keeper.offer(factsOfCommit(2));
         keeper.offer(List.of(server("one too many", 1)));
         assertTrue(keeper.skipped() >= 1 && !keeper.well() && keeper.failures() >= 1);
         keeper.kill();
     }
 
-    private static void until(java.util.function.BooleanSupplier done) throws InterruptedException {
-        for (long end = System.nanoTime() + 20_000_000_000L; !done.getAsBoolean(); Thread.sleep(5)) {
-            assertTrue(System.nanoTime() < end, "waited in vain");
+    private static void await(BooleanSupplier condition) throws InterruptedException {
+        for (long end = System.nanoTime() + 20_000_000_000L; !condition.getAsBoolean(); Thread.sleep(5)) {
+            assertTrue(System.nanoTime() < end, "condition not met within 20 s");
         }
     }
 
     @Test
-    void aProcessKilledWhileItWritesIsFoundWholeAtEveryStart(@TempDir Path folder) throws Exception {
+    void killedProcessLeavesConsistentStateInEveryRound(@TempDir Path folder) throws Exception {
         List<String> child = List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:TieredStopAtLevel=1",
