--- a/src/bench/java/puffinbarrow/memory/MemoryBench.java
+++ b/src/bench/java/puffinbarrow/memory/MemoryBench.java
@@ -27,8 +27,8 @@
 import puffinbarrow.control.Order;
 
 /**
- * Measures the cost of memory: the hand-off on the decision thread, a commit, and a start. Commit and start are compared
- * with SQLite, the start also with CBOR.
+ * Measures the cost of memory: the hand-off on the decision thread, a commit, and a start. Commit and start are
+ * compared with SQLite, the start also with CBOR.
  */
 public final class MemoryBench {
     private static final long SECOND = 1_000_000_000L;
@@ -143,7 +143,10 @@
         }
     }
 
-    /** Measures the same commits of 80 servers and 30 slices, each forced, with the journal and with SQLite (WAL, full sync). */
+    /**
+     * Measures the same commits of 80 servers and 30 slices, each forced, with the journal and with SQLite (WAL, full
+     * sync).
+     */
     private static void benchCommits(Path folder) throws Exception {
         int count = 300;
         for (int turn = 0; turn < 2; turn++) {
@@ -198,7 +201,10 @@
         db.commit();
     }
 
-    /** Measures a start with 10,000 servers and 100,000 slices from the store, from a CBOR file (Jackson), and from SQLite. */
+    /**
+     * Measures a start with 10,000 servers and 100,000 slices from the store, from a CBOR file (Jackson), and from
+     * SQLite.
+     */
     private static void benchStart(Path folder) throws Exception {
         List<Facts.Fact> all = state(10_000, 100_000, 7);
         Path journalFolder = folder.resolve("large");
--- a/src/main/java/puffinbarrow/lease/Lease.java
+++ b/src/main/java/puffinbarrow/lease/Lease.java
@@ -14,17 +14,18 @@
  * Lease state machine of one coordinator. The coordinators divide the slices among themselves through a store with
  * compare-and-set. This class renews the coordinator's own lease, acquires slices that are assigned to it and have no
  * live owner, hands over slices that are now assigned to another member, and gives up ownership before any other member
- * can consider its lease expired. It does no I/O and reads no clock: the caller passes in the store's answers, ticks and
- * the member's local time in nanoseconds, and carries out the returned steps in order. Not thread-safe; the coordinator
- * calls it under a lock, {@link Simulation} from a single thread.
+ * can consider its lease expired. It does no I/O and reads no clock: the caller passes in the store's answers, ticks
+ * and the member's local time in nanoseconds, and carries out the returned steps in order. Not thread-safe; the
+ * coordinator calls it under a lock, {@link Simulation} from a single thread.
  *
- * <p>The holder counts its lease from the time it sent the heartbeat and shortens it by {@link #CLOCK_MARGIN}; all other
- * members count from the time they saw the heartbeat and lengthen it by the same margin. Clock rates may therefore
- * differ, and clock readings are never compared between members. A holder whose lease expired continues under a new
- * incarnation and must acquire its slices again by compare-and-set, so that it and a member that has already decided to
- * take them over cannot both succeed. A member that finds a lease expired first closes the holder's record by
- * compare-and-set. That write fails if there was a heartbeat that the member has not seen, because its watch is late or
- * it was paused itself; once it succeeds, no later heartbeat of that incarnation can.
+ * <p>The holder counts its lease from the time it sent the heartbeat and shortens it by {@link #CLOCK_MARGIN}; all
+ * other members count from the time they saw the heartbeat and lengthen it by the same margin. Clock rates may
+ * therefore differ by up to the margin, and clock readings are never compared between members. A holder whose lease
+ * expired continues under a new incarnation and must acquire its slices again by compare-and-set, so that it and a
+ * member that has already decided to take them over cannot both succeed. A member that finds a lease expired first
+ * closes the holder's record by compare-and-set. That write fails if there was a heartbeat that the member has not
+ * seen, because its watch is late or it was paused itself; once it succeeds, no later heartbeat of that incarnation
+ * can.
  */
 public final class Lease {
     /**
@@ -37,7 +38,7 @@
      */
     public record Settings(int memberNumber, int slices, long leaseNs, int maxTransfersPerTick) {}
 
-    /** Safety rules of the protocol. Tests disable one at a time to show that each is necessary. */
+    /** Safety rules of the protocol. {@link Simulation} can disable them, to show that each is necessary. */
     enum Guard {
         CLOCK_MARGIN,
         NEW_INCARNATION_AFTER_EXPIRY,
@@ -57,6 +58,7 @@
     /** Slices are moved to restore balance only after the membership has not changed for this many leases. */
     private static final int STABLE_LEASES = 2;
 
+    /** This member's relation to a slice. */
     enum State {
         IDLE,
         ACQUIRING,
@@ -64,6 +66,7 @@
         HANDING_OVER
     }
 
+    /** What happens to a slice. */
     private enum Input {
         ACQUIRE,
         HAND_OVER,
@@ -74,6 +77,7 @@
         LEASE_EXPIRED
     }
 
+    /** What a transition makes the member do. */
     private enum Effect {
         NOTHING,
         WRITE_SELF,
@@ -88,8 +92,8 @@
 
     /**
      * Transitions of a slice as this member sees it. RECORD_NAMES_SELF means that the store's record names this
-     * incarnation as owner: after an applied write, after a write whose answer was lost, or because another member handed
-     * the slice over. A pair of state and input that is not listed changes nothing.
+     * incarnation as owner: after an applied write, after a write whose answer was lost, or because another member
+     * handed the slice over. A pair of state and input that is not listed changes nothing.
      */
     private static final List<Transition> TRANSITIONS = List.of(
             new Transition(State.IDLE, Input.ACQUIRE, State.ACQUIRING, Effect.WRITE_SELF),
@@ -109,6 +113,7 @@
             new Transition(State.HANDING_OVER, Input.WRITE_NOT_APPLIED, State.IDLE, Effect.NOTHING),
             new Transition(State.HANDING_OVER, Input.LEASE_EXPIRED, State.IDLE, Effect.NOTHING));
 
+    /** The last known record of a slice, and this member's write to it. */
     private static final class SliceView {
         State state = State.IDLE;
         Voice record = Voice.NONE;
@@ -128,9 +133,13 @@
         /** When the latest heartbeat was seen, by this member's clock. */
         long heartbeatSeenAtNs;
 
+        /** Id of the write that closes the record, or 0. */
         long closeWrite;
+
         long closeSentAtNs;
-        /** Replaced incarnations, with the time each was seen replaced: they may act as owner until their lease expires. */
+        /**
+         * Replaced incarnations, with the time each was seen replaced: they may act as owner until their lease expires.
+         */
         final TreeMap<Long, Long> previousIncarnations = new TreeMap<>();
     }
 
@@ -143,9 +152,13 @@
     private long nextWriteId = 1;
     private boolean connected;
     private boolean synced;
+    /** When the store's records were last read completely. */
     private long syncedAtNs;
+
     private long incarnation;
+    /** The number of the last applied heartbeat of this incarnation. */
     private long heartbeat;
+
     private boolean leaving;
     private int flaps;
     private long incarnationStartNs;
@@ -161,11 +174,15 @@
     private long heartbeatRevision;
     private long nextHeartbeatAtNs;
     private boolean leaseHeld;
+    /** The member to which each slice is assigned, or -1. */
     private int[] assignment;
+
     /** Slices that may not match the assignment. The others, nearly all of them in steady state, are skipped. */
     private final BitSet slicesToReview = new BitSet();
 
+    /** The members among which {@link #assignment} divides the slices, and since when. */
     private Set<Integer> assignedMembers = Set.of();
+
     private long assignedSinceNs;
     private boolean leftReported;
     /** Earlier incarnations of this process; they no longer act as owner. */
@@ -197,7 +214,7 @@
     public List<Step> connected(long now) {
         connected = true;
         synced = false;
-        return steps();
+        return takeSteps();
     }
 
     /** All records of the store have been passed in since {@link #connected}. */
@@ -232,7 +249,7 @@
     public List<Step> member(long now, long revision, Member member) {
         MemberView view = members.computeIfAbsent(member.number(), n -> new MemberView());
         if (revision <= view.revision) {
-            return steps();
+            return takeSteps();
         }
         boolean own = member.number() == settings.memberNumber;
         if (view.member != null && view.member.incarnation() != member.incarnation()) {
@@ -259,7 +276,7 @@
     public List<Step> voice(long now, int slice, long revision, Voice voice) {
         SliceView view = slices[slice];
         if (revision <= view.revision) {
-            return steps();
+            return takeSteps();
         }
         view.revision = revision;
         view.record = voice;
@@ -293,7 +310,7 @@
         if (slices[slice].record.term() < term && slices[slice].state == State.OWNER) {
             transition(slice, Input.RECORD_NAMES_OTHER, now);
         }
-        return steps();
+        return takeSteps();
     }
 
     /** Starts to hand over all slices; {@link Step.Left} follows once none is held. */
@@ -318,10 +335,10 @@
             leftReported = true;
             pendingSteps.add(new Step.Left());
         }
-        return steps();
+        return takeSteps();
     }
 
-    private List<Step> steps() {
+    private List<Step> takeSteps() {
         List<Step> steps = List.copyOf(pendingSteps);
         pendingSteps.clear();
         return steps;
@@ -360,8 +377,8 @@
     /** The members whose lease this member considers valid, itself included. */
     public Collection<Member> living(long now) {
         return members.values().stream()
-                .filter(s -> isLive(s, now))
-                .map(s -> s.member)
+                .filter(view -> isLive(view, now))
+                .map(view -> view.member)
                 .toList();
     }
 
@@ -369,11 +386,11 @@
 
     private void startFirstIncarnation(long now) {
         incarnationStartNs = now;
-        MemberView before = members.get(settings.memberNumber);
-        if (before != null && before.member != null) {
+        MemberView previous = members.get(settings.memberNumber);
+        if (previous != null && previous.member != null) {
             // If the previous incarnation was short, this one waits longer before it is assigned slices.
-            boolean shortLived = before.member.beat() < (long) SHORT_INCARNATION_LEASES * HEARTBEATS_PER_LEASE;
-            flaps = shortLived ? Math.min(MAX_FLAPS, before.member.flaps() + 1) : 0;
+            boolean shortLived = previous.member.beat() < (long) SHORT_INCARNATION_LEASES * HEARTBEATS_PER_LEASE;
+            flaps = shortLived ? Math.min(MAX_FLAPS, previous.member.flaps() + 1) : 0;
         }
     }
 
@@ -471,13 +488,14 @@
         return view.member != null && !view.member.dead() && now - view.heartbeatSeenAtNs < observedLeaseNs();
     }
 
+    /** The length of another member's lease, counted from when its heartbeat was seen. */
     private long observedLeaseNs() {
         return (long) (settings.leaseNs
                 * (disabledGuards.contains(Guard.CLOCK_MARGIN) ? 1 - CLOCK_MARGIN : 1 + CLOCK_MARGIN));
     }
 
     /** Whether the owner that the record names may still act as owner, as far as this member can tell. */
-    private boolean mayStillBeOwned(Voice voice, long now) {
+    private boolean ownerMayBeActive(Voice voice, long now) {
         if (voice.owner() < 0) {
             return false;
         }
@@ -495,6 +513,7 @@
         return now - (replacedAtNs == null ? syncedAtNs : replacedAtNs) < observedLeaseNs();
     }
 
+    /** Moves slices that do not match the assignment, at most {@code maxTransfersPerTick}. */
     private void rebalance(long now) {
         Set<Integer> assignable = new TreeSet<>();
         for (MemberView view : members.values()) {
@@ -530,7 +549,7 @@
                     && assignment[i] == settings.memberNumber
                     && !leaving
                     && (startupOver || view.record.owner() >= 0)
-                    && !mayStillBeOwned(view.record, now)) {
+                    && !ownerMayBeActive(view.record, now)) {
                 transition(i, Input.ACQUIRE, now);
                 transfersLeft--;
             } else if (view.state == State.OWNER
@@ -560,6 +579,7 @@
         }
     }
 
+    /** Applies an input to a slice as listed in {@link #TRANSITIONS}. */
     private void transition(int slice, Input input, long now) {
         SliceView view = slices[slice];
         for (Transition transition : TRANSITIONS) {
--- a/src/main/java/puffinbarrow/lease/Member.java
+++ b/src/main/java/puffinbarrow/lease/Member.java
@@ -9,8 +9,8 @@
  * @param settled whether the member has been up long enough to be assigned slices
  * @param leaving whether the member is handing over its slices before it ends
  * @param flaps the number of short incarnations in a row; each doubles the wait before the member counts as settled
- * @param dead whether another member found the lease expired and closed the record; this incarnation can send no further
- *     heartbeat
+ * @param dead whether another member found the lease expired and closed the record; this incarnation can send no
+ *     further heartbeat
  */
 public record Member(
         int number, long incarnation, long beat, boolean settled, boolean leaving, int flaps, boolean dead) {
--- a/src/main/java/puffinbarrow/lease/Pause.java
+++ b/src/main/java/puffinbarrow/lease/Pause.java
@@ -8,25 +8,28 @@
 import puffinbarrow.control.Order;
 
 /**
- * Keeps a gap between two consecutive owners of a slice whose writes go to a single server. A change of owner is split in
- * two: first the slice's table is cleared, followed by a mark; the new owner's line follows once no proxy can send to the
- * former owner any more and the writes in progress have ended. Connected proxies confirm the mark; the others stop by
- * themselves one proxy lease after their stream broke or the slice came to another coordinator. The coordinator's
- * decision thread calls it. It does no I/O and has no clock; all times are nanoseconds on the caller's clock.
+ * Keeps a gap between two consecutive owners of a slice whose writes go to a single server. A change of owner is split
+ * in two: first the slice's table is cleared, followed by a mark; the new owner's line follows once no proxy can send
+ * to the former owner any more and the writes in progress have ended. Connected proxies confirm the mark; the others
+ * stop by themselves one proxy lease after their stream broke or the slice came to another coordinator. The
+ * coordinator's decision thread calls it. It does no I/O and has no clock; all times are nanoseconds on the caller's
+ * clock.
  *
- * <p>An owner that failed is waited for just as long, because it may only be unreachable. While a slice has no owner its
- * writes are blocked, so a change back and forth costs two pauses. The length is bounded by the rule on slices without a
- * server and by the longest expiry of a write.
+ * <p>An owner that failed is waited for just as long, because it may only be unreachable. While a slice has no owner
+ * its writes are blocked, so a change back and forth costs two pauses. The length is bounded by the rule on slices
+ * without a server and by the longest expiry of a write.
  */
 public final class Pause {
+    /** State of a slice that this coordinator holds. */
     private static final class SliceView {
         /** The server that proxies may send to, or null. */
         String owner;
         /** The new owner's line, held back until the pause is over, or null. */
         Order.SetLine nextLine;
-        /** The mark behind the latest clearing of the table, or 0. */
+        /** The mark that follows the latest clearing of the table, or 0. */
         long mark;
 
+        /** Proxies that were connected when the table was cleared and have not confirmed the mark. */
         final TreeSet<Integer> unconfirmedProxies = new TreeSet<>();
         /** The pause lasts at least until this time, whichever proxies have confirmed. */
         long untilNs;
@@ -54,7 +57,9 @@
         this.maxWriteNs = maxWriteNs;
     }
 
-    /** This coordinator acquired the slice; {@code owner} is the server of its stored line, null if the table is empty. */
+    /**
+     * This coordinator acquired the slice; {@code owner} is the server of its stored line, null if the table is empty.
+     */
     public void charged(long nowNs, int slice, String owner) {
         SliceView view = slices.computeIfAbsent(slice, n -> new SliceView());
         view.owner = owner;
@@ -71,7 +76,7 @@
     }
 
     /** Returns the orders with each change of owner replaced by clearing the slice's table, and a mark at the end. */
-    public List<Order> orders(long nowNs, List<Order> orders, Collection<Integer> joined) {
+    public List<Order> orders(long nowNs, List<Order> orders, Collection<Integer> connectedProxies) {
         List<Order> out = new ArrayList<>();
         List<SliceView> newlyPaused = new ArrayList<>();
         for (Order order : orders) {
@@ -80,7 +85,7 @@
                 if (line.weight() <= 0
                         ? line.server().equals(view.owner)
                         : view.owner != null && !line.server().equals(view.owner)) {
-                    beginHandover(nowNs, view, line.table(), out, newlyPaused, joined);
+                    beginPause(nowNs, view, line.table(), out, newlyPaused, connectedProxies);
                 }
                 if (line.weight() > 0) {
                     if (view.paused) {
@@ -96,7 +101,7 @@
                 SliceView view = slices.get(clear.table());
                 view.nextLine = null;
                 if (view.owner != null) {
-                    beginHandover(nowNs, view, clear.table(), out, newlyPaused, joined);
+                    beginPause(nowNs, view, clear.table(), out, newlyPaused, connectedProxies);
                 }
             } else {
                 out.add(order);
@@ -110,17 +115,17 @@
         return out;
     }
 
-    private void beginHandover(
+    private void beginPause(
             long nowNs,
             SliceView view,
             int slice,
             List<Order> out,
             List<SliceView> newlyPaused,
-            Collection<Integer> joined) {
+            Collection<Integer> connectedProxies) {
         view.owner = null;
         view.paused = true;
         view.unconfirmedProxies.clear();
-        view.unconfirmedProxies.addAll(joined);
+        view.unconfirmedProxies.addAll(connectedProxies);
         view.untilNs = Math.max(Math.max(view.untilNs, lastLeftAtNs + proxyLeaseNs), nowNs) + maxWriteNs;
         newlyPaused.add(view);
         out.add(new Order.ClearTable(slice));
--- a/src/main/java/puffinbarrow/lease/Simulation.java
+++ b/src/main/java/puffinbarrow/lease/Simulation.java
@@ -15,22 +15,24 @@
 
 /**
  * Deterministic simulation of several {@link Lease} instances, a store, and proxies that fence by term. It injects
- * process kills, pauses, partitions, delays, lost answers, duplicated and late orders, and clocks of different rates. The
- * same plan gives the same run. It checks that a slice never has two owners, that terms never decrease, that no order
- * takes effect twice, and that after all faults have ended each slice has the owner that the assignment names. Tests and
- * the lease benchmark run it on a single thread.
+ * process kills, pauses, partitions, delays, lost answers, duplicated and late orders, and clocks of different rates.
+ * The same plan gives the same run. It checks that a slice never has two owners, that terms never decrease, that no
+ * order takes effect twice, and that after all faults have ended each slice has the owner that the assignment names.
+ * Tests and the lease benchmark run it on a single thread.
  */
 public final class Simulation {
-    /** The kind of an injected fault. */
+    /** The kind of an injected fault. JUMP is last, because plans without clock jumps draw from the kinds before it. */
     public enum Kind {
         KILL,
         PAUSE,
+        /** The member is cut off from the store. */
         CUT,
         STORE_DOWN,
         STORE_SLOW,
         ANSWERS_LOST,
         FLAP,
         LEAVE,
+        /** The member's clock jumps. */
         JUMP
     }
 
@@ -97,8 +99,10 @@
         }
     }
 
+    /** A member's or slice's record in the store, with its revision. */
     private record StoredRecord(long revision, Object value) {}
 
+    /** An order that a member sends to all proxies; {@code sequence} grows with each order sent. */
     private record SimulatedOrder(int slice, long term, int from, long sequence) {}
 
     /** Fault-free period at the end, in leases: the longest wait after flapping (32) and some more to settle. */
@@ -114,7 +118,9 @@
     private final Map<String, StoredRecord> store = new TreeMap<>();
     private final Host[] hosts;
     private final Proxy[] proxies;
+    /** The incarnation that owned a slice, by slice number (upper 32 bits) and term. */
     private final Map<Long, String> ownerByTerm = new HashMap<>();
+
     private final long[] ownerlessSinceNs;
     private final int[] owners;
     private final Histogram ownerlessMs = new Histogram(3_600_000, 3);
@@ -234,6 +240,7 @@
         return new Outcome(broken, steps, ownerlessMs, writes, moves, refused, doubled, unevenness);
     }
 
+    /** Records the first violation; the run ends with it. */
     private void fail(String text) {
         if (broken == null) {
             broken = String.format(Locale.ROOT, "at %.3f s: %s", now / 1e9, text);
@@ -330,6 +337,7 @@
 
     // ---- A coordinator process and its stream to the store.
 
+    /** One coordinator: its process with a {@link Lease}, its clock, and its stream to the store. */
     private final class Host {
         final int number;
         final double clockRate;
@@ -545,6 +553,7 @@
 
     // ---- The store.
 
+    /** The store receives a write: applies it if the revision matches, notifies all watches and answers. */
     private void storeReceives(Host from, int streamNumber, Step.Write write) {
         if (storeDown) {
             return;
@@ -597,6 +606,7 @@
         }
     }
 
+    /** A proxy that refuses orders with an older term than the latest it knows for the slice. */
     private final class Proxy {
         final Map<Integer, Long> knownTerms = new HashMap<>();
         final Map<Integer, Long> lastTerm = new HashMap<>();
--- a/src/main/java/puffinbarrow/lease/SliceAssignment.java
+++ b/src/main/java/puffinbarrow/lease/SliceAssignment.java
@@ -10,7 +10,8 @@
 /**
  * Assigns slices to members by rendezvous hashing with bounded load. Every slice ranks the members by a hash of both
  * numbers and goes to the highest-ranked one below its load limit. The result depends only on the set of members, and a
- * member that joins or leaves moves few slices besides its own. Stateless; used by {@link Lease} and {@link Simulation}.
+ * member that joins or leaves moves few slices besides its own. Stateless; used by {@link Lease}
+ * and {@link Simulation}.
  */
 final class SliceAssignment {
     /**
--- a/src/main/java/puffinbarrow/memory/Codec.java
+++ b/src/main/java/puffinbarrow/memory/Codec.java
@@ -17,7 +17,7 @@
 final class Codec {
     static final int MAGIC = 0x50554646;
     static final int VERSION = 2;
-    /** The oldest readable version: it has no size and load of a server, and no calm load of the whole fleet. */
+    /** The oldest readable version: it has no size and load of a server, and no {@code calmWhole}. */
     static final int OLDEST_VERSION = 1;
 
     /** Length of a file's header, in bytes. */
@@ -58,6 +58,7 @@
         return header.putInt((int) checksum.getValue()).flip();
     }
 
+    /** A file's header; {@code kind} tells snapshots from journals. */
     record Header(int version, int kind, long generation) {}
 
     static Header readHeader(ByteBuffer in) throws CorruptException {
@@ -84,6 +85,7 @@
 
     // ---- Writing.
 
+    /** Entries in the batch being written. */
     private int count;
 
     /** Starts a batch; the buffer of the previous one is reused. */
@@ -204,7 +206,10 @@
         default void end(long facts) {}
     }
 
-    /** Reads one batch and returns its sequence, or -1 at the end of the input. The visitor is called only if it is valid. */
+    /**
+     * Reads one batch and returns its sequence, or -1 at the end of the input. The visitor is called only if it is
+     * valid.
+     */
     static long readBatch(ByteBuffer in, int version, BatchVisitor visitor) throws CorruptException {
         if (!in.hasRemaining()) {
             return -1;
--- a/src/main/java/puffinbarrow/memory/Disk.java
+++ b/src/main/java/puffinbarrow/memory/Disk.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * The operations on a directory that {@link Store} needs. Tests replace it by one that simulates power cuts, which lose,
- * tear and reorder what was not forced.
+ * The operations on a directory that {@link Store} needs. Tests replace it by one that simulates power cuts, which
+ * lose, tear and reorder what was not forced.
  */
 interface Disk extends AutoCloseable {
     /** A file opened for appending. */
--- a/src/main/java/puffinbarrow/memory/Keeper.java
+++ b/src/main/java/puffinbarrow/memory/Keeper.java
@@ -13,18 +13,24 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Writes facts to a directory on its own thread. The coordinator's decision thread calls {@link #offer}, which never waits
- * for the disk: it puts the facts into a map by key, where a newer one replaces an older one. Above a limit on the number
- * of keys, facts with new keys are dropped and counted. After a disk error nothing is written until the directory can be
- * opened again, which is tried every {@link #REOPEN_INTERVAL_MS}; facts offered meanwhile wait in the map.
+ * Writes facts to a directory on its own thread. The coordinator's decision thread calls {@link #offer}, which never
+ * waits for the disk: it puts the facts into a map by key, where a newer one replaces an older one. Above a limit on
+ * the number of keys, facts with new keys are dropped and counted. After a disk error nothing is written until the
+ * directory can be opened again, which is tried every {@link #REOPEN_INTERVAL_MS}; facts offered meanwhile wait in the
+ * map.
  */
 public final class Keeper implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger("puffinbarrow.memory");
-    /** The most that a restart loses. Reports arrive less often, so that committing more often would only cost disk time. */
+    /**
+     * The most that a restart loses. Reports arrive less often, so that committing more often would only cost disk
+     * time.
+     */
     private static final long COMMIT_INTERVAL_MS = 200;
 
+    /** The wait between attempts to open the directory again. */
     private static final long REOPEN_INTERVAL_MS = 2000;
 
+    /** The longest wait for the writer thread to end. */
     private static final long JOIN_TIMEOUT_MS = 5000;
 
     private final Path folder;
@@ -32,14 +38,18 @@
     private final int maxPendingKeys;
     private final ReentrantLock lock = new ReentrantLock();
     private final Condition closeRequested = lock.newCondition();
+    /** Facts not yet committed, by key; guarded by {@link #lock}. */
     private LinkedHashMap<String, Facts.Fact> pending = new LinkedHashMap<>();
+
     private volatile long skipped;
     private volatile long commits;
     private volatile long bytes;
     private volatile long failures;
     private volatile boolean well;
     private boolean closing;
+    /** The open store, or null while the directory cannot be used; only the writer thread changes it once started. */
     private Store store;
+
     private RealDisk disk;
     private Facts.Image remembered = new Facts.Image();
     private final Thread writer = new Thread(this::runWriter, "memory");
@@ -237,7 +247,7 @@
         }
     }
 
-    /** Writes the queued facts and releases the lock; waits up to 5 s for the writer. */
+    /** Writes the queued facts and releases the lock; waits up to {@link #JOIN_TIMEOUT_MS} for the writer. */
     @Override
     public void close() {
         lock.lock();
--- a/src/main/java/puffinbarrow/memory/Kills.java
+++ b/src/main/java/puffinbarrow/memory/Kills.java
@@ -14,9 +14,9 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Crash test of {@link Store}: repeatedly kills a writing process and checks that the folder then holds a consistent state
- * no older than the last acknowledged commit. Every commit writes its number into each of its facts, so that a partial
- * commit is detected. Run by {@code bench memory} and by a test.
+ * Crash test of {@link Store}: repeatedly kills a writing process and checks that the folder then holds a consistent
+ * state no older than the last acknowledged commit. Every commit writes its number into each of its facts, so that a
+ * partial commit is detected. Run by the command {@code bench memory-kill} and by a test.
  */
 public final class Kills {
     /** More than one, so that a commit can be torn. */
--- a/src/main/java/puffinbarrow/memory/Notes.java
+++ b/src/main/java/puffinbarrow/memory/Notes.java
@@ -13,10 +13,11 @@
 import puffinbarrow.control.Order;
 
 /**
- * Derives facts from a coordinator's events and orders. The coordinator calls it on the decision thread, the emulator in
- * simulated time; an event costs a few map operations. Does no I/O; the wall time is passed in, in nanoseconds.
+ * Derives facts from a coordinator's events and orders. The coordinator calls it on the decision thread, the emulator
+ * in simulated time; an event costs a few map operations. Does no I/O; the wall time is passed in, in nanoseconds.
  */
 public final class Notes {
+    /** What is known of a server; see {@link Facts.OfServer} for the fields. */
     private static final class ServerNotes {
         boolean listed;
         long drainingSinceNs;
--- a/src/main/java/puffinbarrow/memory/Recall.java
+++ b/src/main/java/puffinbarrow/memory/Recall.java
@@ -8,18 +8,18 @@
 import puffinbarrow.control.Event;
 
 /**
- * Turns the facts of a previous run into events for the decision logic, each with a confidence that decays with the fact's
- * age by a half-life per kind. The current server list takes precedence over remembered facts. Stateless; called once,
- * when the first list arrives.
+ * Turns the facts of a previous run into events for the decision logic, each with a confidence that decays with the
+ * fact's age by a half-life per kind. The current server list takes precedence over remembered facts. Stateless; called
+ * once, when the first list arrives.
  */
 public final class Recall {
     private static final long SECOND = 1_000_000_000L;
     private static final long MINUTE = 60 * SECOND;
 
     /**
-     * Half-lives in nanoseconds. Flapping is caused by faults of a host or network, which last minutes and seldom hours.
-     * A hold responds to a disturbance of about half a minute. Overload rises and falls within seconds. The load that a
-     * fleet can bear changes with a release, about once a day.
+     * Half-lives in nanoseconds. Flapping is caused by faults of a host or network, which last minutes and seldom
+     * hours. A hold responds to a disturbance of about half a minute. Overload rises and falls within seconds. The load
+     * that a fleet can bear changes with a release, about once a day.
      */
     private static final Map<Event.Recall, Long> HALF_LIVES_NS = new EnumMap<>(Map.of(
             Event.Recall.FLAPPING,
@@ -36,7 +36,7 @@
             24 * 60 * MINUTE));
     /** Facts with a lower confidence are ignored; it is reached after somewhat more than four half-lives. */
     private static final double MIN_CONFIDENCE = 0.05;
-    /** How far a fact may lie in the future: the same machine wrote it, but its clock may have been stepped back. */
+    /** How far a fact may lie in the future: the same machine wrote it, but its clock may have been adjusted. */
     private static final long MAX_CLOCK_STEP_NS = 5 * SECOND;
     /** Older memory is ignored: after a longer downtime the fleet is a different one. */
     private static final long MAX_AGE_NS = 7 * 24 * 60 * MINUTE;
--- a/src/main/java/puffinbarrow/memory/Store.java
+++ b/src/main/java/puffinbarrow/memory/Store.java
@@ -10,8 +10,8 @@
 /**
  * Durable storage of facts in one directory: in each generation a snapshot, and a journal of the commits after it. A
  * batch is committed by one write and a force; a new generation by the rename of its snapshot, which is complete and
- * forced before. At any moment the newest complete snapshot plus the valid prefix of its journal is a consistent state no
- * older than the last acknowledged commit. Not thread-safe; {@link Keeper} uses it on its writer thread.
+ * forced before. At any moment the newest complete snapshot plus the valid prefix of its journal is a consistent state
+ * no older than the last acknowledged commit. Not thread-safe; {@link Keeper} uses it on its writer thread.
  */
 final class Store implements AutoCloseable {
     /**
--- a/src/test/java/puffinbarrow/lease/ModelTest.java
+++ b/src/test/java/puffinbarrow/lease/ModelTest.java
@@ -16,7 +16,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Checks the Alloy model of the lease protocol within small bounds: every assertion holds, and fails without a guard. */
+/**
+ * Checks the Alloy model of the lease protocol within small bounds: every assertion holds with all guards, and for each
+ * guard one assertion fails without it.
+ */
 class ModelTest {
     @Test
     void assertionsHoldWithAllGuardsAndFailWithoutAnyOne(@TempDir Path folder) throws Exception {
--- a/src/test/java/puffinbarrow/memory/SimDisk.java
+++ b/src/test/java/puffinbarrow/memory/SimDisk.java
@@ -10,8 +10,8 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Simulated directory whose power can fail at any byte of a write and at any force, rename or delete. After that, unforced
- * bytes may be present, missing or torn, and unforced names may be old or new.
+ * Simulated directory whose power can fail at any byte of a write and at any force, rename or delete. After that,
+ * unforced bytes may be present, missing or torn, and unforced names may be old or new.
  */
 final class SimDisk implements Disk {
     static final class PowerCut extends IOException {
@@ -111,7 +111,9 @@
         locked = false;
     }
 
-    /** Returns the directory after power is restored: unforced bytes lost, torn or zeroed, unforced names old or new. */
+    /**
+     * Returns the directory after power is restored: unforced bytes lost, torn or zeroed, unforced names old or new.
+     */
     SimDisk afterPowerCut(UniformRandomProvider random) {
         SimDisk after = new SimDisk();
         TreeMap<String, FileContent> surviving = new TreeMap<>();
