--- a/src/main/java/puffinbarrow/audit/Audit.java
+++ b/src/main/java/puffinbarrow/audit/Audit.java
@@ -7,6 +7,7 @@
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.Set;
@@ -17,24 +18,42 @@
 import puffinbarrow.control.Order;
 
 /**
- * Judges the five rules from what was seen on the sockets alone: it rebuilds each proxy's tables, masks and owners
- * from frames, and knows what each coordinator was told and when. It asks no coordinator anything. Pure: a record and
- * the settings in, findings out.
+ * Checks the rules from traffic recorded at the sockets: rebuilds each proxy's tables, masks and owners from the frames
+ * it received, and tracks what each coordinator was told and when. It queries no coordinator, so its result depends on
+ * the recording and the settings alone. Not thread-safe: scripted days run it after the recording ends, the emulator
+ * feeds it from its only thread.
  */
 public final class Audit {
+    /** The rules; the order is that of reports. */
     public enum Rule {
+        /** No proxy is without a backend for a slice (bare) for longer than the limit. */
         BARE,
+        /** No flow takes effect twice, unless its group allows it. */
         TWICE,
+        /** Proxies stop sending to a server within the grace period after it drains or is gone. */
         DRAIN,
+        /** No cold server gets more work than it withstands. */
         COLD,
+        /** The channel to the proxies keeps within its limits of waiting lines and of messages. */
         QUEUE,
+        /** Under one term only one coordinator gives orders for a slice, and a proxy never returns to an older term. */
         VOICE
     }
 
-    /** One breach, with what shows it. */
+    /** A breach of a rule at a time in nanoseconds, with its evidence in prose. */
     public record Finding(Rule rule, long at, String evidence) {}
 
-    /** How far a record's own figures went: the worst seen, whether or not it broke the rule. */
+    /**
+     * The breaches, and the worst value of each measure whether or not it broke a rule.
+     *
+     * @param longestBareNs longest time that a proxy had no backend for a slice
+     * @param latestDrainNs longest time after which a proxy still sent to a server that drained or was gone
+     * @param mostColdPart most work sent to a cold server, as a part of what it withstands
+     * @param mostQueued most lines waiting at one coordinator
+     * @param mostMessages most messages from one coordinator to one proxy within the span of the settings
+     * @param attempts attempts sent by all proxies
+     * @param ordersFrames frames with orders that reached proxies
+     */
     public record Verdict(
             List<Finding> findings,
             long longestBareNs,
@@ -44,6 +63,7 @@
             int mostMessages,
             long attempts,
             long ordersFrames) {
+        /** Returns whether all rules were kept. */
         public boolean kept() {
             return findings.isEmpty();
         }
@@ -53,99 +73,139 @@
         }
     }
 
+    /** A server as one coordinator's list shows it. */
     private static final class Server {
-        boolean listed, ready;
+        /** The server has been ready on the list at least once. */
+        boolean listed;
+
+        boolean ready;
         /** When the coordinator was told that it drains or is gone; 0 while it is not. */
-        long leftAt;
+        long unavailableSince;
 
-        long started;
+        /** When its process started, as listed. */
+        long startedNs;
         /** When the coordinator was told of the present start. */
         long startToldAt;
     }
 
+    /** What a coordinator has been told. */
     private static final class Coordinator {
         final TreeMap<String, Server> servers = new TreeMap<>();
-        final Map<Integer, Long> chargeAt = new HashMap<>();
+        /** Since when it is in charge of each of its slices. */
+        final Map<Integer, Long> inChargeSince = new HashMap<>();
     }
 
+    /** What a proxy holds. */
     private static final class Proxy {
+        /** Weights of servers, by slice. */
         final Map<Integer, TreeMap<String, Double>> tables = new HashMap<>();
+        /** Masked servers, by coordinator. */
         final Map<Integer, Set<String>> masks = new HashMap<>();
-        final Map<Integer, Integer> owner = new HashMap<>();
+        /** Coordinator in charge, by slice. */
+        final Map<Integer, Integer> owners = new HashMap<>();
+        /** Since when its stream to each coordinator is up. */
         final Map<Integer, Long> joinedAt = new HashMap<>();
-        final Map<Integer, Long> lastOrderAt = new HashMap<>();
-        final Map<Integer, ArrayDeque<Long>> messages = new HashMap<>();
+        /** When the latest orders that it applied were decided, by coordinator. */
+        final Map<Integer, Long> lastOrderedAt = new HashMap<>();
+        /** When the messages of the last span were decided, by coordinator. */
+        final Map<Integer, ArrayDeque<Long>> messageTimes = new HashMap<>();
+        /** Since when it has no backend, by slice. */
         final Map<Integer, Long> bareSince = new HashMap<>();
-        final Map<Integer, Long> terms = new HashMap<>();
+        /** Latest term of orders that it applied, by slice. */
+        final Map<Integer, Long> latestTerms = new HashMap<>();
     }
 
-    private record Load(long at, double workNs, boolean knowing) {}
+    /** Work sent to a cold server; {@code informed}: by a proxy that was, or had to be, informed of the start. */
+    private record SentWork(long at, double workNs, boolean informed) {}
 
-    private static final class Cold {
+    /** A server since its latest start, with the work sent to it during the last {@link CoordinatorConfig#fallNs}. */
+    private static final class ColdServer {
         Seen.Started start;
-        final ArrayDeque<Load> window = new ArrayDeque<>();
-        double work, knowing;
-        boolean told;
+        final ArrayDeque<SentWork> window = new ArrayDeque<>();
+        double workNs;
+        /** The part of {@link #workNs} that informed proxies sent. */
+        double informedWorkNs;
     }
 
-    private record Step(long at, double lines) {}
+    /** Lines that join the queue of a coordinator, or leave it if negative. */
+    private record QueueChange(long at, double lines) {}
 
-    /** The lines of one coordinator that wait; steps are taken once nothing earlier can come any more. */
-    private static final class Queue {
-        // At equal times what leaves goes first: it made the room.
-        final PriorityQueue<Step> steps =
-                new PriorityQueue<>(Comparator.comparingLong(Step::at).thenComparingDouble(Step::lines));
-        double waiting;
+    /** The lines waiting at one coordinator; changes are applied once no earlier one can follow. */
+    private static final class LineQueue {
+        // At equal times lines leave before others join, since the room they free is what lets the others in.
+        final PriorityQueue<QueueChange> changes =
+                new PriorityQueue<>(Comparator.comparingLong(QueueChange::at).thenComparingDouble(QueueChange::lines));
+        double waitingLines;
     }
 
-    /** No message is on its way for longer: streams that are cut lose theirs. */
-    private static final long LONGEST_WAY_NS = 120_000_000_000L;
-    /** Proxies and clients end a flow at its expiry, stand-ins a little later. */
-    private static final long AFTER_EXPIRY_NS = 10_000_000_000L;
+    /** Longest transit of a message; a stream that is cut loses its messages, so none arrives later. */
+    private static final long MAX_TRANSIT_NS = 120_000_000_000L;
+    /** Proxies and clients end a flow at its expiry, stand-in servers a little later. */
+    private static final long EXPIRY_MARGIN_NS = 10_000_000_000L;
 
-    private record Owner(long orderedAtNs, String server) {}
+    /** The single owner of a slice, by the latest order. */
+    private record OwnerOrder(long orderedAtNs, String server) {}
 
-    private record Try(Seen.Sent sent, Seen.Ended ended) {}
+    /** An attempt; {@code ended} is null while it runs. */
+    private record Attempt(Seen.Sent sent, Seen.Ended ended) {}
 
     private final CoordinatorConfig config;
+    /** Time that evidence counts from. */
     private long epochNs;
+
     private final List<Finding> findings = new ArrayList<>();
     private final TreeMap<Integer, Coordinator> coordinators = new TreeMap<>();
     private final TreeMap<Integer, Proxy> proxies = new TreeMap<>();
-    private final Map<String, Cold> cold = new HashMap<>();
-    private final Map<Long, List<Try>> flows = new HashMap<>();
-    private final Map<Long, List<Seen.Ran>> runs = new HashMap<>();
-    private final Map<Integer, Map<Long, String>> writing = new HashMap<>();
+    private final Map<String, ColdServer> coldServers = new HashMap<>();
+    private final Map<Long, List<Attempt>> attemptsByFlow = new HashMap<>();
+    private final Map<Long, List<Seen.Ran>> runsByFlow = new HashMap<>();
+    /** Server of each write in progress, by slice and flow; only with single owners. */
+    private final Map<Integer, Map<Long, String>> activeWrites = new HashMap<>();
+    /** Server that began the latest write, by slice; only with single owners. */
     private final Map<Integer, String> lastWriter = new HashMap<>();
-    private final Map<Integer, Map<Long, Integer>> voices = new HashMap<>();
-    private final Map<Integer, Owner> latestOwner = new HashMap<>();
-    private final Set<String> said = new HashSet<>();
-    private final Map<Integer, Queue> queues = new TreeMap<>();
-    /** Flows in the order of their first try: each is judged, and forgotten, once it can be repeated no more. */
-    private final ArrayDeque<Seen.Sent> begun = new ArrayDeque<>();
-
-    private final long flowNs;
-    private long longestBare, latestDrain, attempts, ordersFrames;
-    private double mostCold, mostQueued;
+    /** The coordinator that gave orders, by slice and term. */
+    private final Map<Integer, Map<Long, Integer>> coordinatorByTerm = new HashMap<>();
+    /** The latest owner ordered, by slice; only with single owners. */
+    private final Map<Integer, OwnerOrder> latestOwner = new HashMap<>();
+
+    private final Set<String> reportedKeys = new HashSet<>();
+    private final Map<Integer, LineQueue> queues = new TreeMap<>();
+    /** First attempts of flows, in order; a flow is checked and dropped once no retry of it can follow. */
+    private final ArrayDeque<Seen.Sent> firstAttempts = new ArrayDeque<>();
+
+    /** How long after its first attempt a flow may still be retried. */
+    private final long flowLifetimeNs;
+
+    private long longestBareNs;
+    private long latestDrainNs;
+    private long attempts;
+    private long ordersFrames;
+    private double mostColdPart;
+    private double mostQueued;
     private int mostMessages;
 
     /** @param epochNs the time that evidence counts from */
     public Audit(CoordinatorConfig config, long epochNs) {
         this.config = config;
         this.epochNs = epochNs;
-        this.flowNs = AFTER_EXPIRY_NS
+        this.flowLifetimeNs = EXPIRY_MARGIN_NS
                 + config.groups.stream()
                         .mapToLong(g -> g.expiryNs() + g.windowNs())
                         .max()
                         .orElse(0);
     }
 
-    /** Evidence counts from then, for what is found from now on. */
+    /** Sets the time that evidence counts from, for findings from now on. */
     public void countFrom(long atNs) {
         epochNs = atNs;
     }
 
-    /** @param epochNs the time that evidence counts from */
+    /**
+     * Judges a complete recording.
+     *
+     * @param seen in order of time
+     * @param epochNs the time that evidence counts from
+     */
     public static Verdict judge(CoordinatorConfig config, List<Seen> seen, long epochNs) {
         Audit audit = new Audit(config, epochNs);
         seen.forEach(audit::take);
@@ -153,70 +213,70 @@
                 seen.isEmpty() ? epochNs : seen.get(seen.size() - 1).at());
     }
 
-    /** Of all that was taken, which ended then; nothing may be taken after. */
+    /** Returns the result for a recording that ended at that time; {@link #take} must not be called afterwards. */
     public Verdict verdict(long at) {
-        endOfRecord(at);
+        finish(at);
         return new Verdict(
-                findings, longestBare, latestDrain, mostCold, mostQueued, mostMessages, attempts, ordersFrames);
+                findings, longestBareNs, latestDrainNs, mostColdPart, mostQueued, mostMessages, attempts, ordersFrames);
     }
 
-    private void found(Rule rule, long at, String key, String evidence) {
-        // One line for each kind of case: a server sent to a thousand times is one finding.
-        if (said.add(rule + " " + key)) {
-            findings.add(new Finding(
-                    rule, at, String.format(java.util.Locale.ROOT, "%.3f s: %s", (at - epochNs) / 1e9, evidence)));
+    private void report(Rule rule, long at, String key, String evidence) {
+        // One finding for each key: a server that is sent to a thousand times too late is one finding.
+        if (reportedKeys.add(rule + " " + key)) {
+            findings.add(
+                    new Finding(rule, at, String.format(Locale.ROOT, "%.3f s: %s", (at - epochNs) / 1e9, evidence)));
         }
     }
 
-    /** In the order of time. Memory grows with the fleet and with what lasts, not with the length of the record. */
+    /** Adds an event, in order of time. Memory grows with the fleet and what is in progress, not with the recording. */
     public void take(Seen seen) {
         if (seen instanceof Seen.ListTold s) {
-            listTold(s);
-            coordinatorChanged(s.coordinator(), s.at());
+            applyList(s);
+            recheckSlicesOf(s.coordinator(), s.at());
         } else if (seen instanceof Seen.ChargeTold s) {
             Coordinator coordinator = coordinator(s.coordinator());
             if (s.given()) {
-                coordinator.chargeAt.put(s.slice(), s.at());
+                coordinator.inChargeSince.put(s.slice(), s.at());
             } else {
-                coordinator.chargeAt.remove(s.slice());
+                coordinator.inChargeSince.remove(s.slice());
             }
-            proxies.forEach((number, proxy) -> look(number, proxy, s.slice(), s.at()));
+            proxies.forEach((number, proxy) -> updateBare(number, proxy, s.slice(), s.at()));
         } else if (seen instanceof Seen.Stream s) {
             Proxy proxy = proxy(s.proxy());
             if (s.up()) {
                 proxy.joinedAt.put(s.coordinator(), s.at());
-                proxy.messages.remove(s.coordinator());
+                proxy.messageTimes.remove(s.coordinator());
             } else {
                 proxy.joinedAt.remove(s.coordinator());
             }
-            proxy.owner.keySet().forEach(slice -> look(s.proxy(), proxy, slice, s.at()));
+            proxy.owners.keySet().forEach(slice -> updateBare(s.proxy(), proxy, slice, s.at()));
         } else if (seen instanceof Seen.Arrived s) {
-            arrived(s);
+            countQueuedLines(s);
         } else if (seen instanceof Seen.Applied s) {
-            applied(s);
+            applyOrders(s);
         } else if (seen instanceof Seen.Took s) {
-            took(s);
+            checkTerm(s);
         } else if (seen instanceof Seen.TableRead s) {
             TreeMap<String, Double> table = proxy(s.proxy()).tables.computeIfAbsent(s.slice(), n -> new TreeMap<>());
             table.clear();
             s.lines().forEach(line -> table.put(line.server(), line.weight()));
-            look(s.proxy(), proxy(s.proxy()), s.slice(), s.at());
+            updateBare(s.proxy(), proxy(s.proxy()), s.slice(), s.at());
         } else if (seen instanceof Seen.OwnerRead s) {
-            proxy(s.proxy()).owner.put(s.slice(), s.coordinator());
-            look(s.proxy(), proxy(s.proxy()), s.slice(), s.at());
+            proxy(s.proxy()).owners.put(s.slice(), s.coordinator());
+            updateBare(s.proxy(), proxy(s.proxy()), s.slice(), s.at());
         } else if (seen instanceof Seen.Sent s) {
-            sent(s);
+            checkAttempt(s);
         } else if (seen instanceof Seen.Ended s) {
-            List<Try> tries = flows.get(s.flow());
-            if (tries != null) {
-                tries.replaceAll(t -> t.sent().attempt() == s.attempt() ? new Try(t.sent(), s) : t);
+            List<Attempt> flowAttempts = attemptsByFlow.get(s.flow());
+            if (flowAttempts != null) {
+                flowAttempts.replaceAll(t -> t.sent().attempt() == s.attempt() ? new Attempt(t.sent(), s) : t);
             }
         } else if (seen instanceof Seen.Ran s) {
-            ran(s);
+            checkRun(s);
         } else if (seen instanceof Seen.Started s) {
-            Cold now = new Cold();
-            now.start = s;
-            cold.put(s.server(), now);
+            ColdServer server = new ColdServer();
+            server.start = s;
+            coldServers.put(s.server(), server);
         }
     }
 
@@ -228,7 +288,7 @@
         return proxies.computeIfAbsent(number, n -> new Proxy());
     }
 
-    private void listTold(Seen.ListTold told) {
+    private void applyList(Seen.ListTold told) {
         if (told.kind() == Event.ListKind.BROKEN) {
             return;
         }
@@ -238,69 +298,72 @@
             named.add(entry.server());
             Server server = coordinator.servers.computeIfAbsent(entry.server(), s -> new Server());
             if (entry.listed() == Event.Listed.READY) {
-                if (!server.listed || entry.startedNs() != server.started) {
+                if (!server.listed || entry.startedNs() != server.startedNs) {
                     server.startToldAt = told.at();
                 }
                 server.ready = server.listed = true;
-                server.leftAt = 0;
-                server.started = entry.startedNs();
+                server.unavailableSince = 0;
+                server.startedNs = entry.startedNs();
             } else if (!config.goneStays || entry.listed() == Event.Listed.DRAINING) {
-                leaves(server, told.at());
+                markUnavailable(server, told.at());
             }
         }
         if (told.kind() != Event.ListKind.PATCH) {
             coordinator.servers.forEach((id, server) -> {
                 if (!named.contains(id) && !config.goneStays) {
-                    leaves(server, told.at());
+                    markUnavailable(server, told.at());
                 }
             });
         }
     }
 
-    private static void leaves(Server server, long at) {
-        server.leftAt = server.ready ? at : server.leftAt;
+    private static void markUnavailable(Server server, long at) {
+        server.unavailableSince = server.ready ? at : server.unavailableSince;
         server.ready = false;
     }
 
-    private void coordinatorChanged(int number, long at) {
-        proxies.forEach((n, proxy) -> proxy.owner.forEach((slice, owner) -> {
+    /** Updates the slices that the coordinator is in charge of, at each proxy. */
+    private void recheckSlicesOf(int number, long at) {
+        proxies.forEach((n, proxy) -> proxy.owners.forEach((slice, owner) -> {
             if (owner == number) {
-                look(n, proxy, slice, at);
+                updateBare(n, proxy, slice, at);
             }
         }));
     }
 
-    // ---- Nobody left without a backend.
+    // ---- Rule BARE.
 
-    /** Looks whether the proxy can pick a line for the slice now, and minds since when it cannot. */
-    private void look(int number, Proxy proxy, int slice, long at) {
-        int owner = proxy.owner.getOrDefault(slice, -1);
+    /** Updates since when the proxy has no server to choose for the slice. */
+    private void updateBare(int number, Proxy proxy, int slice, long at) {
+        int owner = proxy.owners.getOrDefault(slice, -1);
         Set<String> masks = proxy.masks.getOrDefault(owner, Set.of());
         TreeMap<String, Double> table = proxy.tables.get(slice);
-        boolean bare = (table == null || masks.containsAll(table.keySet())) && binding(proxy, owner, slice, at);
+        boolean bare =
+                (table == null || masks.containsAll(table.keySet())) && mustProvideBackend(proxy, owner, slice, at);
         Long since = proxy.bareSince.get(slice);
         if (bare && since == null) {
             proxy.bareSince.put(slice, at);
         } else if (!bare && since != null) {
-            bareFor(number, slice, since, at);
+            endBare(number, slice, since, at);
             proxy.bareSince.remove(slice);
         }
     }
 
-    /** Whether the coordinator in charge is bound to see that the proxy has a line: it could give one. */
-    private boolean binding(Proxy proxy, int owner, int slice, long at) {
+    /** Returns whether the coordinator in charge must provide a backend: it reaches the proxy and knows a warm one. */
+    private boolean mustProvideBackend(Proxy proxy, int owner, int slice, long at) {
         Coordinator coordinator = coordinators.get(owner);
         return coordinator != null
                 && proxy.joinedAt.containsKey(owner)
-                && coordinator.chargeAt.containsKey(slice)
+                && coordinator.inChargeSince.containsKey(slice)
                 && coordinator.servers.values().stream()
-                        .anyMatch(s -> s.ready && (s.started == 0 || at - s.started >= config.warmNs));
+                        .anyMatch(s -> s.ready && (s.startedNs == 0 || at - s.startedNs >= config.warmNs));
     }
 
-    private void bareFor(int number, int slice, long since, long until) {
-        longestBare = Math.max(longestBare, until - since);
+    /** Takes account of an interval that the proxy had no backend for the slice. */
+    private void endBare(int number, int slice, long since, long until) {
+        longestBareNs = Math.max(longestBareNs, until - since);
         if (until - since > config.bareNs) {
-            found(
+            report(
                     Rule.BARE,
                     until,
                     number + "/" + slice,
@@ -309,92 +372,94 @@
         }
     }
 
-    private void endOfRecord(long at) {
+    private void finish(long at) {
         proxies.forEach((number, proxy) ->
-                Map.copyOf(proxy.bareSince).forEach((slice, since) -> bareFor(number, slice, since, at)));
-        forget(Long.MAX_VALUE);
-        runs.values().forEach(this::effects);
-        queues.forEach((number, queue) -> drain(number, queue, Long.MAX_VALUE));
+                Map.copyOf(proxy.bareSince).forEach((slice, since) -> endBare(number, slice, since, at)));
+        judgeFlowsBegunBefore(Long.MAX_VALUE);
+        runsByFlow.values().forEach(this::checkEffects);
+        queues.forEach((number, queue) -> applyChanges(number, queue, Long.MAX_VALUE));
     }
 
-    // ---- One voice for each slice.
+    // ---- Rule VOICE.
 
-    /** A term belongs to one coordinator, and a proxy never goes back to an older one. */
-    private void took(Seen.Took took) {
-        Integer voice =
-                voices.computeIfAbsent(took.slice(), s -> new HashMap<>()).putIfAbsent(took.term(), took.coordinator());
-        if (voice != null && voice != took.coordinator()) {
-            found(
+    /** Checks that the term belongs to one coordinator and that the proxy does not return to an older one. */
+    private void checkTerm(Seen.Took took) {
+        Integer known = coordinatorByTerm
+                .computeIfAbsent(took.slice(), s -> new HashMap<>())
+                .putIfAbsent(took.term(), took.coordinator());
+        if (known != null && known != took.coordinator()) {
+            report(
                     Rule.VOICE,
                     took.at(),
                     "two " + took.slice() + " " + took.term(),
-                    "orders for slice " + took.slice() + " under term " + took.term() + " from coordinators " + voice
+                    "orders for slice " + took.slice() + " under term " + took.term() + " from coordinators " + known
                             + " and " + took.coordinator());
         }
-        Map<Integer, Long> latest = proxy(took.proxy()).terms;
+        Map<Integer, Long> latest = proxy(took.proxy()).latestTerms;
         long before = latest.getOrDefault(took.slice(), 0L);
         if (took.term() < before) {
-            found(
+            report(
                     Rule.VOICE,
                     took.at(),
                     "back " + took.proxy() + " " + took.slice(),
-                    "proxy " + took.proxy() + " took orders " + "for slice " + took.slice() + " under term "
+                    "proxy " + took.proxy() + " applied orders " + "for slice " + took.slice() + " under term "
                             + took.term() + " after " + before);
         }
         latest.merge(took.slice(), took.term(), Math::max);
     }
 
-    // ---- What proxies hold.
+    // ---- State of the proxies.
 
-    private void applied(Seen.Applied applied) {
+    private void applyOrders(Seen.Applied applied) {
         Proxy proxy = proxy(applied.proxy());
         Set<String> masks = proxy.masks.computeIfAbsent(applied.coordinator(), c -> new TreeSet<>());
         Set<Integer> touched = new TreeSet<>();
         boolean maskChanged = false;
         for (Order order : applied.orders()) {
-            if (order instanceof Order.SetLine o && proxy.owner.getOrDefault(o.table(), -1) == applied.coordinator()) {
+            if (order instanceof Order.SetLine o && proxy.owners.getOrDefault(o.table(), -1) == applied.coordinator()) {
                 TreeMap<String, Double> table = proxy.tables.computeIfAbsent(o.table(), t -> new TreeMap<>());
                 if (config.soleOwner && o.weight() > 0) {
                     table.clear();
                     latestOwner.merge(
                             o.table(),
-                            new Owner(applied.orderedAtNs(), o.server()),
-                            (a, b) -> b.orderedAtNs() >= a.orderedAtNs() ? b : a);
+                            new OwnerOrder(applied.orderedAtNs(), o.server()),
+                            (latest, next) -> next.orderedAtNs() >= latest.orderedAtNs() ? next : latest);
                 }
                 table.compute(o.server(), (s, was) -> o.weight() > 0 ? o.weight() : null);
                 touched.add(o.table());
             } else if (order instanceof Order.ClearTable o
-                    && proxy.owner.getOrDefault(o.table(), -1) == applied.coordinator()) {
+                    && proxy.owners.getOrDefault(o.table(), -1) == applied.coordinator()) {
                 proxy.tables.remove(o.table());
                 touched.add(o.table());
             } else if (order instanceof Order.Mask o) {
                 maskChanged |= o.out() ? masks.add(o.server()) : masks.remove(o.server());
             }
         }
-        proxy.lastOrderAt.put(applied.coordinator(), applied.orderedAtNs());
+        proxy.lastOrderedAt.put(applied.coordinator(), applied.orderedAtNs());
         if (maskChanged) {
-            touched.addAll(proxy.owner.keySet());
+            touched.addAll(proxy.owners.keySet());
         }
-        touched.forEach(slice -> look(applied.proxy(), proxy, slice, applied.at()));
+        touched.forEach(slice -> updateBare(applied.proxy(), proxy, slice, applied.at()));
     }
 
-    // ---- A short queue.
+    // ---- Rule QUEUE.
 
-    private void arrived(Seen.Arrived arrived) {
+    private void countQueuedLines(Seen.Arrived arrived) {
         ordersFrames++;
-        Queue queue = queues.computeIfAbsent(arrived.coordinator(), c -> new Queue());
-        queue.steps.add(new Step(arrived.orderedAtNs(), config.headLines + arrived.lines()));
-        queue.steps.add(new Step(Math.max(arrived.at(), arrived.orderedAtNs()), -config.headLines - arrived.lines()));
-        drain(arrived.coordinator(), queue, arrived.at() - LONGEST_WAY_NS);
+        LineQueue queue = queues.computeIfAbsent(arrived.coordinator(), c -> new LineQueue());
+        queue.changes.add(new QueueChange(arrived.orderedAtNs(), config.headLines + arrived.lines()));
+        queue.changes.add(
+                new QueueChange(Math.max(arrived.at(), arrived.orderedAtNs()), -config.headLines - arrived.lines()));
+        applyChanges(arrived.coordinator(), queue, arrived.at() - MAX_TRANSIT_NS);
         ArrayDeque<Long> times =
-                proxy(arrived.proxy()).messages.computeIfAbsent(arrived.coordinator(), c -> new ArrayDeque<>());
+                proxy(arrived.proxy()).messageTimes.computeIfAbsent(arrived.coordinator(), c -> new ArrayDeque<>());
         times.addLast(arrived.orderedAtNs());
         while (times.peekLast() - times.peekFirst() > config.messagesSpanNs) {
             times.pollFirst();
         }
         mostMessages = Math.max(mostMessages, times.size());
         if (config.messages > 0 && times.size() > config.messages) {
-            found(
+            report(
                     Rule.QUEUE,
                     arrived.at(),
                     "messages " + arrived.coordinator() + "/" + arrived.proxy(),
@@ -404,133 +469,138 @@
         }
     }
 
-    /** A message waits from its turn to its arrival; on one machine the way itself takes next to nothing. */
-    private void drain(int number, Queue queue, long until) {
-        while (!queue.steps.isEmpty() && queue.steps.peek().at() <= until) {
-            Step step = queue.steps.poll();
-            queue.waiting += step.lines();
-            mostQueued = Math.max(mostQueued, queue.waiting);
-            if (queue.waiting > config.queueLines) {
-                found(
+    /**
+     * Applies the changes of the queue up to that time. A message counts as waiting from its turn to its arrival, since
+     * transit within one machine takes almost no time.
+     */
+    private void applyChanges(int number, LineQueue queue, long until) {
+        while (!queue.changes.isEmpty() && queue.changes.peek().at() <= until) {
+            QueueChange change = queue.changes.poll();
+            queue.waitingLines += change.lines();
+            mostQueued = Math.max(mostQueued, queue.waitingLines);
+            if (queue.waitingLines > config.queueLines) {
+                report(
                         Rule.QUEUE,
-                        step.at(),
+                        change.at(),
                         "lines " + number,
-                        "coordinator " + number + " had " + Math.round(queue.waiting) + " lines waiting, "
+                        "coordinator " + number + " had " + Math.round(queue.waitingLines) + " lines waiting, "
                                 + Math.round(config.queueLines) + " allowed");
             }
         }
     }
 
-    // ---- Drains kept, and no cold backend pushed over.
+    // ---- Rules DRAIN and COLD.
 
-    private void sent(Seen.Sent sent) {
+    private void checkAttempt(Seen.Sent sent) {
         attempts++;
-        flows.computeIfAbsent(sent.flow(), f -> {
-                    begun.addLast(sent);
+        attemptsByFlow
+                .computeIfAbsent(sent.flow(), f -> {
+                    firstAttempts.addLast(sent);
                     return new ArrayList<>(1);
                 })
-                .add(new Try(sent, null));
-        forget(sent.at() - flowNs);
+                .add(new Attempt(sent, null));
+        judgeFlowsBegunBefore(sent.at() - flowLifetimeNs);
         Proxy proxy = proxy(sent.proxy());
         Coordinator coordinator = coordinators.get(sent.coordinator());
         Long joined = proxy.joinedAt.get(sent.coordinator());
         Server server = coordinator == null ? null : coordinator.servers.get(sent.server());
-        Long charge = coordinator == null ? null : coordinator.chargeAt.get(sent.slice());
-        if (server != null && joined != null && charge != null && !server.ready && server.leftAt > 0) {
-            long from = Math.max(server.leftAt, Math.max(joined, charge));
-            latestDrain = Math.max(latestDrain, sent.at() - from);
+        Long inCharge = coordinator == null ? null : coordinator.inChargeSince.get(sent.slice());
+        if (server != null && joined != null && inCharge != null && !server.ready && server.unavailableSince > 0) {
+            long from = Math.max(server.unavailableSince, Math.max(joined, inCharge));
+            latestDrainNs = Math.max(latestDrainNs, sent.at() - from);
             if (sent.at() - from > config.graceNs) {
-                found(
+                report(
                         Rule.DRAIN,
                         sent.at(),
                         sent.proxy() + "/" + sent.server(),
                         "proxy " + sent.proxy()
                                 + " sent to " + sent.server() + " " + (sent.at() - from) / 1_000_000
-                                + " ms after coordinator " + sent.coordinator() + " was bound to stop it, "
+                                + " ms after coordinator " + sent.coordinator() + " had to stop it, "
                                 + config.graceNs / 1_000_000 + " allowed");
             }
         }
-        Cold start = cold.get(sent.server());
-        // Of this start: one that was told of an earlier life knows nothing of this one.
-        boolean knowing = server != null
+        ColdServer cold = coldServers.get(sent.server());
+        // Informed of this start: what a proxy was told of an earlier process does not hold for the present one.
+        boolean informed = server != null
                 && server.ready
                 && joined != null
-                && start != null
-                && server.started == start.start.at()
-                && (proxy.lastOrderAt.getOrDefault(sent.coordinator(), Long.MIN_VALUE) > server.startToldAt
+                && cold != null
+                && server.startedNs == cold.start.at()
+                && (proxy.lastOrderedAt.getOrDefault(sent.coordinator(), Long.MIN_VALUE) > server.startToldAt
                         || sent.at() - server.startToldAt > config.graceNs);
-        coldLoad(sent, start, knowing);
+        checkColdLoad(sent, cold, informed);
     }
 
-    private void coldLoad(Seen.Sent sent, Cold server, boolean knowing) {
+    /** Reports an overload of a cold server if informed proxies sent at least two thirds of the work. */
+    private void checkColdLoad(Seen.Sent sent, ColdServer server, boolean informed) {
         if (server == null
                 || server.start.coldNs() <= 0
                 || sent.at() - server.start.at() > server.start.coldNs() + config.fallNs) {
             return;
         }
-        server.window.addLast(new Load(sent.at(), sent.workNs(), knowing));
-        server.work += sent.workNs();
-        server.knowing += knowing ? sent.workNs() : 0;
+        server.window.addLast(new SentWork(sent.at(), sent.workNs(), informed));
+        server.workNs += sent.workNs();
+        server.informedWorkNs += informed ? sent.workNs() : 0;
         while (sent.at() - server.window.peekFirst().at() > config.fallNs) {
-            Load old = server.window.pollFirst();
-            server.work -= old.workNs();
-            server.knowing -= old.knowing() ? old.workNs() : 0;
+            SentWork old = server.window.pollFirst();
+            server.workNs -= old.workNs();
+            server.informedWorkNs -= old.informed() ? old.workNs() : 0;
         }
         double budget = config.fallMultiple * capacity(server.start, sent.at()) * config.fallNs;
-        if (server.knowing >= server.work * 2 / 3) {
-            mostCold = Math.max(mostCold, server.work / budget);
-            // A tenth of slack for chance, as draws of work are uneven over a second.
-            if (server.work > 1.1 * budget) {
-                found(
+        if (server.informedWorkNs >= server.workNs * 2 / 3) {
+            mostColdPart = Math.max(mostColdPart, server.workNs / budget);
+            // Ten percent of tolerance, since the random work of flows is uneven over a second.
+            if (server.workNs > 1.1 * budget) {
+                report(
                         Rule.COLD,
                         sent.at(),
                         sent.server() + server.start.at(),
                         "cold " + sent.server() + " was sent "
-                                + String.format(
-                                        java.util.Locale.ROOT, "%.2f", server.work / budget * config.fallMultiple)
-                                + " times what it can do, " + config.fallMultiple + " allowed, "
+                                + String.format(Locale.ROOT, "%.2f", server.workNs / budget * config.fallMultiple)
+                                + " times its present capacity, " + config.fallMultiple + " allowed, "
                                 + (sent.at() - server.start.at()) / 1_000_000 + " ms after its start");
             }
         }
     }
 
-    /** Work a second in nanoseconds of one core of speed 1, by the server's age. */
+    /** Returns what the server can do at its age, in cores of speed 1. */
     private static double capacity(Seen.Started start, long at) {
         double age = start.coldNs() <= 0 ? 1 : Math.min(1, Math.max(0, (double) (at - start.at()) / start.coldNs()));
         return start.cores() * start.speed() * (start.coldFrom() + (1 - start.coldFrom()) * age);
     }
 
-    // ---- No effect twice.
+    // ---- Rule TWICE.
 
-    private void ran(Seen.Ran ran) {
+    private void checkRun(Seen.Ran ran) {
         if (ran.begins()) {
-            runs.computeIfAbsent(ran.flow(), f -> new ArrayList<>(1)).add(ran);
+            runsByFlow.computeIfAbsent(ran.flow(), f -> new ArrayList<>(1)).add(ran);
         }
         boolean write = config.groups.get(ran.group()).repeats() != CoordinatorConfig.Repeats.RETRIABLE;
         if (!config.soleOwner || !write) {
             return;
         }
-        Map<Long, String> held = writing.computeIfAbsent(ran.slice(), s -> new HashMap<>());
+        Map<Long, String> active = activeWrites.computeIfAbsent(ran.slice(), s -> new HashMap<>());
         if (!ran.begins()) {
-            held.remove(ran.flow());
+            active.remove(ran.flow());
             return;
         }
-        held.values().stream()
+        active.values().stream()
                 .filter(s -> !s.equals(ran.server()))
                 .findFirst()
-                .ifPresent(other -> found(
+                .ifPresent(other -> report(
                         Rule.TWICE,
                         ran.at(),
                         "owners " + ran.slice(),
-                        "writes of slice " + ran.slice() + " at " + ran.server() + " and " + other + " at a time"));
-        held.put(ran.flow(), ran.server());
+                        "writes of slice " + ran.slice() + " at " + ran.server() + " and " + other
+                                + " at the same time"));
+        active.put(ran.flow(), ran.server());
         String last = lastWriter.put(ran.slice(), ran.server());
-        Owner now = latestOwner.get(ran.slice());
+        OwnerOrder ordered = latestOwner.get(ran.slice());
         if (last != null
                 && !last.equals(ran.server())
-                && now != null
-                && !now.server().equals(ran.server())) {
-            found(
+                && ordered != null
+                && !ordered.server().equals(ran.server())) {
+            report(
                     Rule.TWICE,
                     ran.at(),
                     "former " + ran.slice(),
@@ -538,40 +608,43 @@
         }
     }
 
-    private void forget(long before) {
-        while (!begun.isEmpty() && (begun.peekFirst().at() < before || before == Long.MAX_VALUE)) {
-            long flow = begun.pollFirst().flow();
-            tries(flows.remove(flow));
-            List<Seen.Ran> ran = runs.remove(flow);
+    /** Checks and drops the flows whose first attempt was earlier; {@link Long#MAX_VALUE}: all. */
+    private void judgeFlowsBegunBefore(long before) {
+        while (!firstAttempts.isEmpty() && (firstAttempts.peekFirst().at() < before || before == Long.MAX_VALUE)) {
+            long flow = firstAttempts.pollFirst().flow();
+            checkRetries(attemptsByFlow.remove(flow));
+            List<Seen.Ran> ran = runsByFlow.remove(flow);
             if (ran != null) {
-                effects(ran);
+                checkEffects(ran);
             }
         }
     }
 
-    private void tries(List<Try> tries) {
-        for (int i = 1; i < tries.size(); i++) {
-            Seen.Sent again = tries.get(i).sent();
+    /** Checks that a non-retriable flow was sent again only with proof that the attempt before never ran. */
+    private void checkRetries(List<Attempt> flowAttempts) {
+        for (int i = 1; i < flowAttempts.size(); i++) {
+            Seen.Sent again = flowAttempts.get(i).sent();
             CoordinatorConfig.Group group = config.groups.get(again.group());
-            Seen.Ended before = tries.get(i - 1).ended();
+            Seen.Ended before = flowAttempts.get(i - 1).ended();
             boolean mayHaveRun = before == null || !before.proof();
             if (mayHaveRun && group.repeats() == CoordinatorConfig.Repeats.NON_RETRIABLE) {
-                found(
+                report(
                         Rule.TWICE,
                         again.at(),
                         "resent " + group.name(),
                         "proxy " + again.proxy() + " sent a " + group.name()
-                                + " flow again without proof that its first try never ran");
+                                + " flow again without proof that the attempt before never ran");
             }
         }
     }
 
-    private void effects(List<Seen.Ran> all) {
+    /** Checks that the flow took effect once, or again only as its group allows. */
+    private void checkEffects(List<Seen.Ran> all) {
         CoordinatorConfig.Group group = config.groups.get(all.get(0).group());
         for (int i = 1; i < all.size(); i++) {
             Seen.Ran first = all.get(0);
             Seen.Ran again = all.get(i);
-            boolean scope =
+            boolean inScope =
                     switch (group.scope()) {
                         case "zone" -> first.zone() == again.zone();
                         case "cell" -> first.cell() == again.cell();
@@ -580,11 +653,11 @@
             boolean broken =
                     switch (group.repeats()) {
                         case RETRIABLE -> false;
-                        case DEDUPED -> !scope || again.at() - first.at() > group.windowNs();
+                        case DEDUPED -> !inScope || again.at() - first.at() > group.windowNs();
                         case NON_RETRIABLE -> true;
                     };
             if (broken) {
-                found(
+                report(
                         Rule.TWICE,
                         again.at(),
                         "ran " + group.name(),
@@ -594,7 +667,7 @@
         }
     }
 
-    /** The rules in the order pages name them. */
+    /** Returns the rules in the order of reports. */
     public static List<Rule> rules() {
         return Arrays.asList(Rule.values());
     }
--- a/src/main/java/puffinbarrow/audit/Recorder.java
+++ b/src/main/java/puffinbarrow/audit/Recorder.java
@@ -6,27 +6,33 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** Collects what stand-ins see, from any thread, up to a cap; a record that overflowed cannot be judged. */
+/**
+ * Collects what the stand-in servers observe, up to a limit; a recording that exceeded it cannot be judged. All methods
+ * may be called from any thread.
+ */
 public final class Recorder {
     private final ConcurrentLinkedQueue<Seen> queue = new ConcurrentLinkedQueue<>();
     private final AtomicLong count = new AtomicLong();
-    private final long most;
+    private final long capacity;
 
-    public Recorder(long most) {
-        this.most = most;
+    /** @param capacity number of events that are kept; further ones are counted and dropped */
+    public Recorder(long capacity) {
+        this.capacity = capacity;
     }
 
+    /** Adds an event, or drops it if the recorder is full. */
     public void add(Seen seen) {
-        if (count.incrementAndGet() <= most) {
+        if (count.incrementAndGet() <= capacity) {
             queue.add(seen);
         }
     }
 
+    /** Returns the number of events that were dropped. */
     public long lost() {
-        return Math.max(0, count.get() - most);
+        return Math.max(0, count.get() - capacity);
     }
 
-    /** All so far in order of time; equal times keep the order they came in. */
+    /** Returns the events so far in order of time; events of equal time keep the order in which they were added. */
     public List<Seen> all() {
         List<Seen> all = new ArrayList<>(queue);
         all.sort(Comparator.comparingLong(Seen::at));
--- a/src/main/java/puffinbarrow/config/CoordinatorConfig.java
+++ b/src/main/java/puffinbarrow/config/CoordinatorConfig.java
@@ -10,71 +10,130 @@
 import java.util.TreeMap;
 import puffinbarrow.control.Settings;
 
-/** The settings of one coordinator, decoded once at start; docs/settings.md lists the keywords. */
+/**
+ * The settings of one coordinator, decoded once at start; docs/settings.md lists the keywords. A field that the file
+ * does not set keeps its initial value as the default. Commands, tests and the emulator may change fields before the
+ * coordinator starts; after that only {@link #adopt} does, when the settings are reloaded. Times are nanoseconds.
+ */
 public final class CoordinatorConfig {
-    /** What may be repeated, and within what scope. */
+    /**
+     * Whether a flow of a group may be executed more than once: freely, within the scope and window in which servers
+     * drop duplicates, or not at all.
+     */
     public enum Repeats {
         RETRIABLE,
         DEDUPED,
         NON_RETRIABLE
     }
 
+    /**
+     * A traffic group.
+     *
+     * @param name unique within the file
+     * @param utility value of a flow that is delivered within its budget
+     * @param budgetNs latency budget, at most {@code expiryNs}
+     * @param expiryNs time after which the answer is of no use
+     * @param scope where servers recognise duplicates of a deduped flow: {@code all}, {@code zone} or {@code cell}
+     * @param windowNs how long servers recognise duplicates of a deduped flow; 0 for other groups
+     */
     public record Group(
             String name, double utility, long budgetNs, long expiryNs, Repeats repeats, String scope, long windowNs) {}
 
+    /** Number of this coordinator, from 0 to {@link #of} - 1. */
     public int number;
+    /** Number of coordinators. */
     public int of = 1;
+    /** Zone of this coordinator, one of {@link #zones}; empty: not stated. */
     public String zone = "";
+
     public List<String> zones = List.of("zone-0");
+    /** Where proxies and peers connect; port 0: any free port. */
     public InetSocketAddress listen = new InetSocketAddress("127.0.0.1", 0);
+    /** Where status requests are answered; port 0: any free port. */
     public InetSocketAddress admin = new InetSocketAddress("127.0.0.1", 0);
+
     public InetSocketAddress registry;
+    /** The registry sends the server list only on request; false: it pushes changes. */
     public boolean listOnRequest;
+    /** The table store; null: none, allowed only without slices. */
     public InetSocketAddress store;
+    /** Address of each other coordinator, by its number. */
     public final TreeMap<Integer, InetSocketAddress> peers = new TreeMap<>();
+    /** Seed of all random choices. */
     public long seed = 1;
+
     public final List<Group> groups = new ArrayList<>();
+    /** Number of slices that keys are hashed into; 0: no slices. */
     public int slices;
+    /** Each slice has at most one server at a time. */
     public boolean soleOwner;
+    /** Meaning of levels at the proxies: {@code share} of the flows, flow {@code rate}, or {@code off}. */
     public String levels = "share";
+    /** Most lines that may wait in the channel to the proxies. */
     public double queueLines = 4000;
+    /** Lines that the channel to the proxies carries per second. */
     public double linesPerS = 4000;
+    /** Overhead of one message, in lines. */
     public double headLines = 12;
+    /** Most messages to one proxy within {@link #messagesSpanNs}; 0: no limit. */
     public int messages;
+
     public long messagesSpanNs = 10_000_000_000L;
+    /** Time between two reports of a proxy. */
     public long roundNs = 1_000_000_000L;
+    /** Report lines that the coordinator takes in per second. */
     public double intakePerS = 300;
+    /** Time within which proxies must have stopped sending to a server that drains or is gone. */
     public long graceNs = 3_000_000_000L;
+    /** Longest time that a proxy may be without a backend for a slice. */
     public long bareNs = 6_000_000_000L;
+    /** Age at which a backend is warm at the latest. */
     public long warmNs = 17_000_000_000L;
+    /** Part of its full capacity that a backend has right after its start, 0 to 1. */
     public double coldShare = 0.15;
+    /** A cold backend that gets more than this multiple of its present capacity for {@link #fallNs} crashes. */
     public double fallMultiple = 4;
+
     public long fallNs = 1_500_000_000L;
+    /** The coordinator probes backends. */
     public boolean probes;
+    /** A server that disappears from the list stays in use; false: proxies must stop sending to it. */
     public boolean goneStays;
+    /** Time between two batches of decisions. */
     public long tickNs = 2_000_000;
-    /** Coordinators share the slices themselves; 0: the store deals them. */
+    /** Length of a lease with which coordinators divide the slices among themselves; 0: the store assigns them. */
     public long leaseNs;
-    /** A proxy stops sending writes to a single owner so long after its stream broke or the slice changed hands. */
+    /** How long a proxy still sends writes to a single owner after its stream broke or the slice changed hands. */
     public long proxyLeaseNs = 1_500_000_000L;
 
+    /** Most frames that may wait for the next batch. */
     public int inbox = 65_536;
+    /** Most bytes that may wait to be sent on one stream. */
     public long outboundBytes = 4 << 20;
+    /** Longest frame that is accepted, in bytes. */
     public int frameBytes = 1 << 20;
+    /** Time within which a new stream must send its hello. */
     public long helloNs = 5_000_000_000L;
+    /** Time after which a silent stream is closed. */
     public long idleNs = 15_000_000_000L;
+    /** Log lines are JSON; false: text. */
     public boolean logJson;
+
     public String logLevel = "info";
+    /** File that the bound ports are written to; null: none. */
     public Path portFile;
+    /** Folder that batches whose decision failed are written to; null: none. */
     public Path failedBatches;
+    /** Folder of what is remembered across restarts; null: nothing is. */
     public Path memory;
+    /** Most bytes of disk that {@link #memory} may take. */
     public long memoryBytes = 64 << 20;
 
-    /** Keyword to its words, as help and as what "did you mean" knows. */
+    /** Each keyword with its arguments, for the help text and the "did you mean" hints. */
     static final Map<String, String> KEYWORDS = new LinkedHashMap<>();
 
     static {
-        String[][] all = {
+        String[][] entries = {
             {"coordinator", "NUMBER of COUNT"},
             {"zone", "NAME"},
             {"zones", "NAME..."},
@@ -114,25 +173,29 @@
             {"proxy-lease", "TIME"},
             {"include", "FILE"}
         };
-        for (String[] each : all) {
-            KEYWORDS.put(each[0], each[1]);
+        for (String[] entry : entries) {
+            KEYWORDS.put(entry[0], entry[1]);
         }
     }
 
-    /** What a running coordinator may take up from a file read again; all else needs a start. */
-    private static final List<String> ALIVE = List.of("log", "inbox", "idle", "hello");
+    /** Keywords that a running coordinator accepts from a reloaded file; changes of the others need a restart. */
+    private static final List<String> RELOADABLE = List.of("log", "inbox", "idle", "hello");
 
     private static final List<String> REPEATABLE = List.of("group", "peer");
 
-    private final Map<String, Statement> at = new LinkedHashMap<>();
+    /** The first statement of each keyword. */
+    private final Map<String, Statement> firstByKeyword = new LinkedHashMap<>();
+
     private List<Statement> statements = List.of();
 
     private CoordinatorConfig() {}
 
+    /** Reads the file and its includes; all mistakes are added to {@code problems}, and none stops the reading. */
     public static CoordinatorConfig read(Path file, List<Problem> problems) {
         return of(Lines.read(file, problems), file.toString(), problems);
     }
 
+    /** Parses the text as {@link #read} does a file; {@code name} stands for the file in problems. */
     public static CoordinatorConfig parse(String name, String text, List<Problem> problems) {
         return of(Lines.parse(name, text, problems), name, problems);
     }
@@ -141,17 +204,17 @@
         CoordinatorConfig config = new CoordinatorConfig();
         config.statements = statements;
         for (Statement statement : statements) {
-            config.take(statement, problems);
+            config.apply(statement, problems);
         }
-        config.whole(name, problems);
+        config.validate(name, problems);
         problems.sort(Comparator.comparing(Problem::file).thenComparing(Problem::line));
         return config;
     }
 
-    /** The same settings as those, with sockets by default; for replays of a record that has decoded settings. */
+    /** Returns a configuration with the given decision settings and default sockets, for replaying a recording. */
     public static CoordinatorConfig of(Settings from, long seed) {
         CoordinatorConfig config = new CoordinatorConfig();
-        // The number is told to no decision; the largest leaves all others to the peers of the record.
+        // Decisions do not see the number; the largest leaves all others to the peers in the recording.
         config.number = 999;
         config.of = 1000;
         config.seed = seed;
@@ -184,220 +247,226 @@
         return config;
     }
 
-    private void take(Statement statement, List<Problem> problems) {
+    private void apply(Statement statement, List<Problem> problems) {
         String keyword = statement.keyword();
         if (!KEYWORDS.containsKey(keyword)) {
-            String near = Words.nearest(keyword, KEYWORDS.keySet());
+            String suggestion = Words.nearest(keyword, KEYWORDS.keySet());
             problems.add(statement.problem("unknown keyword '" + keyword + "', expected one of the settings"
-                    + (near == null ? "" : " (did you mean " + near + " " + KEYWORDS.get(near) + "?)")));
+                    + (suggestion == null
+                            ? ""
+                            : " (did you mean " + suggestion + " " + KEYWORDS.get(suggestion) + "?)")));
             return;
         }
-        Statement before = at.putIfAbsent(keyword, statement);
+        Statement before = firstByKeyword.putIfAbsent(keyword, statement);
         if (before != null && !REPEATABLE.contains(keyword)) {
             problems.add(statement.problem(
-                    keyword + ": stands twice, expected once (first at " + before.file() + ":" + before.line() + ")"));
+                    keyword + ": given twice, expected once (first at " + before.file() + ":" + before.line() + ")"));
             return;
         }
-        Words w = new Words(statement, problems);
+        Words words = new Words(statement, problems);
         switch (keyword) {
             case "coordinator" -> {
-                number = (int) w.whole("its number", 0, 999);
-                w.expect("of");
-                of = (int) w.whole("how many coordinators there are", 1, 1000);
+                number = (int) words.whole("its number", 0, 999);
+                words.expect("of");
+                of = (int) words.whole("how many coordinators there are", 1, 1000);
             }
-            case "zone" -> zone = w.text("a zone");
-            case "zones" -> zones = names(w);
-            case "listen" -> listen = w.address("where to listen for proxies and peers");
-            case "admin" -> admin = w.address("where to listen for status requests");
+            case "zone" -> zone = words.text("a zone");
+            case "zones" -> zones = names(words);
+            case "listen" -> listen = words.address("where to listen for proxies and peers");
+            case "admin" -> admin = words.address("where to listen for status requests");
             case "registry" -> {
-                registry = w.address("the registry");
-                listOnRequest = w.oneOf("push", "ask").equals("ask");
+                registry = words.address("the registry");
+                listOnRequest = words.oneOf("push", "ask").equals("ask");
             }
-            case "store" -> store = w.address("the table store");
+            case "store" -> store = words.address("the table store");
             case "peer" -> {
-                int peer = (int) w.whole("the peer's number", 0, 999);
-                if (peers.put(peer, w.address("the peer")) != null) {
-                    w.wrong("peer " + peer + " again", "each peer once");
+                int peer = (int) words.whole("the peer's number", 0, 999);
+                if (peers.put(peer, words.address("the peer")) != null) {
+                    words.wrong("peer " + peer + " again", "each peer once");
                 }
             }
-            case "seed" -> seed = w.whole("a seed", 0, Long.MAX_VALUE);
-            case "group" -> group(w);
+            case "seed" -> seed = words.whole("a seed", 0, Long.MAX_VALUE);
+            case "group" -> group(words);
             case "slices" -> {
-                slices = (int) w.whole("how many slices keys fall into", 0, 65_534);
-                soleOwner = w.take("sole-owner");
+                slices = (int) words.whole("how many slices keys fall into", 0, 65_534);
+                soleOwner = words.take("sole-owner");
             }
-            case "levels" -> levels = w.oneOf("share", "rate", "off");
-            case "queue" -> queueLines = w.number("lines that may wait in the channel", 1, 1e9);
-            case "pace" -> linesPerS = w.number("lines a second", 1, 1e9);
-            case "head" -> headLines = w.number("lines a message costs on top", 0, 1e6);
+            case "levels" -> levels = words.oneOf("share", "rate", "off");
+            case "queue" -> queueLines = words.number("lines that may wait in the channel", 1, 1e9);
+            case "pace" -> linesPerS = words.number("lines per second", 1, 1e9);
+            case "head" -> headLines = words.number("overhead lines of a message", 0, 1e6);
             case "messages" -> {
-                messages = (int) w.whole("messages to one proxy (0: no limit)", 0, 1_000_000);
-                w.expect("per");
-                messagesSpanNs = w.time("the span they are counted over");
+                messages = (int) words.whole("messages to one proxy (0: no limit)", 0, 1_000_000);
+                words.expect("per");
+                messagesSpanNs = words.time("the span they are counted over");
             }
-            case "round" -> roundNs = w.time("the time between sums");
-            case "intake" -> intakePerS = w.number("report lines a second", 1, 1e9);
-            case "grace" -> graceNs = w.time("the grace for drains");
-            case "bare" -> bareNs = w.time("how long a proxy may lack a backend");
-            case "warm" -> warmNs = w.time("when a backend is warm at the latest");
-            case "cold-share" -> coldShare = w.share("the part of its work a cold backend can do");
+            case "round" -> roundNs = words.time("the time between reports of a proxy");
+            case "intake" -> intakePerS = words.number("report lines per second", 1, 1e9);
+            case "grace" -> graceNs = words.time("the grace period for drains");
+            case "bare" -> bareNs = words.time("how long a proxy may lack a backend");
+            case "warm" -> warmNs = words.time("when a backend is warm at the latest");
+            case "cold-share" -> coldShare = words.share("the part of its work a cold backend can do");
             case "fall-multiple" -> {
-                fallMultiple = w.number("a multiple of present capacity", 1, 1000);
-                w.expect("for");
-                fallNs = w.time("how long it takes to fall over");
+                fallMultiple = words.number("a multiple of present capacity", 1, 1000);
+                words.expect("for");
+                fallNs = words.time("how long a backend withstands the overload");
             }
-            case "probes" -> probes = w.onOff();
-            case "gone" -> goneStays = w.oneOf("binds", "stays").equals("stays");
-            case "tick" -> tickNs = w.time("the time between batches");
-            case "inbox" -> inbox = (int) w.whole("frames that may wait undecided", 16, 100_000_000);
-            case "outbound" -> outboundBytes = w.size("bytes that may wait for one stream");
-            case "frame" -> frameBytes = (int) Math.min(1 << 28, w.size("the longest frame"));
-            case "hello" -> helloNs = w.time("how long a stream may take to say hello");
-            case "idle" -> idleNs = w.time("how long a stream may be silent");
+            case "probes" -> probes = words.onOff();
+            case "gone" -> goneStays = words.oneOf("binds", "stays").equals("stays");
+            case "tick" -> tickNs = words.time("the time between batches");
+            case "inbox" -> inbox = (int) words.whole("frames that may wait for a decision", 16, 100_000_000);
+            case "outbound" -> outboundBytes = words.size("bytes that may wait for one stream");
+            case "frame" -> frameBytes = (int) Math.min(1 << 28, words.size("the longest frame"));
+            case "hello" -> helloNs = words.time("how long a stream may take to say hello");
+            case "idle" -> idleNs = words.time("how long a stream may be silent");
             case "log" -> {
-                logJson = w.oneOf("text", "json").equals("json");
-                logLevel = w.oneOf("info", "error", "warn", "debug", "trace");
+                logJson = words.oneOf("text", "json").equals("json");
+                logLevel = words.oneOf("info", "error", "warn", "debug", "trace");
             }
-            case "port-file" -> portFile = Path.of(w.text("a path"));
-            case "failed-batches" -> failedBatches = Path.of(w.text("a folder"));
-            case "proxy-lease" -> proxyLeaseNs = w.time("how long a cut-off proxy goes on sending writes");
-            case "lease" -> leaseNs = w.time("how long a coordinator's lease lasts");
+            case "port-file" -> portFile = Path.of(words.text("a path"));
+            case "failed-batches" -> failedBatches = Path.of(words.text("a folder"));
+            case "proxy-lease" -> proxyLeaseNs = words.time("how long a disconnected proxy goes on sending writes");
+            case "lease" -> leaseNs = words.time("how long a coordinator's lease lasts");
             case "memory" -> {
-                memory = Path.of(w.text("a folder"));
-                if (w.take("at-most")) {
-                    memoryBytes = w.size("the most it may take of the disk");
+                memory = Path.of(words.text("a folder"));
+                if (words.take("at-most")) {
+                    memoryBytes = words.size("the most bytes of disk it may take");
                 }
             }
             default -> throw new IllegalStateException(keyword);
         }
-        w.end();
+        words.end();
     }
 
-    private static List<String> names(Words w) {
+    private static List<String> names(Words words) {
         List<String> names = new ArrayList<>();
         do {
-            names.add(w.text("a zone's name"));
-        } while (w.more());
+            names.add(words.text("a zone's name"));
+        } while (words.more());
         return names;
     }
 
-    private void group(Words w) {
-        String name = w.text("the group's name");
-        w.expect("utility");
-        double utility = w.number("its utility", 0, 1e9);
-        w.expect("budget");
-        long budget = w.time("its latency budget");
-        w.expect("expiry");
-        long expiry = w.time("its expiry");
-        String how = w.oneOf("retriable", "deduped", "non-retriable");
+    private void group(Words words) {
+        String name = words.text("the group's name");
+        words.expect("utility");
+        double utility = words.number("its utility", 0, 1e9);
+        words.expect("budget");
+        long budget = words.time("its latency budget");
+        words.expect("expiry");
+        long expiry = words.time("its expiry");
+        String repeatWord = words.oneOf("retriable", "deduped", "non-retriable");
         String scope = "all";
         long window = 0;
         Repeats repeats = Repeats.RETRIABLE;
-        if (how.equals("deduped")) {
+        if (repeatWord.equals("deduped")) {
             repeats = Repeats.DEDUPED;
-            scope = w.oneOf("all", "zone", "cell");
-            window = w.time("how long repeats are dropped");
-        } else if (how.equals("non-retriable")) {
+            scope = words.oneOf("all", "zone", "cell");
+            window = words.time("how long servers drop duplicates");
+        } else if (repeatWord.equals("non-retriable")) {
             repeats = Repeats.NON_RETRIABLE;
         }
-        if (w.sound() && budget > expiry) {
-            w.wrong("a budget over its expiry", "a budget of at most " + expiry / 1e9 + "s");
+        if (words.sound() && budget > expiry) {
+            words.wrong("a budget over its expiry", "a budget of at most " + expiry / 1e9 + "s");
         }
-        if (w.sound() && groups.stream().anyMatch(g -> g.name().equals(name))) {
-            w.wrong("group " + name + " again", "each group once");
+        if (words.sound() && groups.stream().anyMatch(g -> g.name().equals(name))) {
+            words.wrong("group " + name + " again", "each group once");
         }
         groups.add(new Group(name, utility, budget, expiry, repeats, scope, window));
     }
 
-    /** What can only be judged with all lines read. */
-    private void whole(String name, List<Problem> problems) {
+    /** Checks what depends on several lines, or on lines that are missing. */
+    private void validate(String name, List<Problem> problems) {
         for (String needed : List.of("coordinator", "registry", "group")) {
-            if (!at.containsKey(needed)) {
+            if (!firstByKeyword.containsKey(needed)) {
                 problems.add(new Problem(
                         name, 0, "no line '" + needed + "', expected: " + needed + " " + KEYWORDS.get(needed)));
             }
         }
         if (groups.size() > 30) {
-            clash(problems, "group", "found " + groups.size() + " groups, expected 30 at most");
+            addProblem(problems, "group", "found " + groups.size() + " groups, expected 30 at most");
         }
         if (number >= of) {
-            clash(problems, "coordinator", "found number " + number + " of " + of + ", expected one below " + of);
+            addProblem(problems, "coordinator", "found number " + number + " of " + of + ", expected one below " + of);
         }
         if (!zone.isEmpty() && !zones.contains(zone)) {
-            clash(problems, "zone", "found '" + zone + "', expected one of " + String.join(", ", zones));
+            addProblem(problems, "zone", "found '" + zone + "', expected one of " + String.join(", ", zones));
         }
         if (peers.containsKey(number)) {
-            clash(problems, "peer", "found our own number " + number + ", expected that of another coordinator");
+            addProblem(problems, "peer", "found our own number " + number + ", expected that of another coordinator");
         }
         if (slices > 0 && store == null) {
-            clash(problems, "slices", "found slices without a store, expected a line 'store ADDRESS:PORT'");
+            addProblem(problems, "slices", "found slices without a store, expected a line 'store ADDRESS:PORT'");
         }
-        // A message to each proxy costs its head at least; what cannot leave within the grace cannot keep it.
+        // An order that waits longer than the drain grace cannot stop a proxy in time.
         if (queueLines > linesPerS * graceNs / 1e9) {
-            clash(
+            addProblem(
                     problems,
                     "queue",
                     "a full queue of " + (long) queueLines + " lines takes "
                             + Math.round(queueLines / linesPerS * 10) / 10.0 + "s at " + (long) linesPerS
-                            + " lines a second, expected no longer than the grace of " + graceNs / 1e9 + "s");
+                            + " lines per second, expected no longer than the grace period of " + graceNs / 1e9 + "s");
         }
+        // A message costs at least its overhead, so one that fills the queue leaves no room for lines.
         if (headLines >= queueLines) {
-            clash(
+            addProblem(
                     problems,
                     "head",
-                    "found a head of " + headLines + " lines, expected less than the queue's " + queueLines);
+                    "found an overhead of " + headLines + " lines, expected less than the queue's " + queueLines);
         }
         if (tickNs > roundNs) {
-            clash(
+            addProblem(
                     problems,
                     "tick",
-                    "found a tick longer than a round of sums, expected " + roundNs / 1e9 + "s at most");
+                    "found a tick longer than a report round, expected " + roundNs / 1e9 + "s at most");
         }
         if (warmNs > 0 && coldShare <= 0) {
-            clash(problems, "cold-share", "found 0, expected the part a backend can do at its start");
+            addProblem(problems, "cold-share", "found 0, expected the part a backend can do at its start");
         }
     }
 
-    private void clash(List<Problem> problems, String keyword, String text) {
-        Statement where = at.get(keyword);
+    private void addProblem(List<Problem> problems, String keyword, String text) {
+        Statement where = firstByKeyword.get(keyword);
         problems.add(
                 where == null
                         ? new Problem("defaults", 0, keyword + ": " + text)
                         : where.problem(keyword + ": " + text));
     }
 
-    /** The lines that differ from a file read again: those that may not change alive, each with its line. */
-    public List<Problem> refusedChanges(CoordinatorConfig again) {
+    /** Returns a problem for each line that was added, changed or removed in the reloaded file but needs a restart. */
+    public List<Problem> refusedChanges(CoordinatorConfig reloaded) {
         List<Problem> refused = new ArrayList<>();
-        List<List<String>> mine = statements.stream().map(Statement::words).toList();
-        List<List<String>> theirs =
-                again.statements.stream().map(Statement::words).toList();
-        again.statements.stream()
-                .filter(s -> !ALIVE.contains(s.keyword()) && !mine.contains(s.words()))
+        List<List<String>> current = statements.stream().map(Statement::words).toList();
+        List<List<String>> changed =
+                reloaded.statements.stream().map(Statement::words).toList();
+        reloaded.statements.stream()
+                .filter(s -> !RELOADABLE.contains(s.keyword()) && !current.contains(s.words()))
                 .forEach(
                         s -> refused.add(s.problem(s.keyword() + ": cannot change while running, expected a restart")));
         statements.stream()
-                .filter(s -> !ALIVE.contains(s.keyword())
-                        && !theirs.contains(s.words())
-                        && again.statements.stream().noneMatch(t -> t.keyword().equals(s.keyword())))
-                .forEach(s -> refused.add(s.problem(s.keyword() + ": the line is gone, expected a restart")));
+                .filter(s -> !RELOADABLE.contains(s.keyword())
+                        && !changed.contains(s.words())
+                        && reloaded.statements.stream()
+                                .noneMatch(t -> t.keyword().equals(s.keyword())))
+                .forEach(s ->
+                        refused.add(s.problem(s.keyword() + ": cannot be removed while running, expected a restart")));
         return refused;
     }
 
-    /** Takes up what may change alive. */
-    public void adopt(CoordinatorConfig again) {
-        logJson = again.logJson;
-        logLevel = again.logLevel;
-        inbox = again.inbox;
-        idleNs = again.idleNs;
-        helloNs = again.helloNs;
+    /** Copies the settings that may change while the coordinator runs. */
+    public void adopt(CoordinatorConfig reloaded) {
+        logJson = reloaded.logJson;
+        logLevel = reloaded.logLevel;
+        inbox = reloaded.inbox;
+        idleNs = reloaded.idleNs;
+        helloNs = reloaded.helloNs;
     }
 
+    /** Returns the index of this coordinator's zone in {@link #zones}; 0 if it has none. */
     public int zoneIndex() {
         return Math.max(0, zones.indexOf(zone));
     }
 
-    /** What the decisions may read of this. */
+    /** Returns the part of the settings that decisions may read. */
     public Settings settings() {
         return new Settings(
                 listOnRequest,
@@ -423,6 +492,7 @@
                 0);
     }
 
+    /** Returns each keyword with its arguments, in a fixed order. */
     public static Map<String, String> keywords() {
         return KEYWORDS;
     }
--- a/src/main/java/puffinbarrow/config/Lines.java
+++ b/src/main/java/puffinbarrow/config/Lines.java
@@ -10,14 +10,15 @@
 import java.util.Set;
 
 /**
- * Reads the line-based format that all our files share: a keyword and its words on each line, {@code #} begins a
- * comment, double quotes hold a word with blanks (with {@code \"} and {@code \\}), a backslash at the end joins the
- * next line, {@code include FILE} reads another file in its place, found beside the one that names it. All mistakes
- * are collected; none stops the reading.
+ * Reads the line-based format of settings, scenarios, day scripts and experiments: each line is a keyword and its
+ * arguments. {@code #} begins a comment, double quotes enclose a word with blanks (with the escapes {@code \"} and
+ * {@code \\}), a backslash at the end of a line continues it on the next, and {@code include FILE} inserts another
+ * file, whose path is relative to the including one. All mistakes are collected; none stops the reading. An instance
+ * serves one call.
  */
 public final class Lines {
-    /** Deep enough for a site, a role and a machine's own file; a chain of includes beyond it is a mistake. */
-    private static final int DEEPEST = 8;
+    /** Deepest nesting of includes; a site, a role and a machine's own file need less, so more is a mistake. */
+    private static final int MAX_INCLUDE_DEPTH = 8;
 
     private final List<Statement> statements = new ArrayList<>();
     private final List<Problem> problems;
@@ -26,76 +27,81 @@
         this.problems = problems;
     }
 
+    /** Returns the statements of the file and its includes, in order; mistakes are added to {@code problems}. */
     public static List<Statement> read(Path file, List<Problem> problems) {
         Lines lines = new Lines(problems);
-        lines.file(file, new LinkedHashSet<>(), null);
+        lines.readFile(file, new LinkedHashSet<>(), null);
         return lines.statements;
     }
 
+    /** Returns the statements of the text, for which {@code name} stands as the file in problems. */
     public static List<Statement> parse(String name, String text, List<Problem> problems) {
         Lines lines = new Lines(problems);
-        lines.text(name, null, text, new LinkedHashSet<>());
+        lines.parseText(name, null, text, new LinkedHashSet<>());
         return lines.statements;
     }
 
-    private void file(Path file, Set<Path> open, Statement from) {
-        Path whole = file.toAbsolutePath().normalize();
+    /** @param include the statement that includes the file; null for the first file */
+    private void readFile(Path file, Set<Path> open, Statement include) {
+        Path absolute = file.toAbsolutePath().normalize();
         String name = file.toString();
-        if (open.contains(whole) || open.size() >= DEEPEST) {
-            problems.add(from.problem(
-                    open.contains(whole)
-                            ? "include goes round in a circle: " + name
-                            : "include is nested over " + DEEPEST + " deep"));
+        if (open.contains(absolute) || open.size() >= MAX_INCLUDE_DEPTH) {
+            problems.add(include.problem(
+                    open.contains(absolute)
+                            ? "include cycle: " + name
+                            : "include is nested over " + MAX_INCLUDE_DEPTH + " levels deep"));
             return;
         }
         String text;
         try {
-            text = Files.readString(whole, StandardCharsets.UTF_8);
-        } catch (IOException unreadable) {
-            String why = "cannot read " + name + ": "
-                    + unreadable.getClass().getSimpleName().replace("Exception", "");
-            problems.add(from == null ? new Problem(name, 0, why) : from.problem(why));
+            text = Files.readString(absolute, StandardCharsets.UTF_8);
+        } catch (IOException failure) {
+            String message = "cannot read " + name + ": "
+                    + failure.getClass().getSimpleName().replace("Exception", "");
+            problems.add(include == null ? new Problem(name, 0, message) : include.problem(message));
             return;
         }
-        open.add(whole);
-        text(name, whole.getParent(), text, open);
-        open.remove(whole);
+        open.add(absolute);
+        parseText(name, absolute.getParent(), text, open);
+        open.remove(absolute);
     }
 
-    private void text(String name, Path folder, String text, Set<Path> open) {
-        String[] rows = text.split("\n", -1);
-        for (int i = 0; i < rows.length; i++) {
-            int first = i + 1;
-            String row = rows[i].endsWith("\r") ? rows[i].substring(0, rows[i].length() - 1) : rows[i];
-            while (row.endsWith("\\") && i + 1 < rows.length) {
-                row = row.substring(0, row.length() - 1) + " " + rows[++i];
+    private void parseText(String name, Path folder, String text, Set<Path> open) {
+        String[] rawLines = text.split("\n", -1);
+        for (int i = 0; i < rawLines.length; i++) {
+            int lineNumber = i + 1;
+            String content =
+                    rawLines[i].endsWith("\r") ? rawLines[i].substring(0, rawLines[i].length() - 1) : rawLines[i];
+            while (content.endsWith("\\") && i + 1 < rawLines.length) {
+                content = content.substring(0, content.length() - 1) + " " + rawLines[++i];
             }
-            List<String> words = words(name, first, row);
+            List<String> words = splitWords(name, lineNumber, content);
             if (words.isEmpty()) {
                 continue;
             }
-            Statement statement = new Statement(name, first, words);
+            Statement statement = new Statement(name, lineNumber, words);
             if (!statement.keyword().equals("include")) {
                 statements.add(statement);
             } else if (words.size() != 2) {
                 problems.add(
                         statement.problem("include: found " + (words.size() - 1) + " words, expected one file name"));
             } else {
-                Path other = Path.of(words.get(1));
-                file(other.isAbsolute() || folder == null ? other : folder.resolve(other), open, statement);
+                Path included = Path.of(words.get(1));
+                readFile(
+                        included.isAbsolute() || folder == null ? included : folder.resolve(included), open, statement);
             }
         }
     }
 
-    private List<String> words(String name, int line, String row) {
+    private List<String> splitWords(String name, int line, String content) {
         List<String> words = new ArrayList<>();
         StringBuilder word = null;
         boolean quoted = false;
-        for (int i = 0; i < row.length(); i++) {
-            char c = row.charAt(i);
+        for (int i = 0; i < content.length(); i++) {
+            char c = content.charAt(i);
             if (quoted) {
-                if (c == '\\' && i + 1 < row.length() && "\"\\".indexOf(row.charAt(i + 1)) >= 0) {
-                    word.append(row.charAt(++i));
+                if (c == '\\' && i + 1 < content.length() && "\"\\".indexOf(content.charAt(i + 1)) >= 0) {
+                    word.append(content.charAt(++i));
                 } else if (c == '"') {
                     quoted = false;
                 } else {
--- a/src/main/java/puffinbarrow/config/Problem.java
+++ b/src/main/java/puffinbarrow/config/Problem.java
@@ -1,6 +1,11 @@
 package puffinbarrow.config;
 
-/** One mistake in a settings file. */
+/**
+ * A mistake in a settings file or script.
+ *
+ * @param file name of the file or other source
+ * @param line line number, from 1; 0: the file as a whole
+ */
 public record Problem(String file, int line, String text) {
     @Override
     public String toString() {
--- a/src/main/java/puffinbarrow/config/Words.java
+++ b/src/main/java/puffinbarrow/config/Words.java
@@ -6,78 +6,88 @@
 import java.util.Locale;
 
 /**
- * Takes the words of one statement in turn. What is wrong is noted with its line and what was expected; a stand-in
- * value goes on, so that one pass finds all mistakes of a file.
+ * Reads the arguments of one statement in order. A mistake is added to the problems with its line and what was
+ * expected, and the method returns a valid substitute, so that one pass finds the mistakes of all statements; only the
+ * first mistake of a statement is reported. Not thread-safe; each parser uses an instance for each statement.
  */
 public final class Words {
     private final Statement statement;
     private final List<Problem> problems;
-    private int at = 1;
-    private boolean sound = true;
+    /** Index of the next word; the keyword has index 0. */
+    private int next = 1;
+    /** No mistake has been found in the statement so far. */
+    private boolean valid = true;
 
     public Words(Statement statement, List<Problem> problems) {
         this.statement = statement;
         this.problems = problems;
     }
 
+    /** Returns whether there are words left. */
     public boolean more() {
-        return at < statement.words().size();
+        return next < statement.words().size();
     }
 
-    /** Whether nothing was wrong so far. */
+    /** Returns whether no mistake has been found in the statement so far. */
     public boolean sound() {
-        return sound;
+        return valid;
     }
 
+    /** Reports a mistake, unless an earlier one of the same statement was reported. */
     public void wrong(String found, String expected) {
-        if (sound) {
+        if (valid) {
             problems.add(statement.problem(statement.keyword() + ": found " + found + ", expected " + expected));
         }
-        sound = false;
+        valid = false;
     }
 
-    /** The statement's keyword is none of these; its words are passed over. */
+    /** Reports a keyword that is none of these, and skips the remaining words. */
     public void unknown(List<String> keywords) {
-        String near = nearest(statement.keyword(), keywords);
+        String suggestion = nearest(statement.keyword(), keywords);
         problems.add(statement.problem("unknown keyword '" + statement.keyword() + "', expected one of "
-                + String.join(", ", keywords) + (near == null ? "" : " (did you mean " + near + "?)")));
-        at = statement.words().size();
+                + String.join(", ", keywords) + (suggestion == null ? "" : " (did you mean " + suggestion + "?)")));
+        next = statement.words().size();
     }
 
+    /** Returns the next word; empty if there is none. */
     public String text(String expected) {
         if (!more()) {
             wrong("the end of the line", expected);
             return "";
         }
-        return statement.words().get(at++);
+        return statement.words().get(next++);
     }
 
-    /** Takes the word if it is the next one. */
+    /** Consumes the next word if it is the given one, and returns whether it was. */
     public boolean take(String word) {
-        if (more() && statement.words().get(at).equals(word)) {
-            at++;
+        if (more() && statement.words().get(next).equals(word)) {
+            next++;
             return true;
         }
         return false;
     }
 
+    /** Consumes the next word, which must be the given one. */
     public void expect(String word) {
         if (!take(word)) {
-            wrong(more() ? quote(statement.words().get(at)) : "the end of the line", quote(word));
+            wrong(more() ? quote(statement.words().get(next)) : "the end of the line", quote(word));
         }
     }
 
+    /** Returns the next word, which must be one of these; the first of them after a mistake. */
     public String oneOf(String... words) {
         String word = text("one of " + String.join(", ", words));
-        if (sound && !List.of(words).contains(word)) {
-            String near = nearest(word, List.of(words));
+        if (valid && !List.of(words).contains(word)) {
+            String suggestion = nearest(word, List.of(words));
             wrong(
                     quote(word),
-                    "one of " + String.join(", ", words) + (near == null ? "" : " (did you mean " + near + "?)"));
+                    "one of " + String.join(", ", words)
+                            + (suggestion == null ? "" : " (did you mean " + suggestion + "?)"));
         }
-        return sound ? word : words[0];
+        return valid ? word : words[0];
     }
 
+    /** Returns the next word as a number from {@code least} to {@code most}; {@code least} after a mistake. */
     public double number(String what, double least, double most) {
         String word = text(what);
         try {
@@ -85,13 +95,14 @@
             if (value >= least && value <= most) {
                 return value;
             }
-        } catch (NumberFormatException notOne) {
-            // Said below, as a figure out of bounds is.
+        } catch (NumberFormatException notANumber) {
+            // Reported below, as a number out of range is.
         }
         wrong(quote(word), what + " from " + plain(least) + " to " + plain(most));
         return least;
     }
 
+    /** Returns the next word as an integer from {@code least} to {@code most}; {@code least} after a mistake. */
     public long whole(String what, long least, long most) {
         String word = text(what);
         try {
@@ -99,14 +110,14 @@
             if (value >= least && value <= most) {
                 return value;
             }
-        } catch (NumberFormatException notOne) {
-            // Said below.
+        } catch (NumberFormatException notANumber) {
+            // Reported below.
         }
         wrong(quote(word), what + ", a whole number from " + least + " to " + most);
         return least;
     }
 
-    /** A share: {@code 0.25} or {@code 25%}. */
+    /** Returns the next word as a share from 0 to 1, written {@code 0.25} or {@code 25%}; 1 after a mistake. */
     public double share(String what) {
         String word = text(what);
         try {
@@ -116,14 +127,14 @@
             if (value >= 0 && value <= 1) {
                 return value;
             }
-        } catch (NumberFormatException notOne) {
-            // Said below.
+        } catch (NumberFormatException notANumber) {
+            // Reported below.
         }
         wrong(quote(word), what + ", a share such as 0.25 or 25%");
         return 1;
     }
 
-    /** A time as 250us, 20ms, 1.5s, 2m or 1h, in nanoseconds. */
+    /** Returns a time such as 250us, 20ms, 1.5s, 2m or 1h, in nanoseconds; 1 after a mistake. */
     public long time(String what) {
         String word = text(what);
         long value = nanos(word);
@@ -134,15 +145,16 @@
         return value;
     }
 
+    /** Returns -1 if the word is not a time. */
     private static long nanos(String word) {
         String[] units = {"ns", "us", "ms", "s", "m", "h"};
-        double[] each = {1, 1e3, 1e6, 1e9, 60e9, 3600e9};
+        double[] unitNs = {1, 1e3, 1e6, 1e9, 60e9, 3600e9};
         for (int i = 0; i < units.length; i++) {
             if (word.endsWith(units[i]) && word.length() > units[i].length()) {
                 try {
                     double value = Double.parseDouble(word.substring(0, word.length() - units[i].length()));
-                    return value >= 0 && value * each[i] < 9e18 ? Math.round(value * each[i]) : -1;
-                } catch (NumberFormatException longerUnit) {
+                    return value >= 0 && value * unitNs[i] < 9e18 ? Math.round(value * unitNs[i]) : -1;
+                } catch (NumberFormatException unitEndsAlike) {
                     continue;
                 }
             }
@@ -150,7 +162,7 @@
         return -1;
     }
 
-    /** A size as 512, 64k, 4m or 1g, in bytes. */
+    /** Returns a size such as 512, 64k, 4m or 1g, in bytes; 1 after a mistake. */
     public long size(String what) {
         String word = text(what).toLowerCase(Locale.ROOT);
         int shift = word.endsWith("k") ? 10 : word.endsWith("m") ? 20 : word.endsWith("g") ? 30 : 0;
@@ -159,14 +171,14 @@
             if (value > 0 && value < 1L << 32) {
                 return value << shift;
             }
-        } catch (NumberFormatException notOne) {
-            // Said below.
+        } catch (NumberFormatException notANumber) {
+            // Reported below.
         }
         wrong(quote(word), what + ", a size such as 64k or 4m");
         return 1;
     }
 
-    /** HOST:PORT; the host is loopback or an address, never looked up. */
+    /** Returns HOST:PORT; the host is {@code localhost} or an IP address, so that no name is ever resolved. */
     public InetSocketAddress address(String what) {
         String word = text(what);
         int colon = word.lastIndexOf(':');
@@ -180,20 +192,22 @@
                     return address;
                 }
             }
-        } catch (NumberFormatException notOne) {
-            // Said below.
+        } catch (NumberFormatException notANumber) {
+            // Reported below.
         }
         wrong(quote(word), what + " as ADDRESS:PORT, such as 127.0.0.1:7400");
         return new InetSocketAddress("127.0.0.1", 0);
     }
 
+    /** Returns whether the next word is {@code on} rather than {@code off}. */
     public boolean onOff() {
         return oneOf("on", "off").equals("on");
     }
 
+    /** Reports a word that is left over. */
     public void end() {
-        if (sound && more()) {
-            wrong(quote(statement.words().get(at)), "the end of the line");
+        if (valid && more()) {
+            wrong(quote(statement.words().get(next)), "the end of the line");
         }
     }
 
@@ -201,38 +215,43 @@
         return "'" + word + "'";
     }
 
+    /** Formats a bound: without a decimal point if it is an integer. */
     private static String plain(double value) {
         return value == Math.rint(value) && Math.abs(value) < 1e15
                 ? Long.toString((long) value)
                 : Double.toString(value);
     }
 
-    /** The known word that differs by the fewest letters, if few enough to be meant. */
+    /**
+     * Returns the known word with the smallest edit distance, for a "did you mean" hint; null if none is within the
+     * larger of 2 and a third of the word's length.
+     */
     public static String nearest(String word, Collection<String> known) {
         String best = null;
-        int least = Math.max(2, word.length() / 3) + 1;
-        for (String each : known) {
-            int distance = distance(word, each);
-            if (distance < least) {
-                least = distance;
-                best = each;
+        int limit = Math.max(2, word.length() / 3) + 1;
+        for (String candidate : known) {
+            int distance = distance(word, candidate);
+            if (distance < limit) {
+                limit = distance;
+                best = candidate;
             }
         }
         return best;
     }
 
+    /** Returns the Levenshtein distance. */
     private static int distance(String a, String b) {
         int[] row = new int[b.length() + 1];
         for (int j = 0; j <= b.length(); j++) {
             row[j] = j;
         }
         for (int i = 1; i <= a.length(); i++) {
-            int corner = row[0];
+            int diagonal = row[0];
             row[0] = i;
             for (int j = 1; j <= b.length(); j++) {
-                int swap = corner + (a.charAt(i - 1) == b.charAt(j - 1) ? 0 : 1);
-                corner = row[j];
-                row[j] = Math.min(swap, Math.min(row[j], row[j - 1]) + 1);
+                int substituted = diagonal + (a.charAt(i - 1) == b.charAt(j - 1) ? 0 : 1);
+                diagonal = row[j];
+                row[j] = Math.min(substituted, Math.min(row[j], row[j - 1]) + 1);
             }
         }
         return row[b.length()];
--- a/src/test/java/puffinbarrow/audit/AuditTest.java
+++ b/src/test/java/puffinbarrow/audit/AuditTest.java
@@ -12,16 +12,16 @@
 import puffinbarrow.control.Event;
 import puffinbarrow.control.Order;
 
-/** The audit on records written by hand: each rule just kept, and just broken. Times in milliseconds. */
+/** The audit of handwritten recordings in which each rule is just kept or just broken. Times are milliseconds. */
 class AuditTest {
     private final List<Seen> seen = new ArrayList<>();
     private long flow;
 
-    private static CoordinatorConfig config(String more) {
+    private static CoordinatorConfig config(String slicesLine) {
         return CoordinatorConfig.parse(
                 "t",
                 "coordinator 0 of 1\nregistry 127.0.0.1:1 push\nstore 127.0.0.1:1\n\n"
-                        + (more.isEmpty() ? "slices 4\n" : more)
+                        + (slicesLine.isEmpty() ? "slices 4\n" : slicesLine)
                         + "group read utility 1 budget 1s expiry 2s retriable\ngroup order utility 1 budget 1s expiry 2s "
                         + "deduped zone 500ms\ngroup book utility 1 budget 1s expiry 2s non-retriable\nbare 2s\ngrace 1s\n"
                         + "warm 10s\nfall-multiple 2 for 1s\nqueue 100\npace 200\nhead 10\nmessages 3 per 1s\n",
@@ -32,7 +32,7 @@
         return ms * 1_000_000;
     }
 
-    private void told(long at, Event.Listed listed, long started, String... servers) {
+    private void listTold(long at, Event.Listed listed, long started, String... servers) {
         List<Event.Entry> entries = new ArrayList<>();
         for (String server : servers) {
             entries.add(new Event.Entry(server, 0, 0, 0, listed, 1, started));
@@ -50,7 +50,8 @@
         return sent;
     }
 
-    private void again(Seen.Sent first, long at, boolean proof) {
+    /** The first attempt ends without an answer, and the flow is sent again to server b. */
+    private void sendAgain(Seen.Sent first, long at, boolean proof) {
         seen.add(new Seen.Ended(ms(at), 0, first.flow(), 0, false, proof));
         seen.add(new Seen.Sent(ms(at), 0, "b", 1, first.group(), first.flow(), 1, first.workNs(), 0));
     }
@@ -59,19 +60,19 @@
         seen.add(new Seen.Ran(ms(at), server, zone, 0, 1, group, flow, true));
     }
 
-    private TreeSet<Rule> broken(String more) {
+    private TreeSet<Rule> broken(String slicesLine) {
         TreeSet<Rule> rules = new TreeSet<>();
-        Audit.judge(config(more), seen, 0).findings().forEach(f -> rules.add(f.rule()));
+        Audit.judge(config(slicesLine), seen, 0).findings().forEach(f -> rules.add(f.rule()));
         return rules;
     }
 
-    private void expect(Rule... rules) {
+    private void assertBroken(Rule... rules) {
         assertEquals(new TreeSet<>(List.of(rules)), broken(""));
     }
 
     @BeforeEach
-    void aProxyWithTwoServersForSliceOne() {
-        told(0, Event.Listed.READY, 0, "a", "b", "c");
+    void setUpProxyWithTwoServersForSliceOne() {
+        listTold(0, Event.Listed.READY, 0, "a", "b", "c");
         seen.add(new Seen.ChargeTold(ms(0), 0, 1, true));
         seen.add(new Seen.Stream(ms(0), 0, 0, true));
         seen.add(new Seen.OwnerRead(ms(0), 0, 1, 0));
@@ -79,115 +80,115 @@
     }
 
     @Test
-    void bareOverTheLimitBreaksAndUnderItDoesNot() {
+    void bareIsABreachOnlyBeyondItsLimit() {
         applied(1000, new Order.Mask("a", true), new Order.Mask("b", true));
         applied(2900, new Order.Mask("b", false));
-        expect();
+        assertBroken();
         applied(4000, new Order.SetLine(1, "b", 0));
         applied(6100, new Order.SetLine(1, "c", 1));
-        expect(Rule.BARE);
+        assertBroken(Rule.BARE);
     }
 
     @Test
     void bareWithoutAWarmServerOnTheListIsNoBreach() {
-        told(900, Event.Listed.GONE, 0, "a", "b", "c");
-        told(900, Event.Listed.READY, ms(800), "d");
+        listTold(900, Event.Listed.GONE, 0, "a", "b", "c");
+        listTold(900, Event.Listed.READY, ms(800), "d");
         applied(1000, new Order.Mask("a", true), new Order.Mask("b", true));
-        told(9000, Event.Listed.READY, ms(800), "d");
-        expect();
+        listTold(9000, Event.Listed.READY, ms(800), "d");
+        assertBroken();
     }
 
     @Test
-    void aSendAfterTheGraceBreaks() {
-        told(1000, Event.Listed.DRAINING, 0, "a");
+    void sendingAfterTheGracePeriodIsABreach() {
+        listTold(1000, Event.Listed.DRAINING, 0, "a");
         sent(1900, "a", 0, 1);
-        expect();
+        assertBroken();
         sent(2100, "a", 0, 1);
-        expect(Rule.DRAIN);
+        assertBroken(Rule.DRAIN);
     }
 
     @Test
-    void theGraceRunsFromTheLaterJoining() {
-        told(1000, Event.Listed.DRAINING, 0, "a");
+    void gracePeriodStartsWhenAProxyJoinsLater() {
+        listTold(1000, Event.Listed.DRAINING, 0, "a");
         seen.add(new Seen.Stream(ms(1200), 0, 0, false));
         sent(2500, "a", 0, 1);
         seen.add(new Seen.Stream(ms(2600), 0, 0, true));
         sent(3500, "a", 0, 1);
-        expect();
+        assertBroken();
     }
 
     @Test
-    void aServerThatReturnedMayBeSentTo() {
-        told(1000, Event.Listed.GONE, 0, "a");
-        told(3000, Event.Listed.READY, ms(2900), "a");
+    void serverThatReturnedMayBeUsed() {
+        listTold(1000, Event.Listed.GONE, 0, "a");
+        listTold(3000, Event.Listed.READY, ms(2900), "a");
         sent(5000, "a", 0, 1);
-        expect();
+        assertBroken();
     }
 
     @Test
-    void repeatsOnlyOnProofOrInScope() {
-        again(sent(100, "a", 0, 1), 200, false);
-        again(sent(100, "a", 2, 1), 200, true);
+    void flowsMayRepeatOnlyOnProofOrInScope() {
+        sendAgain(sent(100, "a", 0, 1), 200, false);
+        sendAgain(sent(100, "a", 2, 1), 200, true);
         ran(100, "a", 0, 1, 50);
         ran(500, "b", 0, 1, 50);
-        expect();
-        again(sent(300, "a", 2, 1), 400, false);
-        expect(Rule.TWICE);
+        assertBroken();
+        sendAgain(sent(300, "a", 2, 1), 400, false);
+        assertBroken(Rule.TWICE);
     }
 
     @Test
-    void aDedupedEffectInAnotherZoneOrAfterItsWindowIsTwice() {
+    void dedupedEffectInAnotherZoneOrAfterItsWindowIsABreach() {
         ran(100, "a", 0, 1, 50);
         ran(200, "b", 1, 1, 50);
-        expect(Rule.TWICE);
+        assertBroken(Rule.TWICE);
         seen.remove(seen.size() - 1);
         ran(700, "b", 0, 1, 50);
-        expect(Rule.TWICE);
+        assertBroken(Rule.TWICE);
     }
 
     @Test
-    void whereASliceHasOneOwnerTwoServersNeverWriteAtATime() {
+    void withSingleOwnersConcurrentWritesAtTwoServersAreABreach() {
         ran(100, "a", 0, 2, 50);
         ran(200, "b", 0, 2, 51);
-        expect();
+        assertBroken();
         assertEquals(new TreeSet<>(List.of(Rule.TWICE)), broken("slices 4 sole-owner\n"));
     }
 
     @Test
-    void aColdServerSentMoreThanItsBudgetIsPushedOver() {
+    void overloadingAColdServerIsABreach() {
         seen.add(new Seen.Started(ms(1000), "c", 1, 1, 0.25, ms(10_000)));
-        told(1100, Event.Listed.READY, ms(1000), "c");
+        listTold(1100, Event.Listed.READY, ms(1000), "c");
         applied(1200, new Order.SetLine(1, "c", 1));
         for (int i = 0; i < 9; i++) {
             sent(2000 + i, "c", 0, 70);
         }
-        expect();
+        assertBroken();
         for (int i = 0; i < 3; i++) {
             sent(2010 + i, "c", 0, 70);
         }
-        expect(Rule.COLD);
+        assertBroken(Rule.COLD);
     }
 
     @Test
-    void linesWaitingAreCountedFromTheTurnToTheArrival() {
+    void waitingLinesAreCountedFromDecisionToArrival() {
         for (int i = 0; i < 3; i++) {
             seen.add(new Seen.Arrived(ms(3000 + i), 0, 0, i, ms(1000 + 900 * i), 40));
         }
-        expect(Rule.QUEUE);
+        assertBroken(Rule.QUEUE);
         seen.removeIf(s -> s instanceof Seen.Arrived);
         for (int i = 0; i < 3; i++) {
             seen.add(new Seen.Arrived(ms(1500 + 900 * i), 0, 0, i, ms(1000 + 900 * i), 40));
         }
-        expect();
+        assertBroken();
     }
 
     @Test
-    void messagesToOneProxyAreCountedOverTheSpan() {
+    void messagesToOneProxyAreCountedWithinTheSpan() {
         for (int i = 0; i < 4; i++) {
             seen.add(new Seen.Arrived(ms(1000 + 400 * i), 0, 0, i, ms(1000 + 400 * i), 1));
         }
-        expect();
+        assertBroken();
         seen.add(new Seen.Arrived(ms(2250), 0, 0, 9, ms(2250), 1));
-        expect(Rule.QUEUE);
+        assertBroken(Rule.QUEUE);
     }
 }
--- a/src/test/java/puffinbarrow/config/ConfigTest.java
+++ b/src/test/java/puffinbarrow/config/ConfigTest.java
@@ -11,8 +11,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** Parsing of settings files: accepted values, and the message and line of each mistake. */
 class ConfigTest {
-    private static final String SOUND =
+    private static final String VALID =
             """
             coordinator 1 of 2
             zones "zilina 1" trnava-1   # two of them
@@ -28,15 +29,15 @@
             """;
     private final List<Problem> problems = new ArrayList<>();
 
-    private List<String> mistakes(String text) {
+    private List<String> problemsOf(String text) {
         problems.clear();
         CoordinatorConfig.parse("c.conf", text, problems);
         return problems.stream().map(Problem::toString).toList();
     }
 
     @Test
-    void whatIsWrittenIsWhatTheDecisionsRead() {
-        CoordinatorConfig config = CoordinatorConfig.parse("c.conf", SOUND, problems);
+    void decisionsReadTheSettingsOfTheFile() {
+        CoordinatorConfig config = CoordinatorConfig.parse("c.conf", VALID, problems);
         assertEquals(List.of(), problems);
         assertEquals(55, config.settings().slices());
         assertTrue(config.settings().soleOwner() && config.settings().listOnRequest());
@@ -46,8 +47,8 @@
     }
 
     @Test
-    void allMistakesAreToldAtOnceEachWithItsLine() {
-        List<String> told = mistakes(SOUND + "grase 3s\nwarm soon\nround 1s extra\nlevels shares\nqueue 5000\n"
+    void allMistakesAreReportedAtOnceEachWithItsLine() {
+        List<String> found = problemsOf(VALID + "grase 3s\nwarm soon\nround 1s extra\nlevels shares\nqueue 5000\n"
                 + "zone \"trnava\npeer 1 localhost\ncold-share 120%\n");
         assertEquals(
                 List.of(
@@ -56,56 +57,56 @@
                                 + " 1.5s or 2m",
                         "c.conf:14: round: found 'extra', expected the end of the line",
                         "c.conf:15: levels: found 'shares', expected one of share, rate, off (did you mean share?)",
-                        "c.conf:16: queue: stands twice, expected once (first at c.conf:10)",
+                        "c.conf:16: queue: given twice, expected once (first at c.conf:10)",
                         "c.conf:17: a quote is not closed, expected \" before the end of the line",
-                        "c.conf:17: zone: stands twice, expected once (first at c.conf:3)",
+                        "c.conf:17: zone: given twice, expected once (first at c.conf:3)",
                         "c.conf:18: peer: found 'localhost', expected the peer as ADDRESS:PORT, such as 127.0.0.1:7400",
                         "c.conf:18: peer: found our own number 1, expected that of another coordinator",
                         "c.conf:19: cold-share: found '120%', expected the part of its work a cold backend can do, a share"
                                 + " such as 0.25 or 25%"),
-                told);
+                found);
     }
 
     @Test
-    void linesThatContradictEachOtherAreFound() {
-        List<String> told = mistakes(SOUND.replace("queue 3000", "queue 30000")
+    void contradictingLinesAreReported() {
+        List<String> found = problemsOf(VALID.replace("queue 3000", "queue 30000")
                 .replace("expiry 5s", "expiry 1s")
                 .replace("1 of 2", "2 of 2")
                 .replace("store 127.0.0.1:7002\n", "")
                 .replace("zone trnava-1", "zone x"));
-        assertEquals(5, told.size(), told.toString());
-        assertTrue(
-                told.stream().anyMatch(t -> t.contains("a budget over its expiry, expected a budget of at most 1.0s")));
-        assertTrue(told.stream().anyMatch(t -> t.contains("a full queue of 30000 lines takes 10.7s")));
-        assertTrue(told.stream().anyMatch(t -> t.contains("slices without a store")));
+        assertEquals(5, found.size(), found.toString());
+        assertTrue(found.stream()
+                .anyMatch(t -> t.contains("a budget over its expiry, expected a budget of at most 1.0s")));
+        assertTrue(found.stream().anyMatch(t -> t.contains("a full queue of 30000 lines takes 10.7s")));
+        assertTrue(found.stream().anyMatch(t -> t.contains("slices without a store")));
     }
 
     @Test
-    void missingLinesAreNamed() {
-        assertEquals(3, mistakes("").size());
+    void missingRequiredLinesAreReported() {
+        assertEquals(3, problemsOf("").size());
     }
 
     @Test
-    void includesAreReadInPlaceAndCirclesAreFound(@TempDir Path folder) throws IOException {
-        Files.writeString(folder.resolve("site.conf"), SOUND);
+    void includesAreInsertedAndCyclesAreReported(@TempDir Path folder) throws IOException {
+        Files.writeString(folder.resolve("site.conf"), VALID);
         Files.writeString(folder.resolve("a.conf"), "include site.conf\nseed 9\ninclude a.conf\ninclude none.conf\n");
         CoordinatorConfig config = CoordinatorConfig.read(folder.resolve("a.conf"), problems);
         assertEquals(9, config.seed);
         assertEquals(55, config.slices);
         assertEquals(2, problems.size(), problems.toString());
-        assertTrue(problems.get(0).toString().contains("a.conf:3: include goes round in a circle"));
+        assertTrue(problems.get(0).toString().contains("a.conf:3: include cycle: "));
         assertTrue(problems.get(1).toString().contains("a.conf:4: cannot read"));
     }
 
     @Test
-    void onlyWhatMayChangeAliveIsTakenUp() {
-        CoordinatorConfig config = CoordinatorConfig.parse("c.conf", SOUND + "log text info\n", problems);
-        CoordinatorConfig again = CoordinatorConfig.parse(
-                "c.conf", SOUND.replace("pace 2800", "pace 9000") + "log json debug\n", problems);
+    void onlyReloadableSettingsAreAdopted() {
+        CoordinatorConfig config = CoordinatorConfig.parse("c.conf", VALID + "log text info\n", problems);
+        CoordinatorConfig reloaded = CoordinatorConfig.parse(
+                "c.conf", VALID.replace("pace 2800", "pace 9000") + "log json debug\n", problems);
         assertEquals(
                 List.of("c.conf:11: pace: cannot change while running, expected a restart"),
-                config.refusedChanges(again).stream().map(Problem::toString).toList());
-        config.adopt(again);
+                config.refusedChanges(reloaded).stream().map(Problem::toString).toList());
+        config.adopt(reloaded);
         assertTrue(config.logJson);
         assertEquals(2800, config.linesPerS);
     }
