--- a/src/main/java/puffinbarrow/replay/Bridge.java
+++ b/src/main/java/puffinbarrow/replay/CoordinatorAdapter.java
@@ -30,36 +30,57 @@
 import puffinbarrow.proto.FrameWriter;
 
 /**
- * Stands where the decisions stand on the bench's wire, but hands each event to a real coordinator over its real
- * listeners: as a registry, a store, proxies, peers and probed backends on sockets. The coordinator's clock is the
- * batch's. What its orders are is read at the far ends; its own timers and log lines never leave it and are not given.
+ * A {@link Controller} that passes each event to a real coordinator through sockets, taking the part of registry,
+ * store, proxies, peers and probed backends, and returns the orders that arrive there. {@link Replay} creates one for
+ * each recorded instance and calls it from one thread; frames arrive on the threads of {@link Net}. The coordinator's
+ * clock is the time of the batch. Its timers and log lines never leave it and are not returned.
  */
-final class Bridge implements Controller, AutoCloseable {
-    /** A loopback round trip is well under a millisecond; a machine that is busy may take long, a fault for ever. */
-    private static final long PATIENCE_NS = 20_000_000_000L;
+final class CoordinatorAdapter implements Controller, AutoCloseable {
+    /** A loopback round trip takes well under a millisecond, on a busy machine far longer, after a fault forever. */
+    private static final long TIMEOUT_NS = 20_000_000_000L;
 
     private final Net net;
     private final Coordinator coordinator;
-    private final Net.Listener registryAt, storeAt, backendsAt;
-    private final Map<Integer, Far> proxies = new TreeMap<>();
-    private final Map<Integer, Far> peers = new TreeMap<>();
-    private final Map<String, ArrayDeque<Link>> probes = new HashMap<>();
-    private final List<Order> asked = new ArrayList<>();
+    private final Net.Listener registryListener;
+    private final Net.Listener storeListener;
+    private final Net.Listener backendsListener;
+    /** Our ends of the streams that we dialled as proxies, by proxy. */
+    private final Map<Integer, StreamEnd> proxies = new TreeMap<>();
+    /** Our ends of the streams that we dialled as peers, by coordinator. */
+    private final Map<Integer, StreamEnd> peers = new TreeMap<>();
+    /** Streams of probes that wait for their answer, by server; guards itself and {@link #probed}. */
+    private final Map<String, ArrayDeque<Link>> openProbes = new HashMap<>();
+    /** Requests that reached the registry since the last batch; guards itself. */
+    private final List<Order> registryRequests = new ArrayList<>();
+    /** Servers probed since the last batch. */
     private final List<String> probed = new ArrayList<>();
-    private final AtomicLong received = new AtomicLong();
-    private volatile Far registry, store;
+    /** Messages with orders that arrived at our ends. */
+    private final AtomicLong messagesReceived = new AtomicLong();
+
+    private volatile StreamEnd registry;
+    private volatile StreamEnd store;
+    /** Number of the next report to the coordinator. */
     private long round;
+    /** Requests that reached the registry in former batches. */
+    private long registryRequestsBefore;
+    /** Probes that arrived in former batches. */
+    private long probesBefore;
 
-    /** One end of a stream on our side. */
-    private final class Far implements Link.Receiver {
-        private final FrameReader reader = new FrameReader(16 << 20, this::frame);
+    /** Our end of a stream between the coordinator and a party that we stand for. */
+    private final class StreamEnd implements Link.Receiver {
+        private final FrameReader reader = new FrameReader(16 << 20, this::onFrame);
         private final FrameWriter writer = new FrameWriter();
+        /** The hello to send; null if the coordinator dialled the stream. */
         private final Frame.Hello hello;
+        /** Orders received since the last batch; guards itself. */
         final List<Order> orders = new ArrayList<>();
+
         volatile Link link;
-        volatile boolean welcome;
+        volatile boolean welcomed;
+        /** Whether the coordinator dialled the registry; otherwise the store. */
+        private boolean isRegistry;
 
-        Far(Frame.Hello hello) {
+        StreamEnd(Frame.Hello hello) {
             this.hello = hello;
         }
 
@@ -69,16 +90,16 @@
             reader.feed(bytes);
         }
 
-        private void frame(Frame frame) {
+        private void onFrame(Frame frame) {
             if (frame instanceof Frame.Welcome) {
-                welcome = true;
+                welcomed = true;
             } else if (frame instanceof Frame.Orders f && hello != null) {
                 synchronized (orders) {
                     orders.addAll(f.orders().subList(0, f.orders().size() - f.carried()));
                 }
-                received.incrementAndGet();
+                messagesReceived.incrementAndGet();
             } else if (frame instanceof Frame.Hello from) {
-                // Known before it is welcomed: once the welcome is out, events may be given to it.
+                // Set before the welcome is sent, since events may follow as soon as the coordinator is welcomed.
                 if (from.role() == Frame.Role.COORDINATOR) {
                     if (isRegistry) {
                         registry = this;
@@ -88,22 +109,20 @@
                 }
                 send(new Frame.Welcome(Frame.MINOR, 0, 0));
             } else if (frame instanceof Frame.Follow f) {
-                synchronized (asked) {
-                    asked.add(new Order.Follow(f.on()));
+                synchronized (registryRequests) {
+                    registryRequests.add(new Order.Follow(f.on()));
                 }
             } else if (frame instanceof Frame.Fetch) {
-                synchronized (asked) {
-                    asked.add(new Order.FetchList());
+                synchronized (registryRequests) {
+                    registryRequests.add(new Order.FetchList());
                 }
             } else if (frame instanceof Frame.Ping f) {
                 send(new Frame.Pong(f.number()));
             }
         }
 
-        private boolean isRegistry;
-
         void send(Frame frame) {
-            // Frames are small here; a writer of its own for each end keeps them apart.
+            // A writer encodes one frame at a time; both our thread and those of the network send.
             synchronized (writer) {
                 link.send(writer.bytes(frame));
             }
@@ -113,49 +132,51 @@
         public void ended(Link from, Link.Cause cause, String detail) {}
     }
 
-    /** A stream that the coordinator dialled. */
-    private Far dialled(boolean isRegistry) {
-        Far far = new Far(null);
-        far.isRegistry = isRegistry;
-        return far;
+    /** Returns our end of a stream that the coordinator dials. */
+    private StreamEnd accept(boolean isRegistry) {
+        StreamEnd end = new StreamEnd(null);
+        end.isRegistry = isRegistry;
+        return end;
     }
 
-    Bridge(Settings settings, long seed, Controller.Factory decisions) throws IOException {
+    CoordinatorAdapter(Settings settings, long seed, Controller.Factory decisions) throws IOException {
         net = new Net("replay", 2);
         InetSocketAddress any = new InetSocketAddress("127.0.0.1", 0);
-        registryAt = net.listen(any, 64 << 20, channel -> dialled(true));
-        storeAt = net.listen(any, 64 << 20, channel -> dialled(false));
-        backendsAt = net.listen(any, 1 << 20, channel -> new Probed());
+        registryListener = net.listen(any, 64 << 20, channel -> accept(true));
+        storeListener = net.listen(any, 64 << 20, channel -> accept(false));
+        backendsListener = net.listen(any, 1 << 20, channel -> new ProbeReceiver());
         CoordinatorConfig config = CoordinatorConfig.of(settings, seed);
-        config.registry = registryAt.address();
-        config.store = settings.slices() > 0 ? storeAt.address() : null;
-        // Turns are the batches, so no tick and no silence of streams stand between them.
+        config.registry = registryListener.address();
+        config.store = settings.slices() > 0 ? storeListener.address() : null;
+        // Each batch is a turn; no tick and no idle time-out may come between.
         config.tickNs = 0;
         config.idleNs = Long.MAX_VALUE / 2;
         config.outboundBytes = 64 << 20;
         config.frameBytes = 16 << 20;
-        coordinator = new Coordinator(config, decisions, Core.Tempo.FREE, server -> backendsAt.address()).startByHand();
-        // The registry's and the store's streams stand once their inputs have come in.
-        until("registry and store", () -> coordinator.offered() >= (settings.slices() > 0 ? 2 : 1));
+        coordinator =
+                new Coordinator(config, decisions, Core.Tempo.FREE, server -> backendsListener.address()).startByHand();
+        // The streams to registry and store are up once the inputs they give have arrived.
+        awaitUntil("registry and store", () -> coordinator.offered() >= (settings.slices() > 0 ? 2 : 1));
         coordinator.turnAt(Long.MIN_VALUE / 4);
         if (!settings.listOnRequest()) {
-            // Following is the coordinator's own doing at pushed lists, no decision.
-            until("the follow request", () -> {
-                synchronized (asked) {
-                    return !asked.isEmpty();
+            // With pushed lists the coordinator follows the registry by itself; no decision orders it.
+            awaitUntil("the follow request", () -> {
+                synchronized (registryRequests) {
+                    return !registryRequests.isEmpty();
                 }
             });
         }
-        synchronized (asked) {
-            asked.clear();
+        synchronized (registryRequests) {
+            registryRequests.clear();
         }
     }
 
-    private static void until(String what, BooleanSupplier done) {
-        long end = System.nanoTime() + PATIENCE_NS;
+    /** Blocks until the condition holds; throws after the time-out. */
+    private static void awaitUntil(String what, BooleanSupplier done) {
+        long deadline = System.nanoTime() + TIMEOUT_NS;
         for (int spins = 0; !done.getAsBoolean(); spins++) {
-            if (System.nanoTime() > end) {
-                throw new IllegalStateException("waited in vain for " + what);
+            if (System.nanoTime() > deadline) {
+                throw new IllegalStateException("timed out waiting for " + what);
             }
             if (spins > 2000) {
                 Thread.yield();
@@ -169,16 +190,18 @@
     public List<Order> handle(long nowNs, List<Event> events) {
         for (Event event : events) {
             long before = coordinator.offered();
-            if (give(event)) {
-                until(event.getClass().getSimpleName() + " to come in", () -> coordinator.offered() > before);
+            if (deliver(event)) {
+                awaitUntil(
+                        event.getClass().getSimpleName() + " to reach the coordinator",
+                        () -> coordinator.offered() > before);
             }
         }
         coordinator.turnAt(nowNs);
         return collect();
     }
 
-    /** Sends the event where it belongs; false if nothing comes of it (our own timers ring by themselves). */
-    private boolean give(Event event) {
+    /** Sends the event to the coordinator; returns false if it needs no sending, such as a timer, which is its own. */
+    private boolean deliver(Event event) {
         if (event instanceof Event.Timer) {
             return false;
         } else if (event instanceof Event.ServerList e) {
@@ -188,7 +211,7 @@
         } else if (event instanceof Event.StoredLine e) {
             store.send(new Frame.Stored(e.slice(), List.of(new Frame.Line(e.server(), e.weight()))));
         } else if (event instanceof Event.ProxyJoined e) {
-            Far far = new Far(new Frame.Hello(
+            StreamEnd end = new StreamEnd(new Frame.Hello(
                     Frame.MAJOR,
                     Frame.MINOR,
                     Frame.Role.PROXY,
@@ -197,15 +220,15 @@
                     e.proxy(),
                     e.fresh(),
                     e.flowsPerS()));
-            proxies.put(e.proxy(), dial(far));
+            proxies.put(e.proxy(), dial(end));
         } else if (event instanceof Event.ProxyLeft e) {
-            Far far = proxies.remove(e.proxy());
-            if (far == null) {
+            StreamEnd end = proxies.remove(e.proxy());
+            if (end == null) {
                 return false;
             }
-            far.link.close();
+            end.link.close();
         } else if (event instanceof Event.ServerSums e) {
-            far(e.server())
+            anyProxy(e.server())
                     .send(new Frame.Sums(
                             e.zone(),
                             round++,
@@ -217,7 +240,7 @@
                                     e.tookNs() * Math.max(0, e.tries() - e.dropped()),
                                     e.report()))));
         } else if (event instanceof Event.SliceDemand e) {
-            far("slice " + e.slice())
+            anyProxy("slice " + e.slice())
                     .send(new Frame.Demand(
                             round++,
                             e.spanNs(),
@@ -227,11 +250,11 @@
                     .send(new Frame.Demand(
                             round++, e.spanNs(), List.of(new Frame.Came(-1, e.group(), e.flows(), e.dropped()))));
         } else if (event instanceof Event.InForce e) {
-            Far far = proxies.get(e.proxy());
-            if (far == null) {
+            StreamEnd end = proxies.get(e.proxy());
+            if (end == null) {
                 return false;
             }
-            far.send(new Frame.Applied(e.mark(), e.tookNs()));
+            end.send(new Frame.Applied(e.mark(), e.tookNs()));
         } else if (event instanceof Event.PeerMessage e) {
             peer(e.sender()).send(new Frame.Peer(e.sender(), e.text()));
         } else if (event instanceof Event.Probed e) {
@@ -240,15 +263,16 @@
         return true;
     }
 
-    private Far dial(Far far) {
+    /** Blocks until the stream is up and its hello sent. */
+    private StreamEnd dial(StreamEnd end) {
         CompletableFuture<Link> up = new CompletableFuture<>();
         net.dial(
                 coordinator.address(),
-                far,
+                end,
                 1 << 20,
                 link -> {
-                    far.link = link;
-                    far.send(far.hello);
+                    end.link = link;
+                    end.send(end.hello);
                     up.complete(link);
                 },
                 up::completeExceptionally);
@@ -257,29 +281,31 @@
         } catch (Exception failed) {
             throw new IllegalStateException("could not dial the coordinator", failed);
         }
-        return far;
+        return end;
     }
 
-    /** Some joined proxy; sums that come after all have left have no way over a socket. */
-    private Far far(String what) {
+    /** Returns any joined proxy to send a report through; without one a report cannot reach the coordinator. */
+    private StreamEnd anyProxy(String what) {
         if (proxies.isEmpty()) {
-            throw new IllegalStateException("sums of " + what + " with no proxy joined to bring them");
+            throw new IllegalStateException("report on " + what + " but no proxy is joined to send it");
         }
         return proxies.values().iterator().next();
     }
 
-    private Far peer(int number) {
+    /** Returns our end of the stream as that peer, which it dials at first use. */
+    private StreamEnd peer(int number) {
         return peers.computeIfAbsent(number, n -> {
-            Far far = dial(new Far(new Frame.Hello(Frame.MAJOR, Frame.MINOR, Frame.Role.PEER, n, 0, 1, true, 0)));
-            until("the welcome", () -> far.welcome);
-            return far;
+            StreamEnd end =
+                    dial(new StreamEnd(new Frame.Hello(Frame.MAJOR, Frame.MINOR, Frame.Role.PEER, n, 0, 1, true, 0)));
+            awaitUntil("the welcome", () -> end.welcomed);
+            return end;
         });
     }
 
-    // ---- Probed backends: one listener plays them all, by the host that is asked for.
+    // ---- Probed backends: one listener serves them all and tells them apart by the host header.
 
-    private final class Probed implements Link.Receiver {
-        private final HttpParser parser = new HttpParser(true, 4096, this::request);
+    private final class ProbeReceiver implements Link.Receiver {
+        private final HttpParser parser = new HttpParser(true, 4096, this::onRequest);
         private Link link;
 
         @Override
@@ -288,9 +314,10 @@
             parser.feed(bytes);
         }
 
-        private void request(HttpParser.Message request) {
-            synchronized (probes) {
-                probes.computeIfAbsent(request.header("host"), h -> new ArrayDeque<>())
+        private void onRequest(HttpParser.Message request) {
+            synchronized (openProbes) {
+                openProbes
+                        .computeIfAbsent(request.header("host"), h -> new ArrayDeque<>())
                         .addLast(link);
                 probed.add(request.header("host"));
             }
@@ -300,14 +327,15 @@
         public void ended(Link from, Link.Cause cause, String detail) {}
     }
 
+    /** Answers the oldest open probe of the server, or breaks its stream if the recorded probe failed. */
     private void answer(Event.Probed event) {
         Link link;
-        synchronized (probes) {
-            ArrayDeque<Link> open = probes.get(event.server());
+        synchronized (openProbes) {
+            ArrayDeque<Link> open = openProbes.get(event.server());
             link = open == null ? null : open.pollFirst();
         }
         if (link == null) {
-            throw new IllegalStateException("an answer to a probe of " + event.server() + " that was never sent");
+            throw new IllegalStateException("answer to a probe of " + event.server() + " that was never sent");
         }
         if (event.answered()) {
             link.send(ByteBuffer.wrap(("HTTP/1.1 200 OK\r\n" + Orca.HEADER + ": " + Orca.write(event.report())
@@ -318,45 +346,46 @@
         }
     }
 
-    // ---- What came out.
+    // ---- Orders.
 
+    /** Waits for all that the coordinator counts as sent, and returns it: to proxies, to the registry, probes. */
     private List<Order> collect() {
         Map<String, Double> counts = coordinator.meters().values();
         double messages = counts.getOrDefault("channel.messages.sent", 0.0) - counts.getOrDefault("messages.lost", 0.0);
-        until("orders to arrive", () -> received.get() >= messages);
-        double questions = counts.getOrDefault("registry.asked", 0.0);
-        until("questions to the registry", () -> {
-            synchronized (asked) {
-                return questionsBefore + asked.size() >= questions;
+        awaitUntil("orders to arrive", () -> messagesReceived.get() >= messages);
+        double requests = counts.getOrDefault("registry.asked", 0.0);
+        awaitUntil("requests to the registry", () -> {
+            synchronized (registryRequests) {
+                return registryRequestsBefore + registryRequests.size() >= requests;
             }
         });
-        double sounded = counts.getOrDefault("probes.sent", 0.0);
-        until("probes", () -> {
-            synchronized (probes) {
-                return probesBefore + probed.size() >= sounded;
+        double probesSent = counts.getOrDefault("probes.sent", 0.0);
+        awaitUntil("probes", () -> {
+            synchronized (openProbes) {
+                return probesBefore + probed.size() >= probesSent;
             }
         });
         List<Order> out = new ArrayList<>();
         List<Order> first = null;
-        for (Map.Entry<Integer, Far> each : proxies.entrySet()) {
+        for (Map.Entry<Integer, StreamEnd> proxy : proxies.entrySet()) {
             List<Order> own;
-            synchronized (each.getValue().orders) {
-                own = new ArrayList<>(each.getValue().orders);
-                each.getValue().orders.clear();
+            synchronized (proxy.getValue().orders) {
+                own = new ArrayList<>(proxy.getValue().orders);
+                proxy.getValue().orders.clear();
             }
             if (first == null) {
                 first = own;
                 out.addAll(own);
             } else if (!own.equals(first)) {
-                throw new IllegalStateException("proxy " + each.getKey() + " was ordered " + own + ", others " + first);
+                throw new IllegalStateException("proxy " + proxy.getKey() + " received " + own + ", others " + first);
             }
         }
-        synchronized (asked) {
-            questionsBefore += asked.size();
-            out.addAll(asked);
-            asked.clear();
+        synchronized (registryRequests) {
+            registryRequestsBefore += registryRequests.size();
+            out.addAll(registryRequests);
+            registryRequests.clear();
         }
-        synchronized (probes) {
+        synchronized (openProbes) {
             probesBefore += probed.size();
             probed.forEach(server -> out.add(new Order.Probe(server)));
             probed.clear();
@@ -364,14 +393,12 @@
         return out;
     }
 
-    private long questionsBefore, probesBefore;
-
     @Override
     public void close() {
         coordinator.kill();
-        registryAt.close();
-        storeAt.close();
-        backendsAt.close();
+        registryListener.close();
+        storeListener.close();
+        backendsListener.close();
         net.close();
     }
 }
--- a/src/main/java/puffinbarrow/replay/Replay.java
+++ b/src/main/java/puffinbarrow/replay/Replay.java
@@ -20,42 +20,61 @@
 import puffinbarrow.wire.WireHost;
 
 /**
- * Plays a recorded bench day through real coordinators and compares, order for order, what they send with what the
- * record has: for each batch and instance what went to proxies in its order, and apart from that what went to the
- * registry, to peers and to probed backends. Timers and log lines stay inside a coordinator and are only counted.
+ * Replays a recorded bench day through real coordinators and compares the orders they send with the recorded ones: for
+ * each batch and instance, in order, those to proxies, and separately those to the registry, to peers and to probed
+ * backends. Timers and log lines stay inside a coordinator and are only counted. The command line calls it; it
+ * runs on the caller's thread.
  */
 public final class Replay {
-    /** What a replay found; {@code difference} is null if there was none. */
+    /**
+     * The result of a replay, which ends at the first difference.
+     *
+     * @param batches number of batches replayed
+     * @param orders recorded orders that were compared
+     * @param inside recorded orders that stay inside a coordinator and were only counted
+     * @param coordinators number of coordinators started
+     * @param difference the first difference; null if there was none
+     */
     public record Result(long batches, long orders, long inside, int coordinators, String difference) {
+        /** Returns whether all orders were equal to the recorded ones. */
         public boolean equal() {
             return difference == null;
         }
     }
 
+    /** Orders that a coordinator carries out itself. */
     private static final Set<String> INSIDE = Set.of("After", "WriteLog");
-    private static final Map<String, String> TO =
+    /** Destination by name of order; all others go to proxies. */
+    private static final Map<String, String> DESTINATIONS =
             Map.of("Follow", "registry", "Fetch", "registry", "Share", "peers", "SoundOut", "backends");
 
     private final JsonFactory json = new JsonFactory();
     private final Controller.Factory decisions;
-    private final List<Bridge> bridges = new ArrayList<>();
+    /** The coordinator of each recorded instance. */
+    private final List<CoordinatorAdapter> adapters = new ArrayList<>();
+    /** The wire protocol's end of each recorded process. */
     private final Map<String, WireHost> hosts = new TreeMap<>();
-    private long batches, orders, inside;
+
+    private long batches;
+    private long orders;
+    private long inside;
 
     private Replay(Controller.Factory decisions) {
         this.decisions = decisions;
     }
 
-    public static Result play(Path tap, Controller.Factory decisions) throws IOException {
+    /** Replays the recording; throws if it cannot be read or is malformed. */
+    public static Result play(Path recording, Controller.Factory decisions) throws IOException {
         Replay replay = new Replay(decisions);
-        try (BufferedReader in = Files.newBufferedReader(tap, StandardCharsets.UTF_8)) {
+        try (BufferedReader in = Files.newBufferedReader(recording, StandardCharsets.UTF_8)) {
             String difference = replay.play(in);
-            return new Result(replay.batches, replay.orders, replay.inside, replay.bridges.size(), difference);
+            return new Result(replay.batches, replay.orders, replay.inside, replay.adapters.size(), difference);
         } finally {
-            replay.bridges.forEach(Bridge::close);
+            replay.adapters.forEach(CoordinatorAdapter::close);
         }
     }
 
+    /** Returns the first difference, or null. */
     private String play(BufferedReader in) throws IOException {
         Map<String, String> answers = new TreeMap<>();
         int line = 0;
@@ -70,17 +89,17 @@
             String body = in.readLine();
             line++;
             if (body == null) {
-                throw new IOException("line " + line + ": the record ends after a header");
+                throw new IOException("line " + line + ": the recording ends after a header");
             }
             if (batch) {
                 answers.put(process, answer(process, body));
                 batches++;
             } else {
-                String ours = answers.remove(process);
-                if (ours == null) {
-                    throw new IOException("line " + line + ": a reply without its batch");
+                String reply = answers.remove(process);
+                if (reply == null) {
+                    throw new IOException("line " + line + ": a reply without a batch");
                 }
-                String difference = compare(body, ours);
+                String difference = compare(body, reply);
                 if (difference != null) {
                     return "batch " + batches + " of " + process + " (line " + (line - 2) + "): " + difference;
                 }
@@ -89,55 +108,59 @@
         return null;
     }
 
+    /** Feeds the batch to the process's coordinators and returns their reply. */
     private String answer(String process, String batch) throws IOException {
-        WireHost host = hosts.computeIfAbsent(process, p -> new WireHost(this::start));
+        WireHost host = hosts.computeIfAbsent(process, p -> new WireHost(this::startCoordinator));
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         host.run(new ByteArrayInputStream(batch.getBytes(StandardCharsets.UTF_8)), out);
         return out.toString(StandardCharsets.UTF_8);
     }
 
-    private Controller start(Settings settings, long seed) {
+    private Controller startCoordinator(Settings settings, long seed) {
         try {
-            Bridge bridge = new Bridge(settings, seed, decisions);
-            bridges.add(bridge);
-            return bridge;
+            CoordinatorAdapter adapter = new CoordinatorAdapter(settings, seed, decisions);
+            adapters.add(adapter);
+            return adapter;
         } catch (IOException noSocket) {
             throw new IllegalStateException(noSocket);
         }
     }
 
-    private String compare(String recorded, String ours) throws IOException {
-        Map<String, List<String>> theirs = split(recorded, true);
-        Map<String, List<String>> mine = split(ours, false);
-        if (mine.containsKey("failure")) {
-            return "the replay itself failed: " + mine.get("failure");
+    /** Returns the first difference, or null. */
+    private String compare(String recordedReply, String sentReply) throws IOException {
+        Map<String, List<String>> recorded = split(recordedReply, true);
+        Map<String, List<String>> sent = split(sentReply, false);
+        if (sent.containsKey("failure")) {
+            return "the replay failed: " + sent.get("failure");
         }
-        for (Map.Entry<String, List<String>> each : theirs.entrySet()) {
-            String difference = differ(each.getKey(), each.getValue(), mine.getOrDefault(each.getKey(), List.of()));
+        for (Map.Entry<String, List<String>> entry : recorded.entrySet()) {
+            String difference =
+                    firstDifference(entry.getKey(), entry.getValue(), sent.getOrDefault(entry.getKey(), List.of()));
             if (difference != null) {
                 return difference;
             }
         }
-        for (Map.Entry<String, List<String>> each : mine.entrySet()) {
-            if (!theirs.containsKey(each.getKey())) {
-                return differ(each.getKey(), List.of(), each.getValue());
+        for (Map.Entry<String, List<String>> entry : sent.entrySet()) {
+            if (!recorded.containsKey(entry.getKey())) {
+                return firstDifference(entry.getKey(), List.of(), entry.getValue());
             }
         }
         return null;
     }
 
-    private static String differ(String where, List<String> recorded, List<String> ours) {
-        for (int i = 0; i < Math.max(recorded.size(), ours.size()); i++) {
-            String a = i < recorded.size() ? recorded.get(i) : "nothing";
-            String b = i < ours.size() ? ours.get(i) : "nothing";
-            if (!a.equals(b)) {
-                return "order " + i + " to " + where + ": recorded " + a + ", sent " + b;
+    /** Returns the first difference between the orders to one destination, or null. */
+    private static String firstDifference(String destination, List<String> recorded, List<String> sent) {
+        for (int i = 0; i < Math.max(recorded.size(), sent.size()); i++) {
+            String recordedOrder = i < recorded.size() ? recorded.get(i) : "nothing";
+            String sentOrder = i < sent.size() ? sent.get(i) : "nothing";
+            if (!recordedOrder.equals(sentOrder)) {
+                return "order " + i + " to " + destination + ": recorded " + recordedOrder + ", sent " + sentOrder;
             }
         }
         return null;
     }
 
-    /** The orders of a reply by instance and destination, each as its text. */
+    /** Returns the orders of a reply as text, by destination and instance; adds them to the counters if asked to. */
     private Map<String, List<String>> split(String reply, boolean count) throws IOException {
         Map<String, List<String>> split = new TreeMap<>();
         try (JsonParser in = json.createParser(reply)) {
@@ -162,7 +185,7 @@
                     } else {
                         orders += count ? 1 : 0;
                         split.computeIfAbsent(
-                                        TO.getOrDefault(name, "proxies") + " of instance " + words.get(1),
+                                        DESTINATIONS.getOrDefault(name, "proxies") + " of instance " + words.get(1),
                                         k -> new ArrayList<>())
                                 .add(String.join(" ", words));
                     }
--- a/src/test/java/puffinbarrow/replay/ReplayTest.java
+++ b/src/test/java/puffinbarrow/replay/ReplayTest.java
@@ -1,6 +1,7 @@
 package puffinbarrow.replay;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.ByteArrayInputStream;
@@ -19,18 +20,23 @@
 import puffinbarrow.control.Order;
 import puffinbarrow.wire.WireHost;
 
-/** A small rough day in the bench's form, made here by the adapter itself, replayed over sockets. */
+/** Replays a short recorded day with failures over sockets; {@link WireHost} makes the recording here. */
 class ReplayTest {
-    private static final int SERVERS = 6, SLICES = 18, PROXIES = 4;
+    private static final int SERVERS = 6;
+    private static final int SLICES = 18;
+    private static final int PROXIES = 4;
 
     private static String server(int i) {
         return "10.0.0." + i + ":80";
     }
 
-    /** The batches of twenty seconds: sums each second, a server that fails, a death, a return, a drain, a proxy lost. */
+    /**
+     * Returns the batches of twenty seconds: reports each second, a server that fails requests, one that disappears and
+     * returns, one that drains, and a proxy that leaves and comes back.
+     */
     private static List<String> batches() {
         List<String> batches = new ArrayList<>();
-        StringBuilder born = new StringBuilder("[\"Born\",0,77,{\"Discovery\":\"ask\",\"Ceilings\":{\"Probes\":true},"
+        StringBuilder start = new StringBuilder("[\"Born\",0,77,{\"Discovery\":\"ask\",\"Ceilings\":{\"Probes\":true},"
                 + "\"RequestClasses\":[{\"AimNs\":1000000000,\"Importance\":1.0},{\"AimNs\":500000000,\"Importance\":3.0}],"
                 + "\"Domain\":{\"Ranges\":" + SLICES + ",\"Backlog\":2000.0,\"EgressPerS\":1500.0,\"Overhead\":8.0,"
                 + "\"PushesAllowed\":20,\"CountedOverNs\":10000000000,\"ReportEveryNs\":1000000000,\"ThrottleBy\":"
@@ -40,7 +46,7 @@
         for (int i = 0; i < SERVERS; i++) {
             pool.append(i > 0 ? "," : "").append("[\"").append(server(i)).append("\",0,0,0,\"ready\",1.25,0]");
         }
-        StringBuilder first = new StringBuilder(born).append(pool).append("]],[\"Registry\",0,1,\"stale_copy\",0]");
+        StringBuilder first = new StringBuilder(start).append(pool).append("]],[\"Registry\",0,1,\"stale_copy\",0]");
         for (int i = 0; i < SLICES; i++) {
             first.append(",[\"Leased\",0,")
                     .append(i)
@@ -101,8 +107,8 @@
         return batches;
     }
 
-    private static String list(String mode, int server, long born) {
-        return ",[\"Pool\",1,[[\"" + server(server) + "\",0,0,0,\"" + mode + "\",1.25," + born
+    private static String list(String mode, int server, long startedNs) {
+        return ",[\"Pool\",1,[[\"" + server(server) + "\",0,0,0,\"" + mode + "\",1.25," + startedNs
                 + "]]],[\"Registry\",0,3,\"patch\",1]";
     }
 
@@ -111,7 +117,8 @@
                 + events + "]}";
     }
 
-    private static Path tap(Path folder, Controller.Factory decisions) throws IOException {
+    /** Writes the recording of the day as decided by {@code decisions}, and returns its file. */
+    private static Path record(Path folder, Controller.Factory decisions) throws IOException {
         WireHost host = new WireHost(decisions);
         StringBuilder text = new StringBuilder();
         for (String batch : batches()) {
@@ -131,31 +138,30 @@
     }
 
     @Test
-    void aRoughDayReplaysOrderForOrder(@TempDir Path folder) throws IOException {
-        Replay.Result result = Replay.play(tap(folder, Logic::new), Logic::new);
+    void dayWithFailuresReplaysWithEqualOrders(@TempDir Path folder) throws IOException {
+        Replay.Result result = Replay.play(record(folder, Logic::new), Logic::new);
         assertEquals(null, result.difference());
         assertEquals(80, result.batches());
         assertTrue(result.orders() > 60, "orders " + result.orders());
     }
 
     @Test
-    void oneOrderLeftOutIsFoundWithItsBatch(@TempDir Path folder) throws IOException {
-        Path tap = tap(folder, Logic::new);
-        Controller.Factory lame = (settings, seed) -> {
+    void missingOrderIsReported(@TempDir Path folder) throws IOException {
+        Path recording = record(folder, Logic::new);
+        Controller.Factory withoutMasksOfServerOne = (settings, seed) -> {
             Logic logic = new Logic(settings, seed);
             return (now, events) -> logic.handle(now, events).stream()
                     .filter(o -> !(o instanceof Order.Mask m && m.server().equals(server(1))))
                     .toList();
         };
-        Replay.Result result = Replay.play(tap, lame);
+        Replay.Result result = Replay.play(recording, withoutMasksOfServerOne);
         assertTrue(result.difference().contains("recorded Mask 0 " + server(1)), result.difference());
     }
 
     @Test
-    void aFileThatIsNoRecordIsRefusedWithItsLine(@TempDir Path folder) throws IOException {
+    void malformedRecordingIsRefusedWithItsLine(@TempDir Path folder) throws IOException {
         Path file = Files.writeString(folder.resolve("no.tap"), "hello\n");
-        IOException refused =
-                org.junit.jupiter.api.Assertions.assertThrows(IOException.class, () -> Replay.play(file, Logic::new));
+        IOException refused = assertThrows(IOException.class, () -> Replay.play(file, Logic::new));
         assertTrue(refused.getMessage().startsWith("line 1: found 'hello'"));
     }
 }
