--- a/src/main/java/puffinbarrow/standin/Backend.java
+++ b/src/main/java/puffinbarrow/standin/Backend.java
@@ -21,11 +21,28 @@
 import puffinbarrow.net.Net;
 
 /**
- * A stand-in backend: HTTP/1.1 on a loopback port, cores that work flows one each, a waiting room, a cold start, warm
- * keys, and faults on command. Work is a timer, not CPU, so hundreds fit one machine. All state is guarded by this.
+ * A stand-in backend for scripted days: serves HTTP/1.1 on a loopback port with cores that run one flow each, a bounded
+ * queue, a cold start, keys that it has cached, and faults on command. Work is simulated with a timer and takes no CPU,
+ * so that hundreds of backends fit on one machine. Requests arrive on the threads of {@link Net}, faults on that of the
+ * day; all state is guarded by {@code this}.
  */
 public final class Backend {
-    /** What a machine is and where it stands. */
+    /**
+     * The properties of a machine.
+     *
+     * @param zone number of its zone
+     * @param kind number of its machine type
+     * @param cell number of its cell within the fleet
+     * @param cores flows that it runs at a time
+     * @param speed of one core, relative to the core in which work is measured
+     * @param waitingRoom most flows that wait for a core
+     * @param connections most streams that it accepts
+     * @param coldFrom part of its full speed right after a start; grows linearly
+     * @param coldNs time after a start at which it has its full speed; 0: at once
+     * @param warmKeyGain part of the work that a flow with a cached key saves
+     * @param warmKeys most keys that it caches
+     * @param dedupNs how long it remembers finished flows and answers repeats without running them; 0: not at all
+     */
     public record Shape(
             int zone,
             int kind,
@@ -40,49 +57,81 @@
             int warmKeys,
             long dedupNs) {}
 
-    private record Job(Link link, long flow, int slice, int group, String key, long workNs, int life) {}
+    private record Job(Link link, long flow, int slice, int group, String key, long workNs, int incarnation) {}
 
-    /** A load report is of the last half second, as reports of the field's servers are of about as long. */
-    private static final long REPORT_NS = 500_000_000L;
+    /** Interval that a load report covers, about as long as that of common servers. */
+    private static final long REPORT_INTERVAL_NS = 500_000_000L;
 
     private final Net net;
     private final Shape shape;
     private final Recorder recorder;
-    private final UniformRandomProvider chance;
+    private final UniformRandomProvider random;
+    /** A cold backend that gets more than {@link #fallMultiple} times its present capacity for so long crashes. */
     private final long fallNs;
+
     private final double fallMultiple;
     private final InetSocketAddress address;
     private final String id;
     private Net.Listener listener;
     private final Set<Link> links = new HashSet<>();
     private final ArrayDeque<Job> waiting = new ArrayDeque<>();
-    private final Map<String, Long> keys = new LinkedHashMap<>(64, 0.75f, true);
-    private final Map<Long, Long> dedup = new LinkedHashMap<>();
-    private final ArrayDeque<long[]> asked = new ArrayDeque<>();
-    private double askedWork;
-    private int working;
-    /** Counts lives of the process: what a former life began is never finished by a later one. */
-    private int life;
+    /** Cached keys, least recently used first. */
+    private final Map<String, Long> cachedKeys = new LinkedHashMap<>(64, 0.75f, true);
+    /** When each flow that it still remembers finished, oldest first. */
+    private final Map<Long, Long> finishedAt = new LinkedHashMap<>();
+    /** Time and work of each flow received during the last {@link #fallNs} of the cold phase. */
+    private final ArrayDeque<long[]> recentWork = new ArrayDeque<>();
+
+    private double recentWorkNs;
+    private int busyCores;
+    /** Number of restarts; a flow that began in an earlier process is never finished by a later one. */
+    private int incarnation;
 
     private boolean up;
+    /** It crashed under overload and stays down. */
     private boolean fell;
+
     private boolean draining;
+    /** When the present process started; 0: before the recording. */
     private long startedAt;
+
     private long processAt;
-    private double failShare, loseShare, slow = 1;
-    private long pausedUntil;
-    private long reportAt;
-    private long busyNs, busyMark;
-    private int done, failed;
-    private double lastBusy, lastPerS;
+    /** Share of flows that it fails, 0 to 1. */
+    private double failShare;
+    /** Share of answers that it loses, 0 to 1. */
+    private double loseShare;
+    /** Factor by which work takes longer. */
+    private double slowFactor = 1;
 
+    private long pausedUntil;
+    /** When the latest load report was computed. */
+    private long reportedAt;
+    /** Core time of all flows begun. */
+    private long busyNs;
+    /** {@link #busyNs} at the latest load report. */
+    private long reportedBusyNs;
+    /** Flows finished since the latest load report. */
+    private int done;
+    /** Flows failed since the latest load report. */
+    private int failed;
+    /** Busy share of the cores in the latest load report. */
+    private double reportedBusy;
+    /** Finished flows per second in the latest load report. */
+    private double reportedPerS;
+
+    /**
+     * Listens at once.
+     *
+     * @param fallMultiple multiple of its present capacity that a cold backend withstands
+     * @param fallNs time for which the overload must last to crash it
+     */
     public Backend(
-            Net net, Shape shape, Recorder recorder, UniformRandomProvider chance, double fallMultiple, long fallNs)
+            Net net, Shape shape, Recorder recorder, UniformRandomProvider random, double fallMultiple, long fallNs)
             throws IOException {
         this.net = net;
         this.shape = shape;
         this.recorder = recorder;
-        this.chance = chance;
+        this.random = random;
         this.fallMultiple = fallMultiple;
         this.fallNs = fallNs;
         this.listener = net.listen(new InetSocketAddress("127.0.0.1", 0), 1 << 20, channel -> new Stream());
@@ -92,6 +141,7 @@
         this.processAt = System.nanoTime();
     }
 
+    /** Returns its address as HOST:PORT, which stays the same across restarts. */
     public String id() {
         return id;
     }
@@ -100,7 +150,7 @@
         return shape;
     }
 
-    /** When its process started, or 0 for one that ran before the record began. */
+    /** Returns when its process started; 0 if it was running before the recording began. */
     public synchronized long startedAt() {
         return startedAt;
     }
@@ -109,6 +159,7 @@
         return up;
     }
 
+    /** Returns whether it crashed under overload. */
     public synchronized boolean fell() {
         return fell;
     }
@@ -119,6 +170,7 @@
 
     // ---- Faults.
 
+    /** Ends its process: closes all streams and drops all flows. */
     public void die() {
         Set<Link> gone;
         synchronized (this) {
@@ -126,11 +178,11 @@
                 return;
             }
             up = false;
-            life++;
+            incarnation++;
             waiting.clear();
-            working = 0;
-            keys.clear();
-            dedup.clear();
+            busyCores = 0;
+            cachedKeys.clear();
+            finishedAt.clear();
             gone = new HashSet<>(links);
             links.clear();
         }
@@ -138,7 +190,7 @@
         gone.forEach(Link::close);
     }
 
-    /** Comes back under the same id, cold; tried again a little later should the port be held for a moment. */
+    /** Starts its process again, cold and with the same id; retries shortly after if the port is still in use. */
     public void startCold() {
         synchronized (this) {
             if (up || fell) {
@@ -146,24 +198,24 @@
             }
         }
         try {
-            Net.Listener again = net.listen(address, 1 << 20, channel -> new Stream());
+            Net.Listener reopened = net.listen(address, 1 << 20, channel -> new Stream());
             synchronized (this) {
-                listener = again;
+                listener = reopened;
                 up = true;
                 draining = false;
                 startedAt = processAt = System.nanoTime();
                 failShare = loseShare = 0;
-                slow = 1;
-                asked.clear();
-                askedWork = 0;
+                slowFactor = 1;
+                recentWork.clear();
+                recentWorkNs = 0;
                 recorder.add(new Seen.Started(startedAt, id, shape.cores, shape.speed, shape.coldFrom, shape.coldNs));
             }
-        } catch (IOException held) {
+        } catch (IOException portInUse) {
             net.schedule(50, this::startCold);
         }
     }
 
-    /** For one that is new: cold from now on, as it has just been started. */
+    /** Treats a new backend as started just now, so that it is cold. */
     public void beginCold() {
         synchronized (this) {
             startedAt = processAt = System.nanoTime();
@@ -171,29 +223,34 @@
         }
     }
 
+    /** Refuses new flows while on. */
     public synchronized void drain(boolean on) {
         draining = on;
     }
 
+    /** Fails that share of flows from now on. */
     public synchronized void fail(double share) {
         failShare = share;
     }
 
+    /** Loses the answers of that share of flows from now on; the flows run all the same. */
     public synchronized void loseAnswers(double share) {
         loseShare = share;
     }
 
+    /** Makes work take longer by the factor from now on. */
     public synchronized void slowBy(double factor) {
-        slow = factor;
+        slowFactor = factor;
     }
 
-    /** Stands still: what is in work waits, nothing is answered. */
+    /** Freezes for that long: running flows wait, and nothing is answered. */
     public synchronized void pause(long ns) {
         pausedUntil = System.nanoTime() + ns;
     }
 
-    // ---- Work.
+    // ---- Flows and probes.
 
+    /** Returns the part of its full speed that it has, 0 to 1. */
     private double warmth(long now) {
         if (startedAt == 0 || shape.coldNs <= 0) {
             return 1;
@@ -202,8 +259,9 @@
     }
 
     private final class Stream implements Link.Receiver {
-        private final HttpParser parser = new HttpParser(true, 64 * 1024, this::request);
+        private final HttpParser parser = new HttpParser(true, 64 * 1024, this::onRequest);
         private Link link;
+        /** It was checked against the limit of connections. */
         private boolean counted;
 
         @Override
@@ -226,11 +284,11 @@
             parser.feed(bytes);
         }
 
-        private void request(HttpParser.Message request) {
+        private void onRequest(HttpParser.Message request) {
             if (request.second().equals("/probe")) {
-                probe(link);
+                onProbe(link);
             } else {
-                flow(link, request);
+                onFlow(link, request);
             }
         }
 
@@ -242,11 +300,11 @@
         }
     }
 
-    private void probe(Link link) {
+    private void onProbe(Link link) {
         String header;
         long wait;
         synchronized (this) {
-            header = report(System.nanoTime());
+            header = loadReport(System.nanoTime());
             wait = pausedUntil - System.nanoTime();
         }
         if (wait > 0) {
@@ -256,13 +314,14 @@
         }
     }
 
-    private void flow(Link link, HttpParser.Message request) {
+    private void onFlow(Link link, HttpParser.Message request) {
         long now = System.nanoTime();
+        // 0: the flow runs or waits; below 0: the backend crashes.
         int code = 0;
         String header;
         Job job;
         synchronized (this) {
-            header = report(now);
+            header = loadReport(now);
             job = new Job(
                     link,
                     number(request, "x-flow"),
@@ -270,19 +329,19 @@
                     (int) number(request, "x-group"),
                     request.header("x-key"),
                     number(request, "x-work-ns"),
-                    life);
-            if (overload(now, job.workNs)) {
+                    incarnation);
+            if (isOverloaded(now, job.workNs)) {
                 code = -1;
             } else if (draining) {
                 code = 503;
-            } else if (failShare > 0 && chance.nextDouble() < failShare) {
+            } else if (failShare > 0 && random.nextDouble() < failShare) {
                 failed++;
                 code = 500;
-            } else if (working >= shape.cores && waiting.size() >= shape.waitingRoom) {
+            } else if (busyCores >= shape.cores && waiting.size() >= shape.waitingRoom) {
                 code = 503;
-            } else if (dedup.containsKey(job.flow)) {
+            } else if (finishedAt.containsKey(job.flow)) {
                 code = 200;
-            } else if (working < shape.cores) {
+            } else if (busyCores < shape.cores) {
                 begin(now, job);
             } else {
                 waiting.addLast(job);
@@ -295,39 +354,41 @@
         }
     }
 
+    /** Returns the header's value; 0 if it is missing or not a number. */
     private static long number(HttpParser.Message request, String header) {
         try {
             return Long.parseLong(request.header(header));
-        } catch (NumberFormatException odd) {
+        } catch (NumberFormatException notANumber) {
             return 0;
         }
     }
 
-    /** A cold server that is sent more than the multiple of what it can do for the stated time falls over. */
-    private boolean overload(long now, long workNs) {
+    /** Counts the work of a flow, and returns whether the backend, being cold, crashes under its recent work. */
+    private boolean isOverloaded(long now, long workNs) {
         if (startedAt == 0 || now - startedAt > shape.coldNs + fallNs) {
             return false;
         }
-        asked.addLast(new long[] {now, workNs});
-        askedWork += workNs;
-        while (now - asked.peekFirst()[0] > fallNs) {
-            askedWork -= asked.pollFirst()[1];
+        recentWork.addLast(new long[] {now, workNs});
+        recentWorkNs += workNs;
+        while (now - recentWork.peekFirst()[0] > fallNs) {
+            recentWorkNs -= recentWork.pollFirst()[1];
         }
-        if (askedWork > 1.1 * fallMultiple * shape.cores * shape.speed * warmth(now) * fallNs) {
+        // The same tolerance of ten percent as the audit.
+        if (recentWorkNs > 1.1 * fallMultiple * shape.cores * shape.speed * warmth(now) * fallNs) {
             fell = true;
         }
         return fell;
     }
 
     private void begin(long now, Job job) {
-        working++;
+        busyCores++;
         recorder.add(new Seen.Ran(now, id, shape.zone, shape.cell, job.slice, job.group, job.flow, true));
-        boolean warm = shape.warmKeyGain > 0 && keys.put(job.key, now) != null;
-        while (keys.size() > shape.warmKeys) {
-            keys.remove(keys.keySet().iterator().next());
+        boolean warm = shape.warmKeyGain > 0 && cachedKeys.put(job.key, now) != null;
+        while (cachedKeys.size() > shape.warmKeys) {
+            cachedKeys.remove(cachedKeys.keySet().iterator().next());
         }
         double work = job.workNs * (warm ? 1 - shape.warmKeyGain : 1);
-        long took = (long) (work * slow / (shape.speed * warmth(now)));
+        long took = (long) (work * slowFactor / (shape.speed * warmth(now)));
         busyNs += took;
         long wait = Math.max(0, pausedUntil - now);
         net.timer().schedule(() -> finish(job), took + wait, TimeUnit.NANOSECONDS);
@@ -338,27 +399,27 @@
         String header;
         long now = System.nanoTime();
         synchronized (this) {
-            if (job.life != life) {
+            if (job.incarnation != incarnation) {
                 return;
             }
-            long still = pausedUntil - now;
-            if (still > 1_000_000) {
-                net.timer().schedule(() -> finish(job), still, TimeUnit.NANOSECONDS);
+            long pausedNs = pausedUntil - now;
+            if (pausedNs > 1_000_000) {
+                net.timer().schedule(() -> finish(job), pausedNs, TimeUnit.NANOSECONDS);
                 return;
             }
-            working--;
+            busyCores--;
             done++;
             recorder.add(new Seen.Ran(now, id, shape.zone, shape.cell, job.slice, job.group, job.flow, false));
             if (shape.dedupNs > 0) {
-                dedup.put(job.flow, now);
-                while (now - dedup.values().iterator().next() > shape.dedupNs) {
-                    dedup.remove(dedup.keySet().iterator().next());
+                finishedAt.put(job.flow, now);
+                while (now - finishedAt.values().iterator().next() > shape.dedupNs) {
+                    finishedAt.remove(finishedAt.keySet().iterator().next());
                 }
             }
-            lose = loseShare > 0 && chance.nextDouble() < loseShare;
-            header = report(now);
+            lose = loseShare > 0 && random.nextDouble() < loseShare;
+            header = loadReport(now);
             Job next = waiting.pollFirst();
-            // What waits for a stream that is gone is dropped unseen; nobody would hear the answer.
+            // Skips flows whose stream is closed: nobody would receive the answer.
             while (next != null && next.link.ended()) {
                 next = waiting.pollFirst();
             }
@@ -373,21 +434,22 @@
         }
     }
 
-    private String report(long now) {
-        if (now - reportAt > REPORT_NS) {
-            double span = reportAt == 0 ? REPORT_NS : now - reportAt;
-            double noise = 0.95 + 0.1 * chance.nextDouble();
-            lastBusy = Math.min(1, (busyNs - busyMark) / span / shape.cores * noise);
-            lastBusy = Math.max(lastBusy, working >= shape.cores ? 0.9 : 0);
-            busyMark = busyNs;
-            lastPerS = done * 1e9 / span;
+    /** Returns the load report header, computed anew once {@link #REPORT_INTERVAL_NS} has passed. */
+    private String loadReport(long now) {
+        if (now - reportedAt > REPORT_INTERVAL_NS) {
+            double span = reportedAt == 0 ? REPORT_INTERVAL_NS : now - reportedAt;
+            double noise = 0.95 + 0.1 * random.nextDouble();
+            reportedBusy = Math.min(1, (busyNs - reportedBusyNs) / span / shape.cores * noise);
+            reportedBusy = Math.max(reportedBusy, busyCores >= shape.cores ? 0.9 : 0);
+            reportedBusyNs = busyNs;
+            reportedPerS = done * 1e9 / span;
             done = failed = 0;
-            reportAt = now;
+            reportedAt = now;
         }
         Map<Event.Measure, Double> report = new EnumMap<>(Event.Measure.class);
-        report.put(Event.Measure.BUSY, lastBusy);
-        report.put(Event.Measure.DELIVERED_PER_S, lastPerS);
-        report.put(Event.Measure.HELD, (double) working + waiting.size());
+        report.put(Event.Measure.BUSY, reportedBusy);
+        report.put(Event.Measure.DELIVERED_PER_S, reportedPerS);
+        report.put(Event.Measure.HELD, (double) busyCores + waiting.size());
         return Orca.write(report);
     }
 
--- a/src/main/java/puffinbarrow/standin/Delays.java
+++ b/src/main/java/puffinbarrow/standin/Delays.java
@@ -15,41 +15,62 @@
 import puffinbarrow.net.Net;
 
 /**
- * A stand-in target for the load generator: answers each request after a delay drawn from a known distribution, may
- * stand still for a time, and answers in odd ways on demand. It keeps the delays that it really gave.
+ * A stand-in target for checks of the load generator: answers each request after a delay drawn from a known
+ * distribution, stalls for a time on command, and writes malformed or unusual answers on command. Records the delays
+ * that requests really had. Methods may be called from any thread.
  */
 public final class Delays implements AutoCloseable {
     /** How an answer is written. */
     public enum Manner {
+        /** Whole, in one write. */
         PLAIN,
+        /** Whole, in three writes 5 ms apart. */
         SPLIT,
+        /** With chunked transfer encoding. */
         CHUNKED,
+        /** Shorter than its stated length, then the stream is closed. */
         CUT_SHORT,
+        /** None: the stream is closed. */
         CLOSED,
+        /** Longer than its stated length. */
         LONGER,
+        /** Twice. */
         DOUBLED,
+        /** With the identifier of another flow. */
         ANOTHERS,
+        /** Before the request has been received in full. */
         EARLY
     }
 
+    /** Longest delay that the histogram records. */
+    private static final long MAX_RECORDED_US = 60_000_000;
+
     private final Net net;
     private final Net.Listener listener;
     private final DoubleUnaryOperator delayNs;
-    private final UniformRandomProvider chance;
-    private final Histogram given = new ConcurrentHistogram(60_000_000, 3);
+    private final UniformRandomProvider random;
+    /** Delays from a request's arrival to its answer, in microseconds. */
+    private final Histogram given = new ConcurrentHistogram(MAX_RECORDED_US, 3);
+
     private final AtomicLong requests = new AtomicLong();
-    private volatile long stillFrom = Long.MAX_VALUE, stillUntil = Long.MIN_VALUE;
+    private volatile long stalledFrom = Long.MAX_VALUE;
+    private volatile long stalledUntil = Long.MIN_VALUE;
     private volatile Manner manner = Manner.PLAIN;
 
-    /** @param delayNs from a uniform draw in [0,1) to a delay: the inverse of the distribution's function */
-    public Delays(DoubleUnaryOperator delayNs, UniformRandomProvider chance) throws IOException {
-        this(delayNs, chance, 0);
+    /** @param delayNs maps a uniform number in [0, 1) to a delay: the distribution's quantile function */
+    public Delays(DoubleUnaryOperator delayNs, UniformRandomProvider random) throws IOException {
+        this(delayNs, random, 0);
     }
 
-    public Delays(DoubleUnaryOperator delayNs, UniformRandomProvider chance, int port) throws IOException {
+    /**
+     * Listens on the port; 0: any free one.
+     *
+     * @param delayNs maps a uniform number in [0, 1) to a delay: the distribution's quantile function
+     */
+    public Delays(DoubleUnaryOperator delayNs, UniformRandomProvider random, int port) throws IOException {
         this.net = new Net("delays", 3);
         this.delayNs = delayNs;
-        this.chance = chance;
+        this.random = random;
         this.listener = net.listen(new InetSocketAddress("127.0.0.1", port), 16 << 20, channel -> new Stream());
     }
 
@@ -57,39 +78,42 @@
         return listener.address();
     }
 
+    /** Sets how answers are written from now on. */
     public void manner(Manner how) {
         manner = how;
     }
 
-    /** Answers nothing for that long from now; what came or was due meanwhile is answered at its end. */
+    /** Answers nothing for that long from now; answers that fall dueAt meanwhile are sent at its end. */
     public void standStill(long ns) {
-        stillFrom = System.nanoTime();
-        stillUntil = stillFrom + ns;
+        stalledFrom = System.nanoTime();
+        stalledUntil = stalledFrom + ns;
     }
 
-    /** The delays given, in microseconds, from a request's arrival to its answer. */
+    /** Returns the delays so far, in microseconds, from a request's arrival to its answer. */
     public Histogram given() {
         return given;
     }
 
+    /** Returns the number of requests so far. */
     public long requests() {
         return requests.get();
     }
 
     private final class Stream implements Link.Receiver {
-        private final HttpParser parser = new HttpParser(true, 1 << 20, this::request);
+        private final HttpParser parser = new HttpParser(true, 1 << 20, this::onRequest);
         private Link link;
+        /** The answer was sent already, with {@link Manner#EARLY}. */
         private boolean early;
 
         @Override
         public void received(Link from, ByteBuffer bytes) {
             link = from;
             if (manner == Manner.EARLY) {
-                // Answered on the first bytes, the rest read later, so that it cannot have been sent whole by then.
+                // Answers on the first bytes and reads the rest later, so that the request cannot be complete by then.
                 if (!early) {
                     early = true;
                     requests.incrementAndGet();
-                    say("HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok");
+                    write("HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok");
                     link.pauseReading(true);
                     net.schedule(200, () -> link.pauseReading(false));
                 }
@@ -99,51 +123,53 @@
             parser.feed(bytes);
         }
 
-        private void request(HttpParser.Message request) {
+        private void onRequest(HttpParser.Message request) {
             requests.incrementAndGet();
-            long came = System.nanoTime();
-            double draw;
-            synchronized (chance) {
-                draw = chance.nextDouble();
+            long receivedAt = System.nanoTime();
+            double uniform;
+            synchronized (random) {
+                uniform = random.nextDouble();
             }
-            long due = came + (long) delayNs.applyAsDouble(draw);
+            long dueAt = receivedAt + (long) delayNs.applyAsDouble(uniform);
             String flow = request.header("x-flow");
-            if (due <= came) {
-                answer(came, due, flow);
+            if (dueAt <= receivedAt) {
+                answer(receivedAt, dueAt, flow);
             } else {
-                net.timer().schedule(() -> answer(came, due, flow), due - System.nanoTime(), TimeUnit.NANOSECONDS);
+                net.timer()
+                        .schedule(
+                                () -> answer(receivedAt, dueAt, flow), dueAt - System.nanoTime(), TimeUnit.NANOSECONDS);
             }
         }
 
-        private void answer(long came, long due, String flow) {
+        private void answer(long receivedAt, long dueAt, String flow) {
             long now = System.nanoTime();
-            if (now < stillUntil && now >= stillFrom) {
-                net.timer().schedule(() -> answer(came, due, flow), stillUntil - now, TimeUnit.NANOSECONDS);
+            if (now < stalledUntil && now >= stalledFrom) {
+                net.timer().schedule(() -> answer(receivedAt, dueAt, flow), stalledUntil - now, TimeUnit.NANOSECONDS);
                 return;
             }
-            given.recordValue(Math.min(60_000_000, (System.nanoTime() - came) / 1000));
+            given.recordValue(Math.min(MAX_RECORDED_US, (System.nanoTime() - receivedAt) / 1000));
             switch (manner) {
-                case PLAIN -> say("HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok");
+                case PLAIN -> write("HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok");
                 case SPLIT -> {
-                    say("HTTP/1.1 200 OK\r\ncont");
-                    net.schedule(5, () -> say("ent-length: 2\r\n\r\no"));
-                    net.schedule(10, () -> say("k"));
+                    write("HTTP/1.1 200 OK\r\ncont");
+                    net.schedule(5, () -> write("ent-length: 2\r\n\r\no"));
+                    net.schedule(10, () -> write("k"));
                 }
-                case CHUNKED -> say(
+                case CHUNKED -> write(
                         "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n1\r\no\r\n1\r\nk\r\n0\r\n\r\n");
                 case CUT_SHORT -> {
-                    say("HTTP/1.1 200 OK\r\ncontent-length: 20\r\n\r\nok");
+                    write("HTTP/1.1 200 OK\r\ncontent-length: 20\r\n\r\nok");
                     link.closeWhenSent();
                 }
                 case CLOSED -> link.close();
-                case LONGER -> say("HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nokand more");
-                case DOUBLED -> say("HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok".repeat(2));
-                case ANOTHERS -> say("HTTP/1.1 200 OK\r\nx-flow: " + flow + "1\r\ncontent-length: 2\r\n\r\nok");
+                case LONGER -> write("HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nokand more");
+                case DOUBLED -> write("HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok".repeat(2));
+                case ANOTHERS -> write("HTTP/1.1 200 OK\r\nx-flow: " + flow + "1\r\ncontent-length: 2\r\n\r\nok");
                 default -> throw new IllegalStateException(manner.name());
             }
         }
 
-        private void say(String text) {
+        private void write(String text) {
             link.send(ByteBuffer.wrap(text.getBytes(StandardCharsets.US_ASCII)));
         }
 
--- a/src/main/java/puffinbarrow/standin/PlainProxy.java
+++ b/src/main/java/puffinbarrow/standin/PlainProxy.java
@@ -30,63 +30,94 @@
 import puffinbarrow.proto.FrameWriter;
 
 /**
- * A stand-in proxy: does as its tables say and no more. It picks a line at random by weight, keeps away for a while
- * from a server at which its own tries failed in a row, tries again only as ordered, holds a flow without a server for
- * a moment and then blocks it with a word when to come back. Orders take effect late and in order, each after the
- * time its lines take. All state is guarded by this.
+ * A stand-in proxy for scripted days that follows its tables without further logic. It picks a server at random by
+ * weight, avoids a server for some time after consecutive failures of its own attempts, retries only as ordered, and
+ * holds a flow without a server for a moment before it blocks it and states when to retry. Orders take effect in order,
+ * after a simulated transit and the time that their lines take. Frames and requests arrive on the threads of
+ * {@link Net}; all state is guarded by {@code this}.
  */
 public final class PlainProxy implements AutoCloseable {
-    /** How a proxy of the day behaves. */
+    /**
+     * How the proxy behaves.
+     *
+     * @param transitNs mean transit time of orders
+     * @param applyNsPerLine time in which one line of orders takes effect
+     * @param reportDelayNs delay with which its reports are sent
+     * @param failuresToAvoid consecutive failures after which it avoids a server; 0: never
+     * @param avoidNs how long it avoids a server
+     * @param holdNs how long it holds a flow while there is no server for it
+     * @param attemptBudgets time-out of an attempt that a retry may follow, in latency budgets of the flow's group
+     */
     public record Habits(
             long transitNs,
             long applyNsPerLine,
-            long sumsLateNs,
-            int failsToAvoid,
+            long reportDelayNs,
+            int failuresToAvoid,
             long avoidNs,
             long holdNs,
-            double tryBudgets) {}
+            double attemptBudgets) {}
 
-    /** Far above the way of a write to the store, within the second that WIRE gives a proxy to read it. */
-    private static final long READ_AGAIN_MS = 500;
+    /** Far longer than a write takes to the store, and within the second that the protocol gives a proxy to read it. */
+    private static final long REREAD_DELAY_MS = 500;
 
-    private record Due(Frame.Orders orders, long atNs) {}
+    /** Orders that take effect at that time. */
+    private record PendingOrders(Frame.Orders orders, long dueNs) {}
 
-    private static final class Avoid {
+    /** A server that failed or is avoided. */
+    private static final class AvoidedServer {
+        /** Consecutive failures. */
         int failures;
+        /** Time until which it is avoided. */
         long until;
     }
 
-    private static final class Sum {
-        long tries, dropped, tookNs;
+    /** Attempts at a server since the latest report. */
+    private static final class ServerTotals {
+        long tries;
+        long dropped;
+        /** Total time of the successful attempts. */
+        long tookNs;
+        /** The latest load report of the server. */
         Map<Event.Measure, Double> report = Map.of();
     }
 
-    private final class Voice {
+    /** The stream to one coordinator, and what it ordered. */
+    private final class CoordinatorSession {
         final int number;
         final Dialer dialer;
         final Set<String> masks = new TreeSet<>();
+        /** Levels by traffic group. */
         final Map<Integer, Order.SetLevel> levels = new HashMap<>();
-        final ArrayDeque<Due> waiting = new ArrayDeque<>();
-        long lastDue, lostAt = System.nanoTime();
-        long life;
-        TreeMap<String, Sum> sums = new TreeMap<>();
+
+        final ArrayDeque<PendingOrders> pending = new ArrayDeque<>();
+        /** When the last of the pending orders takes effect. */
+        long lastDueNs;
+        /** When the stream broke last. */
+        long lostAt = System.nanoTime();
+        /** Incarnation of the coordinator that masks and levels are from. */
+        long incarnation;
+        /** Totals by server, since the latest report. */
+        TreeMap<String, ServerTotals> totals = new TreeMap<>();
+        /** Flows and failures by slice and group ({@code slice << 8 | group}), since the latest report. */
         Map<Long, long[]> demand = new TreeMap<>();
+        /** Where to send to; null while the stream is down. */
         Outlet outlet;
+        /** The first of the pending orders is scheduled. */
         boolean applying;
-        /** Whether a stream to this coordinator stood since the proxy's start. */
-        volatile boolean met;
+        /** Whether a stream to this coordinator has been up since the proxy's start. */
+        volatile boolean joinedBefore;
 
-        Voice(int number, InetSocketAddress address) {
+        CoordinatorSession(int number, InetSocketAddress address) {
             this.number = number;
             this.dialer = new Dialer(
                     net,
                     "coordinator " + number,
                     address,
-                    () -> hello(Frame.Role.PROXY, !met),
+                    () -> hello(Frame.Role.PROXY, !joinedBefore),
                     1 << 20,
                     1 << 22,
-                    frame -> heard(this, frame),
-                    up -> stream(this, up));
+                    frame -> onFrame(this, frame),
+                    up -> onStreamChange(this, up));
         }
     }
 
@@ -96,27 +127,36 @@
     private final CoordinatorConfig config;
     private final Habits habits;
     private final Recorder recorder;
-    private final UniformRandomProvider chance;
-    private final Caller caller;
+    private final UniformRandomProvider random;
+    private final PooledHttpClient httpClient;
     private final Net.Listener listener;
     private final long incarnation;
-    private final Map<Integer, Voice> voices = new TreeMap<>();
+    private final Map<Integer, CoordinatorSession> sessions = new TreeMap<>();
+    /** Weights of servers, by slice. */
     private final Map<Integer, TreeMap<String, Double>> tables = new HashMap<>();
+    /** The coordinator in charge, by slice. */
     private final Map<Integer, Integer> owners = new HashMap<>();
-    /** The latest term seen of each slice, from the store or with orders; older ones are refused. */
+    /** The latest term seen of each slice, from the store or with orders; orders of older ones are refused. */
     private final Map<Integer, Long> terms = new HashMap<>();
 
-    private final Map<String, Avoid> avoided = new HashMap<>();
+    private final Map<String, AvoidedServer> avoided = new HashMap<>();
     private final Map<String, InetSocketAddress> addresses = new HashMap<>();
     private Dialer store;
     private Outlet storeOutlet;
     private long storeLostAt = System.nanoTime();
+    /** Number of the latest report. */
     private long round;
+
     private long nextFlow;
-    private volatile boolean deaf;
+    /** Orders are received but not applied. */
+    private volatile boolean suspended;
+
     private volatile boolean closed;
-    private long blocked, retried, wrongVoice;
+    private long blocked;
+    private long retried;
+    private long linesNotInCharge;
 
+    /** Listens at once; {@link #start} dials. */
     public PlainProxy(
             Net net,
             int number,
@@ -124,7 +164,7 @@
             CoordinatorConfig config,
             Habits habits,
             Recorder recorder,
-            UniformRandomProvider chance)
+            UniformRandomProvider random)
             throws IOException {
         this.net = net;
         this.number = number;
@@ -132,15 +172,15 @@
         this.config = config;
         this.habits = habits;
         this.recorder = recorder;
-        this.chance = chance;
-        this.caller = new Caller(net);
-        this.incarnation = chance.nextLong();
-        // Flow ids are unique over the fleet: the proxy's number above its own count.
+        this.random = random;
+        this.httpClient = new PooledHttpClient(net);
+        this.incarnation = random.nextLong();
+        // Flow identifiers are unique within the fleet: the proxy's number in the high bits, its own count below.
         this.nextFlow = (long) number << 40;
         this.listener = net.listen(new InetSocketAddress("127.0.0.1", 0), 1 << 20, channel -> new Stream());
     }
 
-    /** Dials store and coordinators and reports its sums from now on. */
+    /** Dials the store and the coordinators, and reports to them regularly from now on. */
     public void start(InetSocketAddress storeAt, Map<Integer, InetSocketAddress> coordinators) {
         store = new Dialer(
                         net,
@@ -149,15 +189,15 @@
                         () -> hello(Frame.Role.PROXY_AT_STORE, true),
                         1 << 20,
                         1 << 22,
-                        this::fromStore,
-                        this::storeUp)
+                        this::onStoreFrame,
+                        this::onStoreStreamChange)
                 .start();
         synchronized (this) {
-            coordinators.forEach((n, address) -> voices.put(n, new Voice(n, address)));
+            coordinators.forEach((n, address) -> sessions.put(n, new CoordinatorSession(n, address)));
         }
-        voices.values().forEach(v -> v.dialer.start());
-        // Rounds begin anywhere, as proxies are not started together.
-        net.timer().schedule(this::report, (long) (chance.nextDouble() * config.roundNs), TimeUnit.NANOSECONDS);
+        sessions.values().forEach(session -> session.dialer.start());
+        // Starts at a random time within a round, since real proxies do not report at the same time.
+        net.timer().schedule(this::report, (long) (random.nextDouble() * config.roundNs), TimeUnit.NANOSECONDS);
     }
 
     private Frame.Hello hello(Frame.Role role, boolean fresh) {
@@ -168,42 +208,44 @@
         return listener.address();
     }
 
-    /** Cuts the streams to all coordinators, or heals them. */
+    /** Cuts the streams to all coordinators, or restores them. */
     public void cut(boolean on) {
-        voices.values().forEach(v -> v.dialer.cut(on));
+        sessions.values().forEach(session -> session.dialer.cut(on));
     }
 
-    /** Cuts or heals the stream to one coordinator. */
+    /** Cuts the stream to one coordinator, or restores it. */
     public void cut(int coordinator, boolean on) {
-        voices.get(coordinator).dialer.cut(on);
+        sessions.get(coordinator).dialer.cut(on);
     }
 
-    /** While deaf it takes orders in but neither applies nor answers them. */
-    public void deaf(boolean on) {
-        deaf = on;
+    /** While suspended, orders are received but neither applied nor confirmed. */
+    public void suspendOrders(boolean on) {
+        suspended = on;
         if (!on) {
-            voices.values().forEach(this::applyNext);
+            sessions.values().forEach(this::applyNext);
         }
     }
 
+    /** Returns the number of blocked flows. */
     public synchronized long blocked() {
         return blocked;
     }
 
+    /** Returns the number of retries. */
     public synchronized long retried() {
         return retried;
     }
 
-    /** Lines that came from a coordinator that was not in charge of their slice. */
-    public synchronized long wrongVoice() {
-        return wrongVoice;
+    /** Returns the number of lines ignored because their coordinator was not in charge of the slice. */
+    public synchronized long linesNotInCharge() {
+        return linesNotInCharge;
     }
 
     @Override
     public void close() {
         closed = true;
         listener.close();
-        voices.values().forEach(v -> v.dialer.close());
+        sessions.values().forEach(session -> session.dialer.close());
         if (store != null) {
             store.close();
         }
@@ -211,94 +253,96 @@
 
     // ---- Orders.
 
-    private void stream(Voice voice, Outlet up) {
+    /** @param up where to send to; null: the stream broke */
+    private void onStreamChange(CoordinatorSession session, Outlet up) {
         synchronized (this) {
-            if (up != null && voice.dialer.incarnation() != voice.life) {
-                // A killed coordinator's masks and levels are lost with it: its next life knows nothing of them.
-                voice.life = voice.dialer.incarnation();
+            if (up != null && session.dialer.incarnation() != session.incarnation) {
+                // Masks and levels end with the coordinator's process, since its successor does not know them.
+                session.incarnation = session.dialer.incarnation();
                 List<Order> lifted = new ArrayList<>();
-                voice.masks.forEach(server -> lifted.add(new Order.Mask(server, false)));
-                voice.masks.clear();
-                voice.levels.clear();
-                recorder.add(new Seen.Applied(System.nanoTime(), number, voice.number, System.nanoTime(), lifted));
+                session.masks.forEach(server -> lifted.add(new Order.Mask(server, false)));
+                session.masks.clear();
+                session.levels.clear();
+                recorder.add(new Seen.Applied(System.nanoTime(), number, session.number, System.nanoTime(), lifted));
             }
-            voice.lostAt = up == null && voice.outlet != null ? System.nanoTime() : voice.lostAt;
-            voice.outlet = up;
-            voice.met |= up != null;
-            // What travelled when the stream broke is lost; what was applied stays.
-            voice.waiting.clear();
-            recorder.add(new Seen.Stream(System.nanoTime(), number, voice.number, up != null));
+            session.lostAt = up == null && session.outlet != null ? System.nanoTime() : session.lostAt;
+            session.outlet = up;
+            session.joinedBefore |= up != null;
+            // Orders in transit are lost with the stream; applied ones stay.
+            session.pending.clear();
+            recorder.add(new Seen.Stream(System.nanoTime(), number, session.number, up != null));
         }
         if (up != null) {
-            // Twice: what the coordinator wrote to the store just before its welcome may still be on its way there.
-            ask(-1);
-            net.schedule(READ_AGAIN_MS, () -> ask(-1));
+            // Reads twice: what the coordinator wrote to the store just before its welcome may not have arrived there.
+            readStore(-1);
+            net.schedule(REREAD_DELAY_MS, () -> readStore(-1));
         }
     }
 
-    private void heard(Voice voice, Frame frame) {
+    private void onFrame(CoordinatorSession session, Frame frame) {
         if (frame instanceof Frame.Orders orders) {
             recorder.add(new Seen.Arrived(
                     System.nanoTime(),
                     number,
-                    voice.number,
+                    session.number,
                     orders.turn(),
                     orders.orderedAtNs(),
                     orders.orders().size()));
             synchronized (this) {
-                // Half to one and a half of the mean way; in order; the standstill for its lines comes on top.
-                long way = (long) (habits.transitNs * (0.5 + chance.nextDouble()));
-                long at = Math.max(voice.lastDue, System.nanoTime() + way)
+                // Transit takes 0.5 to 1.5 times the mean, but keeps the order; the time of the lines is added.
+                long transit = (long) (habits.transitNs * (0.5 + random.nextDouble()));
+                long dueNs = Math.max(session.lastDueNs, System.nanoTime() + transit)
                         + orders.orders().size() * habits.applyNsPerLine;
-                voice.lastDue = at;
-                voice.waiting.addLast(new Due(orders, at));
+                session.lastDueNs = dueNs;
+                session.pending.addLast(new PendingOrders(orders, dueNs));
             }
-            applyNext(voice);
+            applyNext(session);
         }
     }
 
-    /** Orders take effect one message after the other, each after its way and the time of its lines. */
-    private void applyNext(Voice voice) {
-        Due due;
+    /** Schedules the first of the pending orders; messages take effect one after another. */
+    private void applyNext(CoordinatorSession session) {
+        PendingOrders next;
         synchronized (this) {
-            if (voice.applying || deaf || voice.waiting.isEmpty()) {
+            if (session.applying || suspended || session.pending.isEmpty()) {
                 return;
             }
-            voice.applying = true;
-            due = voice.waiting.peekFirst();
+            session.applying = true;
+            next = session.pending.peekFirst();
         }
         net.timer()
                 .schedule(
                         () -> {
-                            apply(voice, due);
-                            applyNext(voice);
+                            apply(session, next);
+                            applyNext(session);
                         },
-                        Math.max(0, due.atNs - System.nanoTime()),
+                        Math.max(0, next.dueNs - System.nanoTime()),
                         TimeUnit.NANOSECONDS);
     }
 
-    private void apply(Voice voice, Due due) {
-        Frame.Orders orders = due.orders;
+    /** Applies the orders, unless they were lost meanwhile, and confirms their marks. */
+    private void apply(CoordinatorSession session, PendingOrders next) {
+        Frame.Orders orders = next.orders;
         final Outlet to;
-        List<Order> taken = new ArrayList<>();
-        List<Frame.Stale> late = new ArrayList<>();
+        List<Order> applied = new ArrayList<>();
+        List<Frame.Stale> refusals = new ArrayList<>();
         List<Integer> marks = new ArrayList<>();
         synchronized (this) {
-            voice.applying = false;
-            if (deaf || voice.waiting.peekFirst() != due) {
+            session.applying = false;
+            if (suspended || session.pending.peekFirst() != next) {
                 return;
             }
-            voice.waiting.pollFirst();
-            Set<Integer> stale = fence(voice, orders, late);
+            session.pending.pollFirst();
+            Set<Integer> stale = fenceByTerm(session, orders, refusals);
             for (Order order : orders.orders()) {
                 if (order instanceof Order.SetLine o && stale.contains(o.table())
                         || order instanceof Order.ClearTable c && stale.contains(c.table())) {
                     continue;
                 }
-                taken.add(order);
+                applied.add(order);
                 if (order instanceof Order.SetLine o) {
-                    if (owners.getOrDefault(o.table(), -1) != voice.number) {
-                        wrongVoice++;
+                    if (owners.getOrDefault(o.table(), -1) != session.number) {
+                        linesNotInCharge++;
                         continue;
                     }
                     TreeMap<String, Double> table = tables.computeIfAbsent(o.table(), t -> new TreeMap<>());
@@ -307,64 +351,68 @@
                     }
                     table.compute(o.server(), (s, was) -> o.weight() > 0 ? o.weight() : null);
                 } else if (order instanceof Order.ClearTable o) {
-                    if (owners.getOrDefault(o.table(), -1) == voice.number) {
+                    if (owners.getOrDefault(o.table(), -1) == session.number) {
                         tables.remove(o.table());
                     }
                 } else if (order instanceof Order.Mask o) {
-                    boolean changed = o.out() ? voice.masks.add(o.server()) : voice.masks.remove(o.server());
+                    boolean changed = o.out() ? session.masks.add(o.server()) : session.masks.remove(o.server());
                 } else if (order instanceof Order.SetLevel o) {
                     int groups = o.groups() == 0 ? -1 : o.groups();
                     for (int group = 0; group < config.groups.size(); group++) {
                         if ((groups & 1 << group) != 0) {
-                            voice.levels.put(group, o);
+                            session.levels.put(group, o);
                         }
                     }
                 } else if (order instanceof Order.Mark o) {
                     marks.add(o.number());
                 }
             }
-            recorder.add(new Seen.Applied(System.nanoTime(), number, voice.number, orders.orderedAtNs(), taken));
-            to = voice.outlet;
+            recorder.add(new Seen.Applied(System.nanoTime(), number, session.number, orders.orderedAtNs(), applied));
+            to = session.outlet;
         }
         if (to != null) {
-            late.forEach(word -> to.send(FrameWriter.one(word)));
+            refusals.forEach(refusal -> to.send(FrameWriter.one(refusal)));
         }
         for (int mark : to == null ? List.<Integer>of() : marks) {
             to.send(FrameWriter.one(new Frame.Applied(mark, System.nanoTime() - orders.orderedAtNs())));
         }
     }
 
-    /** The slices for which these orders are of an older term than one that was seen; a newer one is taken up. */
-    private Set<Integer> fence(Voice voice, Frame.Orders orders, List<Frame.Stale> late) {
+    /**
+     * Returns the slices for which the orders carry an older term than one seen before, and adds a refusal for each;
+     * adopts newer terms.
+     */
+    private Set<Integer> fenceByTerm(CoordinatorSession session, Frame.Orders orders, List<Frame.Stale> refusals) {
         Set<Integer> stale = new HashSet<>();
         for (Frame.Term term : orders.terms()) {
             long known = terms.getOrDefault(term.slice(), 0L);
             if (term.term() < known) {
                 stale.add(term.slice());
-                late.add(new Frame.Stale(term.slice(), known));
+                refusals.add(new Frame.Stale(term.slice(), known));
                 continue;
             }
             if (term.term() > known) {
                 terms.put(term.slice(), term.term());
-                owners.put(term.slice(), voice.number);
-                recorder.add(new Seen.OwnerRead(System.nanoTime(), number, term.slice(), voice.number));
+                owners.put(term.slice(), session.number);
+                recorder.add(new Seen.OwnerRead(System.nanoTime(), number, term.slice(), session.number));
             }
-            recorder.add(new Seen.Took(System.nanoTime(), number, voice.number, term.slice(), term.term()));
+            recorder.add(new Seen.Took(System.nanoTime(), number, session.number, term.slice(), term.term()));
         }
         return stale;
     }
 
     // ---- The store.
 
-    private void storeUp(Outlet up) {
+    private void onStoreStreamChange(Outlet up) {
         synchronized (this) {
             storeLostAt = up == null && storeOutlet != null ? System.nanoTime() : storeLostAt;
             storeOutlet = up;
         }
-        ask(-1);
+        readStore(-1);
     }
 
-    private void ask(int slice) {
+    /** Asks the store for the table and owner of the slice; -1: of all. */
+    private void readStore(int slice) {
         Outlet to;
         synchronized (this) {
             to = storeOutlet;
@@ -374,11 +422,11 @@
         }
     }
 
-    private void fromStore(Frame frame) {
+    private void onStoreFrame(Frame frame) {
         if (frame instanceof Frame.Owner f) {
             synchronized (this) {
                 if (f.term() < terms.getOrDefault(f.slice(), 0L)) {
-                    // An order of a later voice came before the store's word of an earlier one.
+                    // Orders of a newer term came before the store's answer about an older one.
                     return;
                 }
                 terms.put(f.slice(), f.term());
@@ -401,8 +449,9 @@
 
     // ---- Flows.
 
+    /** A client's stream. */
     private final class Stream implements Link.Receiver {
-        private final HttpParser parser = new HttpParser(true, 64 * 1024, this::request);
+        private final HttpParser parser = new HttpParser(true, 64 * 1024, this::onRequest);
         private Link link;
 
         @Override
@@ -411,7 +460,7 @@
             parser.feed(bytes);
         }
 
-        private void request(HttpParser.Message request) {
+        private void onRequest(HttpParser.Message request) {
             Flow flow = new Flow(request, link);
             flow.begin();
         }
@@ -420,14 +469,20 @@
         public void ended(Link from, Link.Cause cause, String detail) {}
     }
 
+    /** A flow from its arrival to its answer. */
     private final class Flow {
         final HttpParser.Message request;
         final Link client;
         final long id;
-        final int slice, group;
-        final long workNs, expiresAt;
+        final int slice;
+        final int group;
+        final long workNs;
+        final long expiresAt;
+        /** Servers that it was sent to. */
         final Set<String> tried = new HashSet<>();
-        final long cameAt = System.nanoTime();
+
+        final long receivedAt = System.nanoTime();
+        /** Number of attempts so far. */
         int attempt;
 
         Flow(HttpParser.Message request, Link client) {
@@ -436,48 +491,51 @@
             this.slice = Integer.parseInt(request.header("x-slice"));
             this.group = Integer.parseInt(request.header("x-group"));
             this.workNs = Long.parseLong(request.header("x-work-ns"));
-            this.expiresAt = cameAt + Long.parseLong(request.header("x-expiry-ns"));
+            this.expiresAt = receivedAt + Long.parseLong(request.header("x-expiry-ns"));
             synchronized (PlainProxy.this) {
                 this.id = nextFlow++;
             }
         }
 
+        /** Sends or blocks it, by the level of its group. */
         void begin() {
-            boolean let;
+            boolean admitted;
             synchronized (PlainProxy.this) {
-                Voice voice = voice();
-                if (voice != null) {
-                    voice.demand.computeIfAbsent((long) slice << 8 | group, k -> new long[2])[0]++;
+                CoordinatorSession session = session();
+                if (session != null) {
+                    session.demand.computeIfAbsent((long) slice << 8 | group, k -> new long[2])[0]++;
                 }
-                Order.SetLevel level = voice == null ? null : voice.levels.get(group);
-                let = level == null || level.level() >= 1 || chance.nextDouble() < level.level();
+                Order.SetLevel level = session == null ? null : session.levels.get(group);
+                admitted = level == null || level.level() >= 1 || random.nextDouble() < level.level();
             }
-            if (let) {
+            if (admitted) {
                 send();
             } else {
                 block();
             }
         }
 
-        private Voice voice() {
-            return voices.get(owners.getOrDefault(slice, -1));
+        /** Returns the session with the coordinator in charge of the slice; null if there is none. */
+        private CoordinatorSession session() {
+            return sessions.get(owners.getOrDefault(slice, -1));
         }
 
+        /** Sends an attempt; without a server holds the flow, and then blocks it. */
         private void send() {
             String server;
-            int voiceNumber;
+            int coordinator;
             long now = System.nanoTime();
             synchronized (PlainProxy.this) {
-                Voice voice = voice();
-                voiceNumber = voice == null ? -1 : voice.number;
-                server = pick(voice, now);
+                CoordinatorSession session = session();
+                coordinator = session == null ? -1 : session.number;
+                server = pick(session, now);
                 if (server != null) {
                     tried.add(server);
-                    recorder.add(new Seen.Sent(now, number, server, slice, group, id, attempt, workNs, voiceNumber));
+                    recorder.add(new Seen.Sent(now, number, server, slice, group, id, attempt, workNs, coordinator));
                 }
             }
             if (server == null) {
-                if (attempt == 0 && now - cameAt < habits.holdNs) {
+                if (attempt == 0 && now - receivedAt < habits.holdNs) {
                     net.schedule(20, this::send);
                 } else {
                     block();
@@ -485,61 +543,71 @@
                 return;
             }
             attempt++;
-            int mine = attempt;
+            int attemptNumber = attempt;
             long timeout = expiresAt - now;
             Order.Retry retry = retry();
-            boolean follow = (retry == Order.Retry.ONCE || retry == Order.Retry.TWICE) && mayFollow(retry);
-            if (follow) {
+            boolean retryMayFollow = (retry == Order.Retry.ONCE || retry == Order.Retry.TWICE) && mayRetry(retry);
+            if (retryMayFollow) {
                 timeout = Math.min(timeout, (long)
-                        (habits.tryBudgets * config.groups.get(group).budgetNs()));
+                        (habits.attemptBudgets * config.groups.get(group).budgetNs()));
             }
             String text = "POST /flow HTTP/1.1\r\nhost: " + server + "\r\nx-flow: " + id + "\r\nx-slice: " + slice
                     + "\r\nx-group: " + group + "\r\nx-key: " + request.header("x-key") + "\r\nx-work-ns: " + workNs
                     + "\r\ncontent-length: 0\r\n\r\n";
-            caller.call(
-                    address(server), text, Math.max(1_000_000, timeout), result -> ended(server, mine, now, result));
+            httpClient.call(
+                    address(server),
+                    text,
+                    Math.max(1_000_000, timeout),
+                    result -> onEnd(server, attemptNumber, now, result));
         }
 
+        /** Returns what retries the coordinator in charge allows. */
         private Order.Retry retry() {
             synchronized (PlainProxy.this) {
-                Voice voice = voice();
-                Order.SetLevel level = voice == null ? null : voice.levels.get(group);
+                CoordinatorSession session = session();
+                Order.SetLevel level = session == null ? null : session.levels.get(group);
                 return level == null ? Order.Retry.NEVER : level.retry();
             }
         }
 
-        private boolean mayFollow(Order.Retry retry) {
+        private boolean mayRetry(Order.Retry retry) {
             return attempt < (retry == Order.Retry.TWICE ? 3 : 2);
         }
 
-        /** To a single owner only while its voice is heard and the store could tell of another, and a proxy lease longer. */
-        private boolean mayWrite(Voice voice, long now) {
+        /**
+         * Returns whether a write may be sent to the slice's single owner: while the coordinator in charge could order
+         * another owner and the store could name another coordinator, and for a proxy lease after either stream broke.
+         */
+        private boolean mayWrite(CoordinatorSession session, long now) {
             return config.groups.get(group).repeats() == CoordinatorConfig.Repeats.RETRIABLE
-                    || voice != null
-                            && (voice.outlet != null || now - voice.lostAt < config.proxyLeaseNs)
+                    || session != null
+                            && (session.outlet != null || now - session.lostAt < config.proxyLeaseNs)
                             && (storeOutlet != null || now - storeLostAt < config.proxyLeaseNs);
         }
 
-        private String pick(Voice voice, long now) {
-            if (config.soleOwner && !mayWrite(voice, now)) {
+        /** Returns a random server by weight that was not tried yet; null if there is none. */
+        private String pick(CoordinatorSession session, long now) {
+            if (config.soleOwner && !mayWrite(session, now)) {
                 return null;
             }
             TreeMap<String, Double> table = tables.getOrDefault(slice, new TreeMap<>());
-            Set<String> masks = voice == null ? Set.of() : voice.masks;
-            TreeMap<String, Double> open = new TreeMap<>();
-            TreeMap<String, Double> shunned = new TreeMap<>();
+            Set<String> masks = session == null ? Set.of() : session.masks;
+            TreeMap<String, Double> usable = new TreeMap<>();
+            TreeMap<String, Double> toAvoid = new TreeMap<>();
             table.forEach((server, weight) -> {
                 if (weight > 0 && !masks.contains(server) && !tried.contains(server)) {
-                    Avoid avoid = avoided.get(server);
-                    (avoid != null && avoid.until > now ? shunned : open).put(server, weight);
+                    AvoidedServer state = avoided.get(server);
+                    (state != null && state.until > now ? toAvoid : usable).put(server, weight);
                 }
             });
-            // With nothing else to pick, one that failed lately is better than none.
-            TreeMap<String, Double> from = open.isEmpty() ? shunned : open;
-            double sum = from.values().stream().mapToDouble(Double::doubleValue).sum();
-            double at = chance.nextDouble() * sum;
+            // An avoided server is better than none.
+            TreeMap<String, Double> candidates = usable.isEmpty() ? toAvoid : usable;
+            double totalWeight = candidates.values().stream()
+                    .mapToDouble(Double::doubleValue)
+                    .sum();
+            double at = random.nextDouble() * totalWeight;
             String last = null;
-            for (Map.Entry<String, Double> line : from.entrySet()) {
+            for (Map.Entry<String, Double> line : candidates.entrySet()) {
                 last = line.getKey();
                 at -= line.getValue();
                 if (at < 0) {
@@ -549,19 +617,20 @@
             return last;
         }
 
-        private void ended(String server, int mine, long sentAt, Caller.Result result) {
+        /** Records the end of an attempt; then answers or retries. */
+        private void onEnd(String server, int attemptNumber, long sentAt, PooledHttpClient.Result result) {
             long now = System.nanoTime();
             boolean again;
             synchronized (PlainProxy.this) {
-                recorder.add(new Seen.Ended(now, number, id, mine - 1, result.good(), result.proof()));
-                note(server, sentAt, now, result);
+                recorder.add(new Seen.Ended(now, number, id, attemptNumber - 1, result.good(), result.proof()));
+                recordOutcome(server, sentAt, now, result);
                 Order.Retry retry = retry();
                 again = !result.good()
                         && now < expiresAt - 50_000_000L
                         && switch (retry) {
                             case NEVER -> false;
                             case ON_PROOF -> result.proof() && attempt < 2;
-                            case ONCE, TWICE -> mayFollow(retry);
+                            case ONCE, TWICE -> mayRetry(retry);
                         }
                         && tables.getOrDefault(slice, new TreeMap<>()).size() > 1;
                 retried += again ? 1 : 0;
@@ -575,31 +644,32 @@
             }
         }
 
-        private void note(String server, long sentAt, long now, Caller.Result result) {
-            Voice voice = voice();
-            if (voice != null) {
-                Sum sum = voice.sums.computeIfAbsent(server, s -> new Sum());
-                sum.tries++;
+        /** Adds the outcome of an attempt to the report, and decides whether to avoid the server. */
+        private void recordOutcome(String server, long sentAt, long now, PooledHttpClient.Result result) {
+            CoordinatorSession session = session();
+            if (session != null) {
+                ServerTotals totals = session.totals.computeIfAbsent(server, s -> new ServerTotals());
+                totals.tries++;
                 if (result.good()) {
-                    sum.tookNs += now - sentAt;
+                    totals.tookNs += now - sentAt;
                 } else {
-                    sum.dropped++;
-                    voice.demand.computeIfAbsent((long) slice << 8 | group, k -> new long[2])[1]++;
+                    totals.dropped++;
+                    session.demand.computeIfAbsent((long) slice << 8 | group, k -> new long[2])[1]++;
                 }
                 if (result.answer() != null
                         && !result.answer().header(Orca.HEADER).isEmpty()) {
-                    sum.report = Orca.read(result.answer().header(Orca.HEADER));
+                    totals.report = Orca.read(result.answer().header(Orca.HEADER));
                 }
             }
-            Avoid avoid = avoided.computeIfAbsent(server, s -> new Avoid());
-            avoid.failures = result.good() ? 0 : avoid.failures + 1;
-            if (habits.failsToAvoid > 0 && avoid.failures >= habits.failsToAvoid) {
-                avoid.failures = 0;
-                avoid.until = now + habits.avoidNs;
+            AvoidedServer state = avoided.computeIfAbsent(server, s -> new AvoidedServer());
+            state.failures = result.good() ? 0 : state.failures + 1;
+            if (habits.failuresToAvoid > 0 && state.failures >= habits.failuresToAvoid) {
+                state.failures = 0;
+                state.until = now + habits.avoidNs;
             }
         }
 
-        /** Told at once, and when to come back: never held to its expiry. */
+        /** Answers at once and states when to retry, so that the client need not wait until the expiry. */
         private void block() {
             synchronized (PlainProxy.this) {
                 blocked++;
@@ -620,49 +690,50 @@
         }
     }
 
-    // ---- Sums.
+    // ---- Reports.
 
+    /** Sends totals and demand of the past round to each coordinator, after the delay of {@link Habits}. */
     private void report() {
         if (closed) {
             return;
         }
-        List<Runnable> late = new ArrayList<>();
+        List<Runnable> sends = new ArrayList<>();
         synchronized (this) {
-            // Rounds are numbered by the clock, so that proxies mean the same time by the same number.
+            // Rounds are numbered by the clock, so that the same number means the same time at all proxies.
             round = System.nanoTime() / config.roundNs;
-            for (Voice voice : voices.values()) {
+            for (CoordinatorSession session : sessions.values()) {
                 List<Frame.Met> met = new ArrayList<>();
-                voice.sums.forEach((server, sum) ->
-                        met.add(new Frame.Met(server, sum.tries, sum.dropped, sum.tookNs, sum.report)));
+                session.totals.forEach((server, totals) ->
+                        met.add(new Frame.Met(server, totals.tries, totals.dropped, totals.tookNs, totals.report)));
                 List<Frame.Came> came = new ArrayList<>();
-                voice.demand.forEach((key, counts) -> {
+                session.demand.forEach((key, counts) -> {
                     if (counts[0] > 0) {
                         came.add(new Frame.Came(
                                 (int) (key >> 8), (int) (key & 0xff), counts[0], Math.min(counts[0], counts[1])));
                     }
                 });
-                voice.sums = new TreeMap<>();
-                voice.demand = new TreeMap<>();
-                Outlet to = voice.outlet;
+                session.totals = new TreeMap<>();
+                session.demand = new TreeMap<>();
+                Outlet to = session.outlet;
                 if (to != null && !closed) {
                     Frame sums = new Frame.Sums(zone, round, config.roundNs, met);
                     Frame demand = new Frame.Demand(round, config.roundNs, came);
-                    late.add(() -> {
+                    sends.add(() -> {
                         to.send(FrameWriter.one(sums));
                         to.send(FrameWriter.one(demand));
                     });
                 }
             }
         }
-        late.forEach(send -> net.schedule(habits.sumsLateNs / 1_000_000, send));
+        sends.forEach(send -> net.schedule(habits.reportDelayNs / 1_000_000, send));
         net.timer().schedule(this::report, config.roundNs, TimeUnit.NANOSECONDS);
     }
 
-    /** For tests: what it would pick from, for one slice, by the masks of its coordinator. */
+    /** Returns the servers of the slice's table that the coordinator in charge does not mask. */
     public synchronized List<String> open(int slice) {
-        Voice voice = voices.get(owners.getOrDefault(slice, -1));
+        CoordinatorSession session = sessions.get(owners.getOrDefault(slice, -1));
         return tables.getOrDefault(slice, new TreeMap<>()).keySet().stream()
-                .filter(s -> voice == null || !voice.masks.contains(s))
+                .filter(s -> session == null || !session.masks.contains(s))
                 .toList();
     }
 }
--- a/src/main/java/puffinbarrow/standin/Caller.java
+++ b/src/main/java/puffinbarrow/standin/PooledHttpClient.java
@@ -6,27 +6,34 @@
 import java.util.ArrayDeque;
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
+import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.Consumer;
 import puffinbarrow.net.HttpParser;
 import puffinbarrow.net.Link;
 import puffinbarrow.net.Net;
 
-/** Sends HTTP/1.1 requests over kept connections, one at a time on each, with a time-out that closes the connection. */
-final class Caller {
+/**
+ * HTTP/1.1 client of the stand-in proxies. Reuses idle connections, sends one request at a time on each, and closes a
+ * connection whose request times out. Called from any thread; results arrive on the threads of {@link Net}.
+ */
+final class PooledHttpClient {
+    /** How a request ended. */
     enum Outcome {
         ANSWERED,
         CONNECT_FAILED,
+        /** The connection was closed before the answer. */
         RESET,
         TIMED_OUT
     }
 
+    /** The end of a request; {@code answer} is null unless it was answered. */
     record Result(Outcome outcome, HttpParser.Message answer) {
         boolean good() {
             return outcome == Outcome.ANSWERED && answer.first().equals("200");
         }
 
-        /** Proof that the work never ran: turned away unseen, or never connected. */
+        /** Returns whether the work is proven never to have run: it was refused, or no connection was made. */
         boolean proof() {
             return outcome == Outcome.CONNECT_FAILED
                     || outcome == Outcome.ANSWERED && answer.first().equals("503");
@@ -34,28 +41,30 @@
     }
 
     private final Net net;
+    /** Idle connections by address; each queue guards itself. */
     private final Map<InetSocketAddress, ArrayDeque<Stream>> idle = new ConcurrentHashMap<>();
 
-    Caller(Net net) {
+    PooledHttpClient(Net net) {
         this.net = net;
     }
 
+    /** Sends the request; {@code end} is called once, with the answer or the failure. */
     void call(InetSocketAddress to, String request, long timeoutNs, Consumer<Result> end) {
         Call call = new Call(request, end);
-        net.timer().schedule(() -> call.timeOut(), timeoutNs, java.util.concurrent.TimeUnit.NANOSECONDS);
-        Stream kept = take(to);
-        if (kept != null && kept.send(call)) {
+        net.timer().schedule(() -> call.timeOut(), timeoutNs, TimeUnit.NANOSECONDS);
+        Stream reused = takeIdle(to);
+        if (reused != null && reused.send(call)) {
             return;
         }
-        Stream fresh = new Stream(to);
-        fresh.call = call;
-        call.stream = fresh;
+        Stream opened = new Stream(to);
+        opened.call = call;
+        call.stream = opened;
         net.dial(
                 to,
-                fresh,
+                opened,
                 1 << 20,
                 link -> {
-                    fresh.link = link;
+                    opened.link = link;
                     if (call.done.get()) {
                         link.close();
                     } else {
@@ -65,16 +74,18 @@
                 failed -> call.finish(new Result(Outcome.CONNECT_FAILED, null)));
     }
 
-    private Stream take(InetSocketAddress to) {
-        ArrayDeque<Stream> kept = idle.get(to);
-        if (kept == null) {
+    /** Returns an idle connection, which is no longer idle then; null if there is none. */
+    private Stream takeIdle(InetSocketAddress to) {
+        ArrayDeque<Stream> streams = idle.get(to);
+        if (streams == null) {
             return null;
         }
-        synchronized (kept) {
-            return kept.pollLast();
+        synchronized (streams) {
+            return streams.pollLast();
         }
     }
 
+    /** A request in progress. */
     private static final class Call {
         final String request;
         final Consumer<Result> end;
@@ -103,35 +114,38 @@
         }
     }
 
+    /** A connection. */
     private final class Stream implements Link.Receiver {
         private final InetSocketAddress to;
-        private final HttpParser parser = new HttpParser(false, 64 * 1024, this::answered);
+        private final HttpParser parser = new HttpParser(false, 64 * 1024, this::onAnswer);
         private volatile Link link;
+        /** The request that awaits its answer; null while idle. */
         private volatile Call call;
 
         Stream(InetSocketAddress to) {
             this.to = to;
         }
 
+        /** Sends a request on an idle connection; returns false if the connection has broken. */
         boolean send(Call next) {
             call = next;
             next.stream = this;
-            // A kept stream that has just broken has taken nothing, so the call may go on a new one.
+            // If the idle connection has just broken, it takes nothing and the call may use a new one.
             return link.send(ByteBuffer.wrap(next.request.getBytes(StandardCharsets.US_ASCII)));
         }
 
-        private void answered(HttpParser.Message answer) {
-            Call now = call;
+        private void onAnswer(HttpParser.Message answer) {
+            Call current = call;
             call = null;
-            if (now == null) {
+            if (current == null) {
                 link.close();
                 return;
             }
-            ArrayDeque<Stream> kept = idle.computeIfAbsent(to, t -> new ArrayDeque<>());
-            synchronized (kept) {
-                kept.addLast(this);
+            ArrayDeque<Stream> streams = idle.computeIfAbsent(to, t -> new ArrayDeque<>());
+            synchronized (streams) {
+                streams.addLast(this);
             }
-            now.finish(new Result(Outcome.ANSWERED, answer));
+            current.finish(new Result(Outcome.ANSWERED, answer));
         }
 
         @Override
@@ -141,15 +155,15 @@
 
         @Override
         public void ended(Link from, Link.Cause cause, String detail) {
-            ArrayDeque<Stream> kept = idle.get(to);
-            if (kept != null) {
-                synchronized (kept) {
-                    kept.remove(this);
+            ArrayDeque<Stream> streams = idle.get(to);
+            if (streams != null) {
+                synchronized (streams) {
+                    streams.remove(this);
                 }
             }
-            Call now = call;
-            if (now != null) {
-                now.finish(new Result(Outcome.RESET, null));
+            Call current = call;
+            if (current != null) {
+                current.finish(new Result(Outcome.RESET, null));
             }
         }
     }
--- a/src/main/java/puffinbarrow/standin/Registry.java
+++ b/src/main/java/puffinbarrow/standin/Registry.java
@@ -20,27 +20,32 @@
 import puffinbarrow.proto.FrameWriter;
 
 /**
- * A stand-in list of backends: each coordinator hears of a change late, by a delay of its own, pushed or after asking.
- * It can lie (call living servers gone) and break a stream in the middle of a list. Guarded by this.
+ * A stand-in registry for scripted days and tests: each coordinator learns of a change after a random delay of its
+ * own, by push or on request. It states whatever entries it is given, right or wrong, and can break a stream in the
+ * middle of a list. Frames arrive on the threads of {@link Net}; all state is guarded by {@code this}.
  */
 public final class Registry implements AutoCloseable {
     private final Net net;
     private final Recorder recorder;
-    private final UniformRandomProvider chance;
-    private final long leastLateNs, mostLateNs;
+    private final UniformRandomProvider random;
+    private final long minDelayNs;
+    private final long maxDelayNs;
     private final Net.Listener listener;
     private final TreeMap<String, Event.Entry> entries = new TreeMap<>();
+    /** Streams by coordinator. */
     private final Map<Integer, Stream> streams = new TreeMap<>();
+
     private long version;
     private boolean breakNext;
 
-    public Registry(Net net, Recorder recorder, UniformRandomProvider chance, long leastLateNs, long mostLateNs)
+    /** Listens at once; changes are sent between {@code minDelayNs} and {@code maxDelayNs} later. */
+    public Registry(Net net, Recorder recorder, UniformRandomProvider random, long minDelayNs, long maxDelayNs)
             throws IOException {
         this.net = net;
         this.recorder = recorder;
-        this.chance = chance;
-        this.leastLateNs = leastLateNs;
-        this.mostLateNs = mostLateNs;
+        this.random = random;
+        this.minDelayNs = minDelayNs;
+        this.maxDelayNs = maxDelayNs;
         this.listener = net.listen(new InetSocketAddress("127.0.0.1", 0), 8 << 20, channel -> new Stream());
     }
 
@@ -48,12 +53,12 @@
         return listener.address();
     }
 
-    /** States an entry; coordinators hear of it late. */
+    /** Adds, changes or removes an entry; coordinators are told after their delay. */
     public void set(Event.Entry entry) {
         set(List.of(entry));
     }
 
-    /** States entries at one time: they are told together. */
+    /** Adds, changes or removes entries; coordinators are told of all of them together. */
     public synchronized void set(List<Event.Entry> changed) {
         version++;
         for (Event.Entry entry : changed) {
@@ -63,9 +68,10 @@
                 entries.put(entry.server(), entry);
             }
         }
-        streams.values().forEach(s -> s.change(changed));
+        streams.values().forEach(s -> s.onChange(changed));
     }
 
+    /** Returns the entry of the server; null if there is none. */
     public synchronized Event.Entry entry(String server) {
         return entries.get(server);
     }
@@ -74,7 +80,7 @@
         return new ArrayList<>(entries.values());
     }
 
-    /** The next list that goes out is cut in the middle of its frame and the stream closed. */
+    /** Cuts the next list in the middle of its frame and closes the stream. */
     public synchronized void breakNextList() {
         breakNext = true;
     }
@@ -90,15 +96,18 @@
     }
 
     private final class Stream implements Link.Receiver {
-        private final FrameReader reader = new FrameReader(1 << 20, this::frame);
+        private final FrameReader reader = new FrameReader(1 << 20, this::onFrame);
         private Link link;
         private int coordinator = -1;
+        /** The coordinator has asked for changes to be pushed. */
         private boolean follows;
+        /** A whole list was sent on this stream; the first one counts as a stale copy. */
         private boolean sentWhole;
-        /** What this coordinator has not been told, in order; told together when the first is due. */
-        private final LinkedHashMap<String, Event.Entry> untold = new LinkedHashMap<>();
+        /** Changes that are not sent yet, in order; sent together when the first is due. */
+        private final LinkedHashMap<String, Event.Entry> pendingChanges = new LinkedHashMap<>();
 
-        private boolean due;
+        /** The sending of {@link #pendingChanges} is scheduled. */
+        private boolean scheduled;
 
         @Override
         public void received(Link from, ByteBuffer bytes) {
@@ -106,7 +115,7 @@
             reader.feed(bytes);
         }
 
-        private void frame(Frame frame) {
+        private void onFrame(Frame frame) {
             if (frame instanceof Frame.Hello hello) {
                 synchronized (Registry.this) {
                     coordinator = hello.number();
@@ -117,7 +126,7 @@
                 synchronized (Registry.this) {
                     follows = follow.on();
                     if (follows) {
-                        tell(
+                        sendList(
                                 sentWhole ? Event.ListKind.WHOLE : Event.ListKind.STALE_COPY,
                                 new ArrayList<>(entries.values()));
                         sentWhole = true;
@@ -125,36 +134,36 @@
                 }
             } else if (frame instanceof Frame.Fetch) {
                 synchronized (Registry.this) {
-                    tell(Event.ListKind.WHOLE, new ArrayList<>(entries.values()));
+                    sendList(Event.ListKind.WHOLE, new ArrayList<>(entries.values()));
                 }
             } else if (frame instanceof Frame.Ping ping) {
                 send(new Frame.Pong(ping.number()));
             }
         }
 
-        private void change(List<Event.Entry> changed) {
+        private void onChange(List<Event.Entry> changed) {
             if (!follows) {
                 return;
             }
-            changed.forEach(e -> untold.put(e.server(), e));
-            if (!due) {
-                due = true;
-                long late = leastLateNs + (long) ((mostLateNs - leastLateNs) * chance.nextDouble());
-                net.timer().schedule(this::tellDue, late, TimeUnit.NANOSECONDS);
+            changed.forEach(e -> pendingChanges.put(e.server(), e));
+            if (!scheduled) {
+                scheduled = true;
+                long delayNs = minDelayNs + (long) ((maxDelayNs - minDelayNs) * random.nextDouble());
+                net.timer().schedule(this::sendPendingChanges, delayNs, TimeUnit.NANOSECONDS);
             }
         }
 
-        private void tellDue() {
+        private void sendPendingChanges() {
             synchronized (Registry.this) {
-                due = false;
-                if (follows && !untold.isEmpty()) {
-                    tell(Event.ListKind.PATCH, new ArrayList<>(untold.values()));
-                    untold.clear();
+                scheduled = false;
+                if (follows && !pendingChanges.isEmpty()) {
+                    sendList(Event.ListKind.PATCH, new ArrayList<>(pendingChanges.values()));
+                    pendingChanges.clear();
                 }
             }
         }
 
-        private void tell(Event.ListKind kind, List<Event.Entry> list) {
+        private void sendList(Event.ListKind kind, List<Event.Entry> list) {
             ByteBuffer bytes = FrameWriter.one(new Frame.ServerList(kind, version, list));
             if (breakNext) {
                 breakNext = false;
--- a/src/main/java/puffinbarrow/standin/Store.java
+++ b/src/main/java/puffinbarrow/standin/Store.java
@@ -4,11 +4,14 @@
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeMap;
+import java.util.concurrent.ThreadLocalRandom;
+import java.util.function.LongFunction;
 import puffinbarrow.audit.Recorder;
 import puffinbarrow.audit.Seen;
 import puffinbarrow.control.Order;
@@ -19,35 +22,56 @@
 import puffinbarrow.proto.FrameWriter;
 
 /**
- * A stand-in table store: it keeps one table for each slice, gives each slice into the charge of one coordinator, and
- * hands it to another some time after the first one's stream ended, back once that one has returned. Proxies read
- * tables and owners from it. Writes of a coordinator that is not in charge are refused and counted. With leases it
- * deals nothing: it keeps records with revisions, written by compare-and-set and watched, and refuses table lines of an
- * older term than the slice's. Guarded by this.
+ * A stand-in table store for scripted days and tests: keeps a table for each slice and puts one coordinator in charge
+ * of each. Some time after that one's stream ended it puts another in charge, and the first again once it has returned.
+ * Proxies read tables and owners from it. Writes of a coordinator that is not in charge are refused and counted.
+ *
+ * <p>With leases it assigns no slices: it keeps records with revisions, which coordinators write by compare-and-set and
+ * watch, and refuses lines of an older term than the slice's. Frames arrive on the threads of {@link Net}; all state is
+ * guarded by {@code this}.
  */
 public final class Store implements AutoCloseable {
     private final Net net;
     private final Recorder recorder;
-    private final int slices, coordinators;
+    private final int slices;
+    private final int coordinators;
     private final boolean soleOwner;
     private final long takeoverMs;
     private final Net.Listener listener;
+    /** Weights of servers, by slice. */
     private final TreeMap<Integer, TreeMap<String, Double>> tables = new TreeMap<>();
+    /** The coordinator in charge of each slice; -1: none yet. */
     private final int[] owner;
-    private final Map<Integer, Stream> holders = new TreeMap<>();
+    /** Streams of coordinators, by their number. */
+    private final Map<Integer, Stream> coordinatorStreams = new TreeMap<>();
+    /** Streams of proxies. */
     private final Set<Stream> readers = new HashSet<>();
+
     private long refusedWrites;
     private long handed;
     private long moves;
+    /** Coordinators divide the slices among themselves. */
     private final boolean leases;
+
     private final TreeMap<Integer, Frame.MemberRecord> members = new TreeMap<>();
-    private final TreeMap<Integer, Frame.VoiceRecord> voices = new TreeMap<>();
+    /** Owner and term of each slice; only with leases. */
+    private final TreeMap<Integer, Frame.VoiceRecord> ownerships = new TreeMap<>();
+    /** The latest revision of any record. */
     private long revisions;
+
     private boolean away;
+    /** Coordinators that cannot reach the store. */
     private final Set<Integer> cut = new HashSet<>();
+    /** Share of answers to writes that are lost, 0 to 1. */
     private double loseShare;
-    private long slowMs;
+    /** Delay of each answer and record. */
+    private long delayMs;
 
+    /**
+     * Listens at once.
+     *
+     * @param takeoverMs time from the end of a coordinator's stream until others get its slices; 0 or less: with leases
+     */
     public Store(Net net, Recorder recorder, int slices, int coordinators, boolean soleOwner, long takeoverMs)
             throws IOException {
         this.net = net;
@@ -58,7 +82,7 @@
         this.takeoverMs = takeoverMs;
         this.leases = takeoverMs <= 0;
         this.owner = new int[slices];
-        java.util.Arrays.fill(owner, -1);
+        Arrays.fill(owner, -1);
         this.listener = net.listen(new InetSocketAddress("127.0.0.1", 0), 8 << 20, channel -> new Stream());
     }
 
@@ -66,36 +90,40 @@
         return listener.address();
     }
 
+    /** Sets the initial table of a slice: the one server. */
     public synchronized void begin(int slice, String server) {
         tables.put(slice, new TreeMap<>(Map.of(server, 1.0)));
     }
 
+    /** Returns a copy of the slice's table. */
     public synchronized Map<String, Double> table(int slice) {
         return new TreeMap<>(tables.getOrDefault(slice, new TreeMap<>()));
     }
 
+    /** Returns the coordinator in charge of the slice; -1: none yet. */
     public synchronized int owner(int slice) {
         return owner[slice];
     }
 
+    /** Returns the number of lines refused. */
     public synchronized long refusedWrites() {
         return refusedWrites;
     }
 
-    /** Away: all streams end and new ones are closed, until it is back with its records. */
+    /** While away, all streams are closed and new ones refused; the records stay. */
     public void away(boolean on) {
         List<Stream> open = new ArrayList<>();
         synchronized (this) {
             away = on;
             if (on) {
-                open.addAll(holders.values());
+                open.addAll(coordinatorStreams.values());
                 open.addAll(readers);
             }
         }
         open.forEach(s -> s.link.close());
     }
 
-    /** A partition between one coordinator and the store. */
+    /** Cuts the network between one coordinator and the store, or restores it. */
     public void cut(int coordinator, boolean on) {
         Stream open;
         synchronized (this) {
@@ -104,34 +132,35 @@
             } else {
                 cut.remove(coordinator);
             }
-            open = holders.get(coordinator);
+            open = coordinatorStreams.get(coordinator);
         }
         if (on && open != null) {
             open.link.close();
         }
     }
 
-    /** Loses that share of answers to writes, which took effect all the same. */
+    /** Loses that share of the answers to writes from now on; the writes take effect all the same. */
     public synchronized void loseAnswers(double share) {
         loseShare = share;
     }
 
-    /** Each answer and each record told waits that long. */
+    /** Delays each answer and each record by that time from now on. */
     public synchronized void slow(long ms) {
-        slowMs = ms;
+        delayMs = ms;
     }
 
+    /** Returns the slice's term; 0 without leases or before its first. */
     public synchronized long term(int slice) {
-        Frame.VoiceRecord voice = voices.get(slice);
-        return voice == null ? 0 : voice.term();
+        Frame.VoiceRecord ownership = ownerships.get(slice);
+        return ownership == null ? 0 : ownership.term();
     }
 
-    /** Lines that brought a server into a slice's table. */
+    /** Returns how often a server was added to the table of a slice. */
     public synchronized long moves() {
         return moves;
     }
 
-    /** How often a slice changed hands after its first giving. */
+    /** Returns how often a slice came into the charge of another coordinator. */
     public synchronized long handed() {
         return handed;
     }
@@ -141,38 +170,39 @@
         listener.close();
         List<Stream> open = new ArrayList<>();
         synchronized (this) {
-            open.addAll(holders.values());
+            open.addAll(coordinatorStreams.values());
             open.addAll(readers);
         }
         open.forEach(s -> s.link.close());
     }
 
-    /** Deals the slices evenly over the coordinators that are there. */
-    private void deal() {
-        if (holders.isEmpty() || leases) {
+    /** Assigns the slices evenly to the coordinators whose streams are up. */
+    private void assignSlices() {
+        if (coordinatorStreams.isEmpty() || leases) {
             return;
         }
-        List<Integer> there = new ArrayList<>(holders.keySet());
+        List<Integer> present = new ArrayList<>(coordinatorStreams.keySet());
         for (int slice = 0; slice < slices; slice++) {
-            int usual = slice % coordinators;
-            int to = holders.containsKey(usual) ? usual : there.get(slice % there.size());
+            int preferred = slice % coordinators;
+            int to = coordinatorStreams.containsKey(preferred) ? preferred : present.get(slice % present.size());
             if (owner[slice] == to) {
                 continue;
             }
-            Stream before = holders.get(owner[slice]);
+            Stream before = coordinatorStreams.get(owner[slice]);
             if (before != null) {
-                charge(before, slice, false);
+                sendCharge(before, slice, false);
             }
             handed += owner[slice] >= 0 ? 1 : 0;
             owner[slice] = to;
-            charge(holders.get(to), slice, true);
+            sendCharge(coordinatorStreams.get(to), slice, true);
             for (Stream reader : readers) {
-                tellOwner(reader, slice);
+                sendOwner(reader, slice);
             }
         }
     }
 
-    private void charge(Stream to, int slice, boolean given) {
+    /** Tells a coordinator that it is, or is no longer, in charge of the slice, and sends the table with it. */
+    private void sendCharge(Stream to, int slice, boolean given) {
         recorder.add(new Seen.ChargeTold(System.nanoTime(), to.number, slice, given));
         to.send(new Frame.Charge(slice, given));
         if (given) {
@@ -186,44 +216,46 @@
         return new Frame.Stored(slice, lines);
     }
 
-    private void tellOwner(Stream reader, int slice) {
+    /** Tells a proxy the owner and the table of the slice. */
+    private void sendOwner(Stream reader, int slice) {
         reader.send(new Frame.Owner(slice, owner[slice], term(slice)));
         reader.send(stored(slice));
     }
 
-    /** Writes a member's or a voice's record if its revision is the one expected; tells all who watch. */
+    /** Writes a record if its revision is the expected one and tells all who watch; else sends the present one. */
     private void compareAndSet(
-            Stream from, long id, boolean same, Frame before, java.util.function.LongFunction<Frame> next) {
-        if (same) {
-            Frame now = next.apply(++revisions);
-            if (now instanceof Frame.MemberRecord m) {
+            Stream from, long id, boolean revisionMatches, Frame before, LongFunction<Frame> update) {
+        if (revisionMatches) {
+            Frame written = update.apply(++revisions);
+            if (written instanceof Frame.MemberRecord m) {
                 members.put(m.number(), m);
-            } else if (now instanceof Frame.VoiceRecord v) {
-                voices.put(v.slice(), v);
-                voiceChanged(v);
+            } else if (written instanceof Frame.VoiceRecord v) {
+                ownerships.put(v.slice(), v);
+                ownershipChanged(v);
             }
-            holders.values().stream().filter(s -> s.watches).forEach(s -> s.tell(now));
+            coordinatorStreams.values().stream().filter(s -> s.watches).forEach(s -> s.sendDelayed(written));
         } else if (before != null) {
-            from.tell(before);
+            from.sendDelayed(before);
         }
-        if (loseShare == 0 || java.util.concurrent.ThreadLocalRandom.current().nextDouble() >= loseShare) {
-            from.tell(new Frame.Written(id, same));
+        if (loseShare == 0 || ThreadLocalRandom.current().nextDouble() >= loseShare) {
+            from.sendDelayed(new Frame.Written(id, revisionMatches));
         }
     }
 
-    private void voiceChanged(Frame.VoiceRecord voice) {
-        int slice = voice.slice();
+    private void ownershipChanged(Frame.VoiceRecord ownership) {
+        int slice = ownership.slice();
         if (owner[slice] >= 0) {
             recorder.add(new Seen.ChargeTold(System.nanoTime(), owner[slice], slice, false));
-            handed += owner[slice] == voice.owner() ? 0 : 1;
+            handed += owner[slice] == ownership.owner() ? 0 : 1;
         }
-        owner[slice] = voice.owner();
-        recorder.add(new Seen.ChargeTold(System.nanoTime(), voice.owner(), slice, true));
+        owner[slice] = ownership.owner();
+        recorder.add(new Seen.ChargeTold(System.nanoTime(), ownership.owner(), slice, true));
         for (Stream reader : readers) {
-            tellOwner(reader, slice);
+            sendOwner(reader, slice);
         }
     }
 
+    /** Applies the lines for slices that the coordinator is in charge of, and refuses the others. */
     private void write(Stream from, Frame.Orders orders) {
         Map<Integer, Long> terms = new TreeMap<>();
         orders.terms().forEach(t -> terms.put(t.slice(), t.term()));
@@ -253,10 +285,11 @@
     }
 
     private final class Stream implements Link.Receiver {
-        private final FrameReader reader = new FrameReader(8 << 20, this::frame);
+        private final FrameReader reader = new FrameReader(8 << 20, this::onFrame);
         private volatile Link link;
         private int number = -1;
-        private boolean holds;
+        private boolean isCoordinator;
+        /** Records are sent to it as they change. */
         private boolean watches;
 
         @Override
@@ -265,7 +298,7 @@
             reader.feed(bytes);
         }
 
-        private void frame(Frame frame) {
+        private void onFrame(Frame frame) {
             synchronized (Store.this) {
                 if (away
                         || frame instanceof Frame.Hello h
@@ -274,27 +307,27 @@
                     link.close();
                 } else if (frame instanceof Frame.Hello hello) {
                     number = hello.number();
-                    holds = hello.role() == Frame.Role.COORDINATOR;
+                    isCoordinator = hello.role() == Frame.Role.COORDINATOR;
                     send(new Frame.Welcome(Frame.MINOR, 0, 0));
-                    if (holds) {
-                        welcomeHolder();
+                    if (isCoordinator) {
+                        onCoordinatorHello();
                     } else {
                         readers.add(this);
                     }
                 } else if (frame instanceof Frame.ReadSlice read) {
                     for (int slice = 0; slice < slices; slice++) {
                         if (read.slice() < 0 || read.slice() == slice) {
-                            tellOwner(this, slice);
+                            sendOwner(this, slice);
                         }
                     }
-                } else if (frame instanceof Frame.Orders orders && holds) {
+                } else if (frame instanceof Frame.Orders orders && isCoordinator) {
                     write(this, orders);
-                } else if (frame instanceof Frame.Watch && holds) {
+                } else if (frame instanceof Frame.Watch && isCoordinator) {
                     watches = true;
-                    members.values().forEach(this::tell);
-                    voices.values().forEach(this::tell);
-                    tell(new Frame.Synced());
-                } else if (frame instanceof Frame.MemberRecord m && holds) {
+                    members.values().forEach(this::sendDelayed);
+                    ownerships.values().forEach(this::sendDelayed);
+                    sendDelayed(new Frame.Synced());
+                } else if (frame instanceof Frame.MemberRecord m && isCoordinator) {
                     Frame.MemberRecord before = members.get(m.number());
                     compareAndSet(
                             this,
@@ -311,8 +344,11 @@
                                     m.leaving(),
                                     m.dead(),
                                     m.flaps()));
-                } else if (frame instanceof Frame.VoiceRecord v && holds && v.slice() >= 0 && v.slice() < slices) {
-                    Frame.VoiceRecord before = voices.get(v.slice());
+                } else if (frame instanceof Frame.VoiceRecord v
+                        && isCoordinator
+                        && v.slice() >= 0
+                        && v.slice() < slices) {
+                    Frame.VoiceRecord before = ownerships.get(v.slice());
                     compareAndSet(
                             this,
                             v.id(),
@@ -326,27 +362,27 @@
             }
         }
 
-        /** A stream of one whose slices are still its own: what it holds is stated again, then all is dealt. */
-        private void welcomeHolder() {
-            Stream before = holders.put(number, this);
+        /** Tells a coordinator which slices are still its own, and assigns all slices anew. */
+        private void onCoordinatorHello() {
+            Stream before = coordinatorStreams.put(number, this);
             if (leases) {
                 return;
             }
             for (int slice = 0; slice < slices; slice++) {
                 if (owner[slice] == number) {
-                    charge(this, slice, true);
+                    sendCharge(this, slice, true);
                 } else if (before == null) {
-                    // One that held it before its stream broke must not go on believing so.
+                    // It may have been in charge before its stream broke, and must learn that it no longer is.
                     send(new Frame.Charge(slice, false));
                 }
             }
-            deal();
+            assignSlices();
         }
 
-        /** In order, all alike late while it is slow. */
-        private void tell(Frame frame) {
-            if (slowMs > 0) {
-                net.schedule(slowMs, () -> send(frame));
+        /** Sends the frame after the present delay, which is the same for all and so keeps their order. */
+        private void sendDelayed(Frame frame) {
+            if (delayMs > 0) {
+                net.schedule(delayMs, () -> send(frame));
             } else {
                 send(frame);
             }
@@ -363,10 +399,10 @@
         public void ended(Link from, Link.Cause cause, String detail) {
             synchronized (Store.this) {
                 readers.remove(this);
-                if (holds && holders.remove(number, this) && !leases) {
+                if (isCoordinator && coordinatorStreams.remove(number, this) && !leases) {
                     net.schedule(takeoverMs, () -> {
                         synchronized (Store.this) {
-                            deal();
+                            assignSlices();
                         }
                     });
                 }
