--- a/src/main/java/puffinbarrow/audit/Audit.java
+++ b/src/main/java/puffinbarrow/audit/Audit.java
@@ -304,13 +304,13 @@
                 server.ready = server.listed = true;
                 server.unavailableSince = 0;
                 server.startedNs = entry.startedNs();
-            } else if (!config.goneStays || entry.listed() == Event.Listed.DRAINING) {
+            } else if (!config.keepGoneServers || entry.listed() == Event.Listed.DRAINING) {
                 markUnavailable(server, told.at());
             }
         }
         if (told.kind() != Event.ListKind.PATCH) {
             coordinator.servers.forEach((id, server) -> {
-                if (!named.contains(id) && !config.goneStays) {
+                if (!named.contains(id) && !config.keepGoneServers) {
                     markUnavailable(server, told.at());
                 }
             });
@@ -645,7 +645,7 @@
             Seen.Ran first = all.get(0);
             Seen.Ran again = all.get(i);
             boolean inScope =
-                    switch (group.scope()) {
+                    switch (group.dedupScope()) {
                         case "zone" -> first.zone() == again.zone();
                         case "cell" -> first.cell() == again.cell();
                         default -> true;
--- a/src/main/java/puffinbarrow/config/CoordinatorConfig.java
+++ b/src/main/java/puffinbarrow/config/CoordinatorConfig.java
@@ -33,11 +33,17 @@
      * @param utility value of a flow that is delivered within its budget
      * @param budgetNs latency budget, at most {@code expiryNs}
      * @param expiryNs time after which the answer is of no use
-     * @param scope where servers recognise duplicates of a deduped flow: {@code all}, {@code zone} or {@code cell}
+     * @param dedupScope where servers recognise duplicates of a deduped flow: {@code all}, {@code zone} or {@code cell}
      * @param windowNs how long servers recognise duplicates of a deduped flow; 0 for other groups
      */
     public record Group(
-            String name, double utility, long budgetNs, long expiryNs, Repeats repeats, String scope, long windowNs) {}
+            String name,
+            double utility,
+            long budgetNs,
+            long expiryNs,
+            Repeats repeats,
+            String dedupScope,
+            long windowNs) {}
 
     /** Number of this coordinator, from 0 to {@link #of} - 1. */
     public int number;
@@ -98,7 +104,7 @@
     /** The coordinator probes backends. */
     public boolean probes;
     /** A server that disappears from the list stays in use; false: proxies must stop sending to it. */
-    public boolean goneStays;
+    public boolean keepGoneServers;
     /** Time between two batches of decisions. */
     public long tickNs = 2_000_000;
     /** Length of a lease with which coordinators divide the slices among themselves; 0: the store assigns them. */
@@ -243,7 +249,7 @@
         config.coldShare = from.coldShare();
         config.fallMultiple = from.fallMultiple();
         config.probes = from.probes();
-        config.goneStays = from.droppedStayOpen();
+        config.keepGoneServers = from.droppedStayOpen();
         return config;
     }
 
@@ -312,7 +318,7 @@
                 fallNs = words.time("how long a backend withstands the overload");
             }
             case "probes" -> probes = words.onOff();
-            case "gone" -> goneStays = words.oneOf("binds", "stays").equals("stays");
+            case "gone" -> keepGoneServers = words.oneOf("binds", "stays").equals("stays");
             case "tick" -> tickNs = words.time("the time between batches");
             case "inbox" -> inbox = (int) words.whole("frames that may wait for a decision", 16, 100_000_000);
             case "outbound" -> outboundBytes = words.size("bytes that may wait for one stream");
@@ -488,7 +494,7 @@
                 coldShare,
                 fallMultiple,
                 probes,
-                goneStays,
+                keepGoneServers,
                 0);
     }
 
--- a/src/main/java/puffinbarrow/standin/Backend.java
+++ b/src/main/java/puffinbarrow/standin/Backend.java
@@ -57,6 +57,7 @@
             int warmKeys,
             long dedupNs) {}
 
+    /** A flow that runs or waits; {@code incarnation}: of the process that received it. */
     private record Job(Link link, long flow, int slice, int group, String key, long workNs, int incarnation) {}
 
     /** Interval that a load report covers, about as long as that of common servers. */
@@ -84,7 +85,7 @@
 
     private double recentWorkNs;
     private int busyCores;
-    /** Number of restarts; a flow that began in an earlier process is never finished by a later one. */
+    /** How often its process ended; a flow that began in an earlier process is never finished by a later one. */
     private int incarnation;
 
     private boolean up;
@@ -96,7 +97,7 @@
     private long startedAt;
 
     private long processAt;
-    /** Share of flows that it fails, 0 to 1. */
+    /** Share of flows that it answers with an error, 0 to 1. */
     private double failShare;
     /** Share of answers that it loses, 0 to 1. */
     private double loseShare;
@@ -146,6 +147,7 @@
         return id;
     }
 
+    /** Returns the properties of its machine. */
     public Shape shape() {
         return shape;
     }
@@ -228,7 +230,7 @@
         draining = on;
     }
 
-    /** Fails that share of flows from now on. */
+    /** Answers that share of flows with an error from now on, without running them. */
     public synchronized void fail(double share) {
         failShare = share;
     }
--- a/src/main/java/puffinbarrow/standin/PlainProxy.java
+++ b/src/main/java/puffinbarrow/standin/PlainProxy.java
@@ -59,6 +59,12 @@
 
     /** Far longer than a write takes to the store, and within the second that the protocol gives a proxy to read it. */
     private static final long REREAD_DELAY_MS = 500;
+    /** Time between two checks for a server while a flow is held. */
+    private static final long HOLD_CHECK_MS = 20;
+    /** Shortest time-out of an attempt. */
+    private static final long MIN_TIMEOUT_NS = 1_000_000;
+    /** A flow that expires sooner is not retried. */
+    private static final long MIN_TIME_FOR_RETRY_NS = 50_000_000;
 
     /** Orders that take effect at that time. */
     private record PendingOrders(Frame.Orders orders, long dueNs) {}
@@ -81,7 +87,7 @@
         Map<Event.Measure, Double> report = Map.of();
     }
 
-    /** The stream to one coordinator, and what it ordered. */
+    /** The stream to one coordinator, what that one ordered, and what is to be reported to it. */
     private final class CoordinatorSession {
         final int number;
         final Dialer dialer;
@@ -140,9 +146,13 @@
     private final Map<Integer, Long> terms = new HashMap<>();
 
     private final Map<String, AvoidedServer> avoided = new HashMap<>();
+    /** Address of each server, by its identifier; guards itself. */
     private final Map<String, InetSocketAddress> addresses = new HashMap<>();
+
     private Dialer store;
+    /** Where to send to the store; null while the stream is down. */
     private Outlet storeOutlet;
+    /** When the stream to the store broke last. */
     private long storeLostAt = System.nanoTime();
     /** Number of the latest report. */
     private long round;
@@ -536,7 +546,7 @@
             }
             if (server == null) {
                 if (attempt == 0 && now - receivedAt < habits.holdNs) {
-                    net.schedule(20, this::send);
+                    net.schedule(HOLD_CHECK_MS, this::send);
                 } else {
                     block();
                 }
@@ -557,7 +567,7 @@
             httpClient.call(
                     address(server),
                     text,
-                    Math.max(1_000_000, timeout),
+                    Math.max(MIN_TIMEOUT_NS, timeout),
                     result -> onEnd(server, attemptNumber, now, result));
         }
 
@@ -570,6 +580,7 @@
             }
         }
 
+        /** Returns whether the flow has had fewer attempts than the order allows. */
         private boolean mayRetry(Order.Retry retry) {
             return attempt < (retry == Order.Retry.TWICE ? 3 : 2);
         }
@@ -626,7 +637,7 @@
                 recordOutcome(server, sentAt, now, result);
                 Order.Retry retry = retry();
                 again = !result.good()
-                        && now < expiresAt - 50_000_000L
+                        && now < expiresAt - MIN_TIME_FOR_RETRY_NS
                         && switch (retry) {
                             case NEVER -> false;
                             case ON_PROOF -> result.proof() && attempt < 2;
--- a/src/test/java/puffinbarrow/config/ConfigTest.java
+++ b/src/test/java/puffinbarrow/config/ConfigTest.java
@@ -42,7 +42,7 @@
         assertEquals(55, config.settings().slices());
         assertTrue(config.settings().soleOwner() && config.settings().listOnRequest());
         assertEquals(1_200_000_000L, config.settings().groups().get(1).budgetNs());
-        assertEquals("zone", config.groups.get(1).scope());
+        assertEquals("zone", config.groups.get(1).dedupScope());
         assertEquals(List.of("zilina 1", "trnava-1"), config.zones);
     }
 
