--- a/src/main/java/puffinbarrow/emulator/Agenda.java
+++ b/src/main/java/puffinbarrow/emulator/Agenda.java
@@ -1,14 +1,19 @@
 package puffinbarrow.emulator;
 
-/** What is to happen when: in the order of time, and of those at one time the first added first. */
+/**
+ * The event queue of a simulation: events in order of time; those of the same time in the order in which they were
+ * added.
+ */
 public interface Agenda {
-    void add(long atNs, Runnable what);
+    /** Adds an event. */
+    void add(long atNs, Runnable action);
 
-    /** When the next is due; the end of time if there is none. */
+    /** Returns the time of the next event, or {@link Long#MAX_VALUE} if there is none. */
     long nextNs();
 
-    /** Takes out the next one, which there must be. */
+    /** Removes and returns the next event; there must be one. */
     Runnable take();
 
+    /** Returns the number of events in the queue. */
     int size();
 }
--- a/src/main/java/puffinbarrow/emulator/Baseline.java
+++ b/src/main/java/puffinbarrow/emulator/Baseline.java
@@ -17,119 +17,128 @@
 import puffinbarrow.control.Settings;
 
 /**
- * What the textbook policies share: each slice in charge has one line; one whose server is not listed as ready gets
- * another; changes leave in messages that the channel bears. They know neither cold servers nor masks nor levels but
- * for a second try on proof. They exist to be measured against.
+ * Common part of the reference policies that the product is measured against. Each owned slice has one line; a slice
+ * whose server is not listed as ready is moved to another; changes leave in messages of a size and spacing that the
+ * channel can carry. The policies know neither cold servers nor masks, and their only level allows a second attempt
+ * after one that surely did not run. Called on the simulation thread by the core, like any controller.
  */
 abstract class Baseline implements Controller {
-    /** Of the queue's limit, filled by one batch at most. */
-    private static final double OF_QUEUE = 0.5;
-    /** Messages are spaced a little wider than the limit on them asks. */
-    private static final double SPACED = 1.1;
+    /** Largest share of the queue limit that one batch may fill. */
+    private static final double MAX_QUEUE_SHARE = 0.5;
+    /** Messages are spaced this much wider than the limit on their number requires. */
+    private static final double SPACING_FACTOR = 1.1;
 
     final Settings settings;
-    final UniformRandomProvider chance;
-    final TreeMap<String, Event.Entry> ready = new TreeMap<>();
-    final TreeMap<Integer, String> mine = new TreeMap<>();
-    final Map<String, Double> busy = new HashMap<>();
-    final Map<Integer, Double> demand = new HashMap<>();
-    private final TreeSet<Integer> joined = new TreeSet<>();
-    /** Changes that have not left, in the order they came up. */
-    private final LinkedHashMap<Integer, String> wanted = new LinkedHashMap<>();
-    /** Where those stand at the proxies. */
-    private final Map<Integer, String> leaving = new HashMap<>();
-
-    private long cycleAt = Long.MIN_VALUE, messageAt = Long.MIN_VALUE;
+    final UniformRandomProvider random;
+    final TreeMap<String, Event.Entry> readyServers = new TreeMap<>();
+    /** Owned slices with their servers; empty text if none. */
+    final TreeMap<Integer, String> assignments = new TreeMap<>();
+    /** Busy share of the cores as last reported, 0 to 1, by server. */
+    final Map<String, Double> busyByServer = new HashMap<>();
+    /** Smoothed flows per second, by slice. */
+    final Map<Integer, Double> demandBySlice = new HashMap<>();
+
+    private final TreeSet<Integer> joinedProxies = new TreeSet<>();
+    /** Moves that have not been sent, in the order in which they were decided. */
+    private final LinkedHashMap<Integer, String> pendingMoves = new LinkedHashMap<>();
+    /** Servers that the proxies still use for the slices of pending moves. */
+    private final Map<Integer, String> previousServers = new HashMap<>();
+
+    private long nextRoundAtNs = Long.MIN_VALUE;
+    private long nextMessageAtNs = Long.MIN_VALUE;
 
     Baseline(Settings settings, long seed) {
         this.settings = settings;
-        this.chance = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
+        this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
     }
 
-    /** A server for a slice that has none; null leaves it for now. */
-    abstract String place(int slice);
+    /** Returns a server for a slice that has none; null leaves the slice for now. */
+    abstract String chooseServer(int slice);
 
-    /** Changes for the better, once a round; {@link #move} takes them. */
-    void better() {}
+    /** Improves the assignment by calling {@link #move}; called once a round. */
+    void rebalance() {}
 
-    /** A server is of use now. */
-    boolean open(String server) {
-        return ready.containsKey(server);
+    /** Returns whether slices may be assigned to the server now. */
+    boolean usable(String server) {
+        return readyServers.containsKey(server);
     }
 
+    /** Moves a slice to another server; sent with the next message. */
     final void move(int slice, String to) {
-        wanted.put(slice, to);
-        leaving.putIfAbsent(slice, mine.get(slice));
-        mine.put(slice, to);
+        pendingMoves.put(slice, to);
+        previousServers.putIfAbsent(slice, assignments.get(slice));
+        assignments.put(slice, to);
     }
 
     @Override
     public List<Order> handle(long now, List<Event> events) {
         List<Order> orders = new ArrayList<>();
-        boolean levels = false;
-        boolean changed = false;
+        boolean sendLevels = false;
+        boolean checkOrphans = false;
         for (Event event : events) {
             if (event instanceof Event.ServerList e && e.kind() != Event.ListKind.BROKEN) {
-                changed = true;
+                checkOrphans = true;
                 if (e.kind() != Event.ListKind.PATCH) {
-                    ready.clear();
+                    readyServers.clear();
                 }
                 for (Event.Entry entry : e.entries()) {
                     if (entry.listed() == Event.Listed.READY) {
-                        ready.put(entry.server(), entry);
+                        readyServers.put(entry.server(), entry);
                     } else {
-                        ready.remove(entry.server());
+                        readyServers.remove(entry.server());
                     }
                 }
             } else if (event instanceof Event.ProxyJoined e) {
-                joined.add(e.proxy());
-                levels = true;
+                joinedProxies.add(e.proxy());
+                sendLevels = true;
             } else if (event instanceof Event.ProxyLeft e) {
-                joined.remove(e.proxy());
+                joinedProxies.remove(e.proxy());
             } else if (event instanceof Event.SliceCharge e) {
-                changed = true;
-                wanted.remove(e.slice());
-                leaving.remove(e.slice());
+                checkOrphans = true;
+                pendingMoves.remove(e.slice());
+                previousServers.remove(e.slice());
                 if (e.given()) {
-                    mine.put(e.slice(), "");
+                    assignments.put(e.slice(), "");
                 } else {
-                    mine.remove(e.slice());
+                    assignments.remove(e.slice());
                 }
-            } else if (event instanceof Event.StoredLine e && mine.containsKey(e.slice())) {
-                mine.put(e.slice(), e.server());
+            } else if (event instanceof Event.StoredLine e && assignments.containsKey(e.slice())) {
+                assignments.put(e.slice(), e.server());
             } else if (event instanceof Event.ServerSums e && e.report().containsKey(Event.Measure.BUSY)) {
-                busy.put(e.server(), e.report().get(Event.Measure.BUSY));
+                busyByServer.put(e.server(), e.report().get(Event.Measure.BUSY));
             } else if (event instanceof Event.SliceDemand e) {
-                demand.merge(e.slice(), e.flows() * 1e9 / e.spanNs(), (was, is) -> 0.7 * was + 0.3 * is);
+                demandBySlice.merge(e.slice(), e.flows() * 1e9 / e.spanNs(), (was, is) -> 0.7 * was + 0.3 * is);
             }
         }
-        if (settings.listOnRequest() && now >= cycleAt) {
+        if (settings.listOnRequest() && now >= nextRoundAtNs) {
             orders.add(new Order.FetchList());
-        } else if (cycleAt == Long.MIN_VALUE) {
+        } else if (nextRoundAtNs == Long.MIN_VALUE) {
             orders.add(new Order.Follow(true));
         }
-        if (changed || now >= cycleAt) {
-            orphans();
+        if (checkOrphans || now >= nextRoundAtNs) {
+            assignOrphans();
         }
-        if (now >= cycleAt) {
-            cycleAt = now + settings.roundNs();
-            better();
+        if (now >= nextRoundAtNs) {
+            nextRoundAtNs = now + settings.roundNs();
+            rebalance();
         }
-        if (levels) {
+        if (sendLevels) {
             orders.add(new Order.SetLevel(Order.ALL_TABLES, 0, 1, Order.Retry.ON_PROOF));
         }
         send(now, orders);
-        orders.add(new Order.WakeAt(wanted.isEmpty() ? cycleAt : Math.min(cycleAt, messageAt), 1));
+        orders.add(
+                new Order.WakeAt(pendingMoves.isEmpty() ? nextRoundAtNs : Math.min(nextRoundAtNs, nextMessageAtNs), 1));
         return orders;
     }
 
-    private void orphans() {
-        if (ready.isEmpty()) {
+    /** Assigns slices whose server cannot be used. */
+    private void assignOrphans() {
+        if (readyServers.isEmpty()) {
             return;
         }
-        for (Map.Entry<Integer, String> slice : new TreeMap<>(mine).entrySet()) {
-            if (!open(slice.getValue())) {
-                String to = place(slice.getKey());
+        for (Map.Entry<Integer, String> slice : new TreeMap<>(assignments).entrySet()) {
+            if (!usable(slice.getValue())) {
+                String to = chooseServer(slice.getKey());
                 if (to != null && !to.equals(slice.getValue())) {
                     move(slice.getKey(), to);
                 }
@@ -137,19 +146,20 @@
         }
     }
 
+    /** Sends pending moves, as many as the channel takes now. */
     private void send(long now, List<Order> orders) {
-        if (now < messageAt || wanted.isEmpty()) {
+        if (now < nextMessageAtNs || pendingMoves.isEmpty()) {
             return;
         }
-        double fits = joined.isEmpty()
+        double maxLines = joinedProxies.isEmpty()
                 ? Double.MAX_VALUE
-                : OF_QUEUE * settings.queueLimit() / joined.size() - settings.head();
+                : MAX_QUEUE_SHARE * settings.queueLimit() / joinedProxies.size() - settings.head();
         int lines = 0;
-        while (!wanted.isEmpty() && lines + 2 <= Math.max(2, fits)) {
-            int slice = wanted.keySet().iterator().next();
-            String to = wanted.remove(slice);
-            String from = leaving.remove(slice);
-            if (mine.containsKey(slice)) {
+        while (!pendingMoves.isEmpty() && lines + 2 <= Math.max(2, maxLines)) {
+            int slice = pendingMoves.keySet().iterator().next();
+            String to = pendingMoves.remove(slice);
+            String from = previousServers.remove(slice);
+            if (assignments.containsKey(slice)) {
                 orders.add(new Order.SetLine(slice, to, 1));
                 lines++;
                 if (from != null && !from.isEmpty() && !from.equals(to) && !settings.soleOwner()) {
@@ -158,123 +168,139 @@
                 }
             }
         }
-        double takes = joined.size() * (settings.head() + lines) / settings.linesPerS() * 1e9;
-        double spaced =
-                settings.messagesAllowed() > 0 ? SPACED * settings.messagesSpanNs() / settings.messagesAllowed() : 0;
-        messageAt = now + (long) Math.max(takes, spaced);
+        double sendNs = joinedProxies.size() * (settings.head() + lines) / settings.linesPerS() * 1e9;
+        double spacingNs = settings.messagesAllowed() > 0
+                ? SPACING_FACTOR * settings.messagesSpanNs() / settings.messagesAllowed()
+                : 0;
+        nextMessageAtNs = now + (long) Math.max(sendNs, spacingNs);
     }
 
-    final String any() {
-        List<String> all = new ArrayList<>(ready.keySet());
-        return all.get(chance.nextInt(all.size()));
+    /** Returns a random ready server. */
+    final String randomServer() {
+        List<String> all = new ArrayList<>(readyServers.keySet());
+        return all.get(random.nextInt(all.size()));
     }
 
     // ---- The policies.
 
-    /** Anywhere, and there it stays. */
+    /** Assigns a slice to a random server and leaves it there. */
     static final class AtRandom extends Baseline {
         AtRandom(Settings settings, long seed) {
             super(settings, seed);
         }
 
         @Override
-        String place(int slice) {
-            return any();
+        String chooseServer(int slice) {
+            return randomServer();
         }
     }
 
-    /** The less busy of two drawn, by their last reports. */
+    /** Assigns a slice to the less busy of two random servers, by their last reports. */
     static final class TwoChoices extends Baseline {
         TwoChoices(Settings settings, long seed) {
             super(settings, seed);
         }
 
         @Override
-        String place(int slice) {
-            String one = any();
-            String other = any();
-            return busy.getOrDefault(other, 0.0) < busy.getOrDefault(one, 0.0) ? other : one;
+        String chooseServer(int slice) {
+            String one = randomServer();
+            String other = randomServer();
+            return busyByServer.getOrDefault(other, 0.0) < busyByServer.getOrDefault(one, 0.0) ? other : one;
         }
     }
 
-    /** The least busy by last reports and what was placed since; once a round one slice from the busiest to it. */
+    /**
+     * Assigns a slice to the least busy server, by last reports and what was assigned since; once a round moves one
+     * slice from the busiest server to the least busy one.
+     */
     static final class LeastLoaded extends Baseline {
-        /** A move must be worth its line: a fifth of a server's cores. */
-        private static final double GAP = 0.2;
+        /** Least difference in busyness that justifies a move: a fifth of a server's cores. */
+        private static final double MIN_GAP = 0.2;
 
         LeastLoaded(Settings settings, long seed) {
             super(settings, seed);
         }
 
-        private String extreme(boolean most) {
+        /** Returns the most or the least busy ready server. */
+        private String extremeByBusy(boolean most) {
             String best = null;
-            for (String server : ready.keySet()) {
+            for (String server : readyServers.keySet()) {
                 if (best == null
-                        || (busy.getOrDefault(server, 0.0) > busy.getOrDefault(best, 0.0)) == most
-                                && !busy.getOrDefault(server, 0.0).equals(busy.getOrDefault(best, 0.0))) {
+                        || (busyByServer.getOrDefault(server, 0.0) > busyByServer.getOrDefault(best, 0.0)) == most
+                                && !busyByServer
+                                        .getOrDefault(server, 0.0)
+                                        .equals(busyByServer.getOrDefault(best, 0.0))) {
                     best = server;
                 }
             }
             return best;
         }
 
-        private double part(int slice) {
-            double all =
-                    demand.values().stream().mapToDouble(Double::doubleValue).sum();
-            double load = ready.keySet().stream()
-                    .mapToDouble(s -> busy.getOrDefault(s, 0.0))
+        /** Estimates the busy share that a slice causes, from its share of the demand. */
+        private double loadShare(int slice) {
+            double all = demandBySlice.values().stream()
+                    .mapToDouble(Double::doubleValue)
                     .sum();
-            return all == 0 ? 0.01 : load * demand.getOrDefault(slice, 0.0) / all;
+            double load = readyServers.keySet().stream()
+                    .mapToDouble(s -> busyByServer.getOrDefault(s, 0.0))
+                    .sum();
+            return all == 0 ? 0.01 : load * demandBySlice.getOrDefault(slice, 0.0) / all;
         }
 
         @Override
-        String place(int slice) {
-            String to = extreme(false);
-            busy.merge(to, part(slice), Double::sum);
+        String chooseServer(int slice) {
+            String to = extremeByBusy(false);
+            busyByServer.merge(to, loadShare(slice), Double::sum);
             return to;
         }
 
         @Override
-        void better() {
-            if (ready.size() < 2) {
+        void rebalance() {
+            if (readyServers.size() < 2) {
                 return;
             }
-            String from = extreme(true);
-            String to = extreme(false);
-            double gap = busy.getOrDefault(from, 0.0) - busy.getOrDefault(to, 0.0);
-            if (gap < GAP) {
+            String from = extremeByBusy(true);
+            String to = extremeByBusy(false);
+            double gap = busyByServer.getOrDefault(from, 0.0) - busyByServer.getOrDefault(to, 0.0);
+            if (gap < MIN_GAP) {
                 return;
             }
             int best = -1;
-            for (Map.Entry<Integer, String> slice : mine.entrySet()) {
+            for (Map.Entry<Integer, String> slice : assignments.entrySet()) {
                 if (slice.getValue().equals(from)
-                        && part(slice.getKey()) < gap / 2
-                        && (best < 0 || part(slice.getKey()) > part(best))) {
+                        && loadShare(slice.getKey()) < gap / 2
+                        && (best < 0 || loadShare(slice.getKey()) > loadShare(best))) {
                     best = slice.getKey();
                 }
             }
             if (best >= 0) {
-                busy.merge(from, -part(best), Double::sum);
-                busy.merge(to, part(best), Double::sum);
+                busyByServer.merge(from, -loadShare(best), Double::sum);
+                busyByServer.merge(to, loadShare(best), Double::sum);
                 move(best, to);
             }
         }
     }
 
-    /** Rendezvous hashing of slices onto ready servers, none with over so many times its even part. */
+    /**
+     * Rendezvous hashing of slices onto ready servers; no server gets more than {@link #CAPACITY_FACTOR} times its even share.
+     */
     static final class BoundedHash extends Baseline {
-        private static final double ROOM = 1.25;
+        /** Bound on the slices of a server, relative to its even share. */
+        private static final double CAPACITY_FACTOR = 1.25;
+
         private static final Hasher64 HASH = Hashing.komihash5_0();
-        private List<String> servers = List.of();
+        /** Ready servers at the last rebalancing; nothing is done until they change. */
+        private List<String> lastServers = List.of();
 
         BoundedHash(Settings settings, long seed) {
             super(settings, seed);
         }
 
         @Override
-        String place(int slice) {
-            // The round's whole laying does it; until then a slice goes where it ranks first.
-            return ready.keySet().stream()
+        String chooseServer(int slice) {
+            // The bound is applied by the rebalancing of the round; until then a slice goes to its highest-ranked
+            // server.
+            return readyServers.keySet().stream()
                     .max((a, b) -> Long.compareUnsigned(rank(slice, a), rank(slice, b)))
                     .orElse(null);
         }
@@ -284,126 +310,128 @@
         }
 
         @Override
-        void better() {
-            List<String> now = new ArrayList<>(ready.keySet());
-            if (now.equals(servers) || now.isEmpty()) {
+        void rebalance() {
+            List<String> current = new ArrayList<>(readyServers.keySet());
+            if (current.equals(lastServers) || current.isEmpty()) {
                 return;
             }
-            servers = now;
-            int most = (int) Math.ceil(ROOM * mine.size() / now.size());
-            Map<String, Integer> held = new HashMap<>();
-            for (int slice : List.copyOf(mine.keySet())) {
+            lastServers = current;
+            int maxSlices = (int) Math.ceil(CAPACITY_FACTOR * assignments.size() / current.size());
+            Map<String, Integer> slicesByServer = new HashMap<>();
+            for (int slice : List.copyOf(assignments.keySet())) {
                 String best = null;
                 long rank = 0;
-                for (String server : now) {
-                    long own = rank(slice, server);
-                    if (held.getOrDefault(server, 0) < most && (best == null || Long.compareUnsigned(own, rank) > 0)) {
+                for (String server : current) {
+                    long ownRank = rank(slice, server);
+                    if (slicesByServer.getOrDefault(server, 0) < maxSlices
+                            && (best == null || Long.compareUnsigned(ownRank, rank) > 0)) {
                         best = server;
-                        rank = own;
+                        rank = ownRank;
                     }
                 }
-                held.merge(best, 1, Integer::sum);
-                if (!best.equals(mine.get(slice))) {
+                slicesByServer.merge(best, 1, Integer::sum);
+                if (!best.equals(assignments.get(slice))) {
                     move(slice, best);
                 }
             }
         }
     }
 
-    /** Sees what every server can do now and what every slice asks for; orders go by the same channel. */
+    /** Sees the true capacity of every server and the true work of every slice; its orders use the same channel. */
     static final class Oracle extends Baseline {
-        /** Moves a round; enough to empty a lost server within one. */
-        private static final int MOVES = 40;
-        /** A move must bring the busier of the two down by this part. */
-        private static final double GAIN = 0.05;
+        /** Moves per round; enough to empty a lost server within one. */
+        private static final int MOVES_PER_ROUND = 40;
+        /** A move must lower the load of the busier of its two servers by this share. */
+        private static final double MIN_GAIN = 0.05;
 
-        private final Truth truth;
-        private final Map<String, Double> planned = new HashMap<>();
+        private final TrueState trueState;
+        private final Map<String, Double> plannedWork = new HashMap<>();
 
-        Oracle(Settings settings, long seed, Truth truth) {
+        Oracle(Settings settings, long seed, TrueState trueState) {
             super(settings, seed);
-            this.truth = truth;
+            this.trueState = trueState;
         }
 
         @Override
         public List<Order> handle(long now, List<Event> events) {
-            planned.clear();
+            plannedWork.clear();
             return super.handle(now, events);
         }
 
         @Override
-        boolean open(String server) {
-            return ready.containsKey(server) && truth.capacity(server) > 0;
+        boolean usable(String server) {
+            return readyServers.containsKey(server) && trueState.capacity(server) > 0;
         }
 
-        private double load(String server, double more) {
-            double can = truth.capacity(server);
-            return can <= 0
+        /** Returns the load of a server relative to its capacity, with planned moves and some extra work. */
+        private double load(String server, double extraWork) {
+            double capacity = trueState.capacity(server);
+            return capacity <= 0
                     ? Double.MAX_VALUE
-                    : (truth.assigned(server) + planned.getOrDefault(server, 0.0) + more) / can;
+                    : (trueState.assigned(server) + plannedWork.getOrDefault(server, 0.0) + extraWork) / capacity;
         }
 
         @Override
-        String place(int slice) {
+        String chooseServer(int slice) {
             String best = null;
-            double least = Double.MAX_VALUE;
-            double work = Math.max(0.01, truth.work(slice));
-            for (String server : ready.keySet()) {
+            double lowestLoad = Double.MAX_VALUE;
+            double work = Math.max(0.01, trueState.work(slice));
+            for (String server : readyServers.keySet()) {
                 double load = load(server, work);
-                if (load < least) {
-                    least = load;
+                if (load < lowestLoad) {
+                    lowestLoad = load;
                     best = server;
                 }
             }
             if (best != null) {
-                planned.merge(best, work, Double::sum);
+                plannedWork.merge(best, work, Double::sum);
             }
             return best;
         }
 
         @Override
-        void better() {
-            for (int i = 0; i < MOVES; i++) {
-                String hot = null;
-                for (String server : ready.keySet()) {
-                    if (truth.capacity(server) > 0
-                            && mine.containsValue(server)
-                            && (hot == null || load(server, 0) > load(hot, 0))) {
-                        hot = server;
+        void rebalance() {
+            for (int i = 0; i < MOVES_PER_ROUND; i++) {
+                String busiest = null;
+                for (String server : readyServers.keySet()) {
+                    if (trueState.capacity(server) > 0
+                            && assignments.containsValue(server)
+                            && (busiest == null || load(server, 0) > load(busiest, 0))) {
+                        busiest = server;
                     }
                 }
-                if (hot == null) {
+                if (busiest == null) {
                     return;
                 }
-                double now = load(hot, 0);
+                double busiestLoad = load(busiest, 0);
                 int best = -1;
                 String to = null;
-                double least = now * (1 - GAIN);
-                String cold = null;
-                for (String server : ready.keySet()) {
-                    if (!server.equals(hot) && (cold == null || load(server, 0) < load(cold, 0))) {
-                        cold = server;
+                double lowestLoad = busiestLoad * (1 - MIN_GAIN);
+                String leastLoaded = null;
+                for (String server : readyServers.keySet()) {
+                    if (!server.equals(busiest) && (leastLoaded == null || load(server, 0) < load(leastLoaded, 0))) {
+                        leastLoaded = server;
                     }
                 }
-                if (cold == null) {
+                if (leastLoaded == null) {
                     return;
                 }
-                for (Map.Entry<Integer, String> slice : mine.entrySet()) {
-                    if (slice.getValue().equals(hot)) {
-                        double work = truth.work(slice.getKey());
-                        double after = Math.max(load(hot, -work), load(cold, work));
-                        if (work > 0 && after < least) {
-                            least = after;
+                for (Map.Entry<Integer, String> slice : assignments.entrySet()) {
+                    if (slice.getValue().equals(busiest)) {
+                        double work = trueState.work(slice.getKey());
+                        double loadAfter = Math.max(load(busiest, -work), load(leastLoaded, work));
+                        if (work > 0 && loadAfter < lowestLoad) {
+                            lowestLoad = loadAfter;
                             best = slice.getKey();
-                            to = cold;
+                            to = leastLoaded;
                         }
                     }
                 }
                 if (best < 0) {
                     return;
                 }
-                planned.merge(hot, -truth.work(best), Double::sum);
-                planned.merge(to, truth.work(best), Double::sum);
+                plannedWork.merge(busiest, -trueState.work(best), Double::sum);
+                plannedWork.merge(to, trueState.work(best), Double::sum);
                 move(best, to);
             }
         }
--- a/src/main/java/puffinbarrow/emulator/Calendar.java
+++ b/src/main/java/puffinbarrow/emulator/Calendar.java
@@ -3,55 +3,61 @@
 import java.util.Arrays;
 
 /**
- * A calendar queue (R. Brown, CACM 31(10), 1988): days of equal length in a ring of buckets, each a sorted list; a year
- * is once round. Days are as long as a few events take, and are laid anew when the queue has doubled or halved. Kept as
- * the baseline that {@link Heap} is measured against.
+ * An event queue as a calendar queue (R. Brown, CACM 31(10), 1988): days of equal length in a ring of buckets, each a
+ * sorted list; a year is one pass over the ring. A day is as long as a few events take; its length and the number of
+ * buckets are adjusted when the queue has doubled or halved. Kept as the baseline that {@link Heap} is measured
+ * against.
  */
 public final class Calendar implements Agenda {
+    /** An event in the list of its bucket; the sequence number orders events of the same time. */
     private static final class Entry {
-        final long at, number;
-        final Runnable what;
+        final long atNs;
+        final long sequence;
+        final Runnable action;
         Entry next;
 
-        Entry(long at, long number, Runnable what) {
-            this.at = at;
-            this.number = number;
-            this.what = what;
+        Entry(long atNs, long sequence, Runnable action) {
+            this.atNs = atNs;
+            this.sequence = sequence;
+            this.action = action;
         }
     }
 
-    private static final int LEAST_BUCKETS = 16;
-    /** Brown's: three events a day on average. */
-    private static final int A_DAY = 3;
-    /** Events near the head whose mean gap sets a day's length. */
-    private static final int SAMPLE = 64;
+    private static final int MIN_BUCKETS = 16;
+    /** Events per day on average, as Brown recommends. */
+    private static final int EVENTS_PER_DAY = 3;
+    /** Number of events near the head whose mean gap sets the length of a day. */
+    private static final int SAMPLE_SIZE = 64;
 
-    private Entry[] buckets = new Entry[LEAST_BUCKETS];
+    private Entry[] buckets = new Entry[MIN_BUCKETS];
+    /** Length of a day. */
     private long dayNs = 1_000_000;
+
     private int size;
-    private long added;
-    /** No event lies before this time. */
-    private long from;
+    private long nextSequence;
+    /** No event is earlier than this time. */
+    private long earliestNs;
 
+    /** The first event if known, else null. */
     private Entry head;
 
     @Override
-    public void add(long atNs, Runnable what) {
-        insert(new Entry(atNs, added++, what));
+    public void add(long atNs, Runnable action) {
+        insert(new Entry(atNs, nextSequence++, action));
         if (++size > 2 * buckets.length) {
-            lay(2 * buckets.length);
+            resize(2 * buckets.length);
         }
     }
 
-    private int bucket(long at) {
-        return (int) (at / dayNs & buckets.length - 1);
+    private int bucket(long atNs) {
+        return (int) (atNs / dayNs & buckets.length - 1);
     }
 
     private void insert(Entry entry) {
-        int bucket = bucket(entry.at);
+        int bucket = bucket(entry.atNs);
         Entry before = null;
         Entry next = buckets[bucket];
-        while (next != null && (next.at < entry.at || next.at == entry.at && next.number < entry.number)) {
+        while (next != null && (next.atNs < entry.atNs || next.atNs == entry.atNs && next.sequence < entry.sequence)) {
             before = next;
             next = next.next;
         }
@@ -61,28 +67,30 @@
         } else {
             before.next = entry;
         }
-        if (head != null && entry.at < head.at) {
+        if (head != null && entry.atNs < head.atNs) {
             head = entry;
         }
-        from = Math.min(from, entry.at);
+        earliestNs = Math.min(earliestNs, entry.atNs);
     }
 
-    /** The first event: day by day for a year, else by looking at the head of every bucket. */
+    /** Returns the first event: looks day by day for a year, then at the head of every bucket. */
     private Entry first() {
         if (head != null || size == 0) {
             return head;
         }
-        long day = from / dayNs;
+        long day = earliestNs / dayNs;
         for (int i = 0; i < buckets.length; i++, day++) {
             Entry entry = buckets[(int) (day & buckets.length - 1)];
-            if (entry != null && entry.at / dayNs == day) {
+            if (entry != null && entry.atNs / dayNs == day) {
                 head = entry;
                 return head;
             }
         }
         for (Entry entry : buckets) {
             if (entry != null
-                    && (head == null || entry.at < head.at || entry.at == head.at && entry.number < head.number)) {
+                    && (head == null
+                            || entry.atNs < head.atNs
+                            || entry.atNs == head.atNs && entry.sequence < head.sequence)) {
                 head = entry;
             }
         }
@@ -91,38 +99,40 @@
 
     @Override
     public long nextNs() {
-        return size == 0 ? Long.MAX_VALUE : first().at;
+        return size == 0 ? Long.MAX_VALUE : first().atNs;
     }
 
     @Override
     public Runnable take() {
         Entry entry = first();
-        buckets[bucket(entry.at)] = entry.next;
+        buckets[bucket(entry.atNs)] = entry.next;
         head = null;
-        from = entry.at;
-        if (--size < buckets.length / 2 && buckets.length > LEAST_BUCKETS) {
-            lay(buckets.length / 2);
+        earliestNs = entry.atNs;
+        if (--size < buckets.length / 2 && buckets.length > MIN_BUCKETS) {
+            resize(buckets.length / 2);
         }
-        return entry.what;
+        return entry.action;
     }
 
-    private void lay(int count) {
+    /** Rebuilds the queue with so many buckets and a new length of days. */
+    private void resize(int bucketCount) {
         Entry[] all = new Entry[size];
-        int n = 0;
+        int filled = 0;
         for (Entry bucket : buckets) {
             for (Entry entry = bucket; entry != null; entry = entry.next) {
-                all[n++] = entry;
+                all[filled++] = entry;
             }
         }
-        Arrays.sort(all, (a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.number, b.number));
-        int sample = Math.min(SAMPLE, n - 1);
-        long span = sample > 0 ? all[sample].at - all[0].at : 0;
-        dayNs = Math.max(1, sample > 0 ? A_DAY * span / sample : dayNs);
-        buckets = new Entry[count];
+        Arrays.sort(
+                all, (a, b) -> a.atNs != b.atNs ? Long.compare(a.atNs, b.atNs) : Long.compare(a.sequence, b.sequence));
+        int sample = Math.min(SAMPLE_SIZE, filled - 1);
+        long spanNs = sample > 0 ? all[sample].atNs - all[0].atNs : 0;
+        dayNs = Math.max(1, sample > 0 ? EVENTS_PER_DAY * spanNs / sample : dayNs);
+        buckets = new Entry[bucketCount];
         head = null;
-        // Latest first: each goes in front of its bucket at once.
-        for (int i = n - 1; i >= 0; i--) {
-            int bucket = bucket(all[i].at);
+        // Latest first, so that each event goes to the front of its bucket.
+        for (int i = filled - 1; i >= 0; i--) {
+            int bucket = bucket(all[i].atNs);
             all[i].next = buckets[bucket];
             buckets[bucket] = all[i];
         }
--- a/src/main/java/puffinbarrow/emulator/Clients.java
+++ b/src/main/java/puffinbarrow/emulator/Clients.java
@@ -10,32 +10,36 @@
 import puffinbarrow.load.Result;
 import puffinbarrow.load.Scenario;
 
-/** The load generator's arrivals and its clients' manners, in simulated time; every flow has one end. */
+/**
+ * The clients in simulated time: the arrivals of the load generator, and the retries and time-outs of its clients.
+ * Every flow ends with exactly one outcome.
+ */
 final class Clients {
-    /** A flow from its intended start to its end, over all its client's tries. */
-    private final class Open {
+    /** A flow from its intended start to its outcome, over all attempts of its client. */
+    private final class OpenFlow {
         final Flow flow;
         final long startNs;
         int attempt;
-        boolean over;
-        private Proxy.Flow proxied;
+        boolean finished;
+        /** The flow at the proxy, of the last attempt. */
+        private Proxy.Flow proxyFlow;
 
-        Open(Flow flow) {
+        OpenFlow(Flow flow) {
             this.flow = flow;
-            this.startNs = beganAt + flow.startNs();
+            this.startNs = beganAtNs + flow.startNs();
         }
 
         void send() {
-            int mine = attempt;
-            // A late answer to a former try finds a later one begun, or the flow over.
-            IntConsumer answer = code -> world.after(networkNs, () -> {
-                if (!over && mine == attempt) {
-                    answered(code);
+            int sentAttempt = attempt;
+            // An answer to an earlier attempt is ignored: a later one has begun, or the flow has ended.
+            IntConsumer answer = code -> simulation.after(networkDelayNs, () -> {
+                if (!finished && sentAttempt == attempt) {
+                    handleAnswer(code);
                 }
             });
-            world.after(
-                    networkNs,
-                    () -> proxied = fleet.proxies
+            simulation.after(
+                    networkDelayNs,
+                    () -> proxyFlow = fleet.proxies
                             .get(flow.target())
                             .request(
                                     scenario.sliceOf(flow.key()),
@@ -50,149 +54,172 @@
             return scenario.groups.get(flow.group());
         }
 
-        private void answered(int code) {
-            long took = world.now() - startNs;
+        /** Ends the flow, or retries it after a wait that doubles with each attempt. */
+        private void handleAnswer(int code) {
+            long tookNs = simulation.now() - startNs;
             if (code == Server.OK) {
-                boolean inBudget = took <= group().budgetNs();
-                latency[flow.group()].recordValue(Math.max(0, took / 1000));
-                end(inBudget ? Result.Outcome.IN_BUDGET : Result.Outcome.LATE);
+                boolean inBudget = tookNs <= group().budgetNs();
+                latencyUs[flow.group()].recordValue(Math.max(0, tookNs / 1000));
+                finish(inBudget ? Result.Outcome.IN_BUDGET : Result.Outcome.LATE);
                 return;
             }
-            boolean blocked = code == Server.TURNED_AWAY;
-            long wait = scenario.retryWaitNs << attempt;
-            wait += wait == 0 ? 0 : Math.floorMod(flow.startNs(), wait);
-            if ((group().repeats() || blocked) && attempt < scenario.retries && took + wait < group().expiryNs()) {
+            boolean blocked = code == Server.REJECTED;
+            long waitNs = scenario.retryWaitNs << attempt;
+            waitNs += waitNs == 0 ? 0 : Math.floorMod(flow.startNs(), waitNs);
+            if ((group().repeats() || blocked) && attempt < scenario.retries && tookNs + waitNs < group().expiryNs()) {
                 attempt++;
                 retries++;
-                world.after(wait, () -> {
-                    if (!over) {
+                simulation.after(waitNs, () -> {
+                    if (!finished) {
                         send();
                     }
                 });
             } else {
-                end(blocked ? Result.Outcome.BLOCKED : Result.Outcome.FAILED);
+                finish(blocked ? Result.Outcome.BLOCKED : Result.Outcome.FAILED);
             }
         }
 
-        void end(Result.Outcome outcome) {
-            over = true;
-            open--;
-            counts[flow.group()][outcome.ordinal()]++;
+        void finish(Result.Outcome outcome) {
+            finished = true;
+            openFlows--;
+            outcomeCounts[flow.group()][outcome.ordinal()]++;
             int second = (int) (flow.startNs() / SECOND);
-            // A flow that comes late earns a fifth, as on the day's page.
-            got[second] += outcome == Result.Outcome.IN_BUDGET
+            // A late flow earns a fifth of its utility, as on the page of a day.
+            earnedUtility[second] += outcome == Result.Outcome.IN_BUDGET
                     ? group().utility()
                     : outcome == Result.Outcome.LATE ? group().utility() / 5 : 0;
         }
     }
 
     private static final long SECOND = 1_000_000_000L;
-    /** An hour at most is told apart; no flow lasts as long. */
-    private static final long MOST_US = 3_600_000_000L;
+    /** Upper limit of the histograms: an hour, in microseconds; no flow lasts as long. */
+    private static final long MAX_LATENCY_US = 3_600_000_000L;
 
     private final Fleet fleet;
-    private final World world;
+    private final Simulation simulation;
     private final Scenario scenario;
-    private final long networkNs;
+    private final long networkDelayNs;
     private final Arrivals arrivals;
-    final Histogram[] latency;
-    final long[][] counts;
-    /** By second of the intended start: utility asked for and got. */
-    final double[] asked, got;
-    /** Work asked of each slice lately, in nanoseconds of one core a second; for policies that see the true state. */
-    final double[] sliceWork;
-
-    private final List<ArrayDeque<Open>> expiring = new ArrayList<>();
-    private long beganAt;
-    long intended, retries, open, mostOpen;
+    /** Time from the intended start to a good answer in microseconds, by group. */
+    final Histogram[] latencyUs;
+    /** Flows by group and outcome. */
+    final long[][] outcomeCounts;
+    /** Utility offered, by second of the intended start. */
+    final double[] offeredUtility;
+    /** Utility earned, by second of the intended start. */
+    final double[] earnedUtility;
+    /**
+     * Work asked of each slice recently, in nanoseconds of one core of speed 1, halved each second; for policies that
+     * see the true state.
+     */
+    final double[] recentSliceWork;
+
+    /** Flows by group in order of their start, until they expire; ended flows are removed when they come first. */
+    private final List<ArrayDeque<OpenFlow>> expiring = new ArrayList<>();
+
+    private long beganAtNs;
+    long intended;
+    long retries;
+    long openFlows;
+    /** Largest number of flows open at a time. */
+    long mostOpen;
 
     Clients(Fleet fleet, Scenario scenario) {
         this.fleet = fleet;
-        this.world = fleet.world;
+        this.simulation = fleet.simulation;
         this.scenario = scenario;
-        this.networkNs = fleet.model.networkNs;
+        this.networkDelayNs = fleet.model.networkDelayNs;
         this.arrivals = new Arrivals(scenario);
         int groups = scenario.groups.size();
-        latency = new Histogram[groups];
+        latencyUs = new Histogram[groups];
         for (int i = 0; i < groups; i++) {
-            latency[i] = new Histogram(MOST_US, 3);
+            latencyUs[i] = new Histogram(MAX_LATENCY_US, 3);
             expiring.add(new ArrayDeque<>());
         }
-        counts = new long[groups][Result.Outcome.values().length];
+        outcomeCounts = new long[groups][Result.Outcome.values().length];
         int seconds = (int) (scenario.lengthNs / SECOND) + 1;
-        asked = new double[seconds];
-        got = new double[seconds];
-        sliceWork = new double[scenario.slices];
+        offeredUtility = new double[seconds];
+        earnedUtility = new double[seconds];
+        recentSliceWork = new double[scenario.slices];
     }
 
-    /** Drawn one ahead: memory goes with the flows in flight, not with the length. */
+    /**
+     * Starts the traffic. Arrivals are drawn one ahead, so that memory use depends on the flows in flight, not on the
+     * length of the day.
+     */
     void start() {
-        beganAt = world.now();
-        next();
-        decay();
+        beganAtNs = simulation.now();
+        scheduleNext();
+        decayWork();
     }
 
-    private void next() {
+    /** Schedules the next arrival. */
+    private void scheduleNext() {
         Flow flow = arrivals.next();
         if (flow == null) {
             return;
         }
-        world.at(beganAt + flow.startNs(), () -> {
+        simulation.at(beganAtNs + flow.startNs(), () -> {
             intended++;
-            open++;
-            mostOpen = Math.max(mostOpen, open);
-            Open one = new Open(flow);
-            asked[(int) (flow.startNs() / SECOND)] += one.group().utility();
-            sliceWork[scenario.sliceOf(flow.key())] += flow.workNs();
-            one.send();
-            ArrayDeque<Open> others = expiring.get(flow.group());
-            others.addLast(one);
-            if (others.size() == 1) {
-                world.at(one.startNs + one.group().expiryNs(), () -> expire(others));
+            openFlows++;
+            mostOpen = Math.max(mostOpen, openFlows);
+            OpenFlow openFlow = new OpenFlow(flow);
+            offeredUtility[(int) (flow.startNs() / SECOND)] += openFlow.group().utility();
+            recentSliceWork[scenario.sliceOf(flow.key())] += flow.workNs();
+            openFlow.send();
+            ArrayDeque<OpenFlow> groupFlows = expiring.get(flow.group());
+            groupFlows.addLast(openFlow);
+            if (groupFlows.size() == 1) {
+                simulation.at(openFlow.startNs + openFlow.group().expiryNs(), () -> expire(groupFlows));
             }
-            next();
+            scheduleNext();
         });
     }
 
-    /** Flows of a group expire in the order they began: one timer, at the first that is not over, serves them all. */
-    private void expire(ArrayDeque<Open> group) {
-        Open first = group.pollFirst();
-        if (!first.over) {
-            first.end(Result.Outcome.TIMED_OUT);
-            if (first.proxied != null) {
-                first.proxied.expire();
+    /**
+     * Expires the first open flow of a group. Flows of a group expire in the order of their start, so one timer at
+     * the first open flow serves them all.
+     */
+    private void expire(ArrayDeque<OpenFlow> group) {
+        OpenFlow first = group.pollFirst();
+        if (!first.finished) {
+            first.finish(Result.Outcome.TIMED_OUT);
+            if (first.proxyFlow != null) {
+                first.proxyFlow.expire();
             }
         }
-        while (!group.isEmpty() && group.peekFirst().over) {
+        while (!group.isEmpty() && group.peekFirst().finished) {
             group.pollFirst();
         }
         if (!group.isEmpty()) {
-            Open next = group.peekFirst();
-            world.at(next.startNs + next.group().expiryNs(), () -> expire(group));
+            OpenFlow next = group.peekFirst();
+            simulation.at(next.startNs + next.group().expiryNs(), () -> expire(group));
         }
     }
 
-    /** Halves each second, so that the sum is that of about the last second twice over. */
-    private void decay() {
-        for (int i = 0; i < sliceWork.length; i++) {
-            sliceWork[i] /= 2;
+    /** Halves the recent work each second, so that it sums to about twice the work of the last second. */
+    private void decayWork() {
+        for (int i = 0; i < recentSliceWork.length; i++) {
+            recentSliceWork[i] /= 2;
         }
-        world.after(SECOND, this::decay);
+        simulation.after(SECOND, this::decayWork);
     }
 
+    /** Returns the number of flows of all groups with this outcome. */
     long count(Result.Outcome outcome) {
         long sum = 0;
-        for (long[] group : counts) {
+        for (long[] group : outcomeCounts) {
             sum += group[outcome.ordinal()];
         }
         return sum;
     }
 
-    Histogram all() {
-        Histogram all = new Histogram(MOST_US, 3);
-        for (Histogram each : latency) {
-            all.add(each);
+    /** Returns the latencies of all groups together. */
+    Histogram allLatencies() {
+        Histogram merged = new Histogram(MAX_LATENCY_US, 3);
+        for (Histogram each : latencyUs) {
+            merged.add(each);
         }
-        return all;
+        return merged;
     }
 }
--- /dev/null
+++ b/src/main/java/puffinbarrow/emulator/CoordinatorModel.java
@@ -0,0 +1,505 @@
+package puffinbarrow.emulator;
+
+import java.nio.ByteBuffer;
+import java.util.ArrayList;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.Consumer;
+import puffinbarrow.config.CoordinatorConfig;
+import puffinbarrow.control.Controller;
+import puffinbarrow.control.Event;
+import puffinbarrow.control.Order;
+import puffinbarrow.coordinator.Core;
+import puffinbarrow.coordinator.Holder;
+import puffinbarrow.coordinator.Input;
+import puffinbarrow.coordinator.Meters;
+import puffinbarrow.coordinator.Outlet;
+import puffinbarrow.memory.Facts;
+import puffinbarrow.memory.Notes;
+import puffinbarrow.memory.Recall;
+import puffinbarrow.proto.Frame;
+
+/**
+ * A coordinator in simulated time: the product's own core, paced channel, demand collection and lease holder, with
+ * simulated streams to proxies, peers, store and registry around them. Its controller comes from the policy under
+ * test.
+ */
+final class CoordinatorModel implements Core.Surroundings, Holder.Timing {
+    /**
+     * Pause between attempts to connect, doubling from the first to the second value; the same as in the product's
+     * dialler.
+     */
+    static final long MIN_REDIAL_PAUSE_NS = 50_000_000L;
+
+    static final long MAX_REDIAL_PAUSE_NS = 1_000_000_000L;
+    /** Least time between turns: a wake-up time that is rounded down to now must not stop the simulated clock. */
+    private static final long MIN_TURN_GAP_NS = 1_000;
+
+    private static final long SECOND = 1_000_000_000L;
+
+    /**
+     * Stands in for the memory folder: keeps facts between incarnations, written twice a second as the product does.
+     */
+    private final class MemoryModel implements Core.Memory {
+        private static final long WRITE_INTERVAL_NS = SECOND / 2;
+        private final Notes notes = new Notes(incarnation);
+        private long nextWriteAtNs = Long.MIN_VALUE;
+
+        MemoryModel() {
+            notes.resume(savedFacts);
+        }
+
+        @Override
+        public List<Event.Recalled> recall(List<Event.Entry> list) {
+            List<Event.Recalled> events = Recall.of(savedFacts, list, now(), new ArrayList<>());
+            recalledFacts += events.size();
+            return events;
+        }
+
+        @Override
+        public void decided(long at, List<Event> events, List<Order> orders, Controller controller) {
+            notes.heard(at, events);
+            notes.ordered(orders);
+            if (at >= nextWriteAtNs) {
+                nextWriteAtNs = at + WRITE_INTERVAL_NS;
+                notes.changed(at, at, false, controller.known()).forEach(savedFacts::put);
+            }
+        }
+    }
+
+    private final Fleet fleet;
+    private final Simulation simulation;
+    final int number;
+    private final Controller.Factory controllerFactory;
+    /** What the memory folder would hold; survives the incarnation. */
+    private final Facts.Image savedFacts = new Facts.Image();
+
+    private final Set<Proxy.CoordinatorStream> proxyStreams = new LinkedHashSet<>();
+    private final boolean[] peerCut;
+    private CoordinatorConfig config;
+    private Core core;
+    private Holder holder;
+    private Meters meters;
+    private boolean up;
+    private boolean frozen;
+    private boolean registryCut;
+    /** Counts starts and kills; scheduled work of an earlier incarnation is ignored. */
+    private int incarnation;
+
+    private long nextTurnAtNs = Long.MAX_VALUE;
+    private long storeRedialPauseNs;
+    private long registryRedialPauseNs;
+    /** Work that arrived while the coordinator was frozen, in order of arrival. */
+    private final List<Runnable> deferred = new ArrayList<>();
+
+    private String failure;
+    /** Real time spent in decisions, the events they were given, and their calls. */
+    long decisionNs;
+
+    long decisionEvents;
+    long turns;
+    /** Proxies cut off by a full channel in earlier incarnations; the metrics count the present one. */
+    long cutOffs;
+
+    long recalledFacts;
+
+    CoordinatorModel(Fleet fleet, int number, Controller.Factory controllerFactory) {
+        this.fleet = fleet;
+        this.simulation = fleet.simulation;
+        this.number = number;
+        this.controllerFactory = controllerFactory;
+        this.peerCut = new boolean[fleet.script.coordinators];
+    }
+
+    /** Returns whether a proxy can connect. */
+    boolean acceptsProxies() {
+        return up && !frozen;
+    }
+
+    /** Returns why the coordinator cannot continue, or null. */
+    String failure() {
+        return failure;
+    }
+
+    // ---- Start, kill and freeze.
+
+    /** Starts a new incarnation. */
+    void start() {
+        incarnation++;
+        up = true;
+        frozen = false;
+        deferred.clear();
+        config = fleet.plan.config(number, List.of());
+        meters = new Meters();
+        core = new Core(
+                config,
+                (settings, seed) -> measured(controllerFactory.start(settings, seed)),
+                this,
+                fleet.script.memory ? new MemoryModel() : Core.Memory.NONE,
+                meters,
+                new Core.Tempo(config.linesPerS, config.intakePerS, config.roundNs));
+        holder = null;
+        if (config.leaseNs > 0) {
+            int expectedIncarnation = incarnation;
+            holder = new Holder(
+                    config,
+                    (long) number << 32 | incarnation,
+                    this,
+                    input -> {
+                        offer(input);
+                        return true;
+                    },
+                    meters);
+            core.fence(holder);
+            // The timer of an earlier incarnation checks the incarnation and does nothing.
+            holder.start();
+        }
+        storeRedialPauseNs = registryRedialPauseNs = MIN_REDIAL_PAUSE_NS;
+        dialStore(incarnation);
+        dialRegistry(incarnation);
+        for (CoordinatorModel peer : fleet.coordinators) {
+            if (peer != this) {
+                connectPeer(peer);
+                peer.connectPeer(this);
+            }
+        }
+        scheduleTurn();
+    }
+
+    /** Measures the real time that decisions take; the simulated clock does not include it. */
+    private Controller measured(Controller controller) {
+        return new Controller() {
+            @Override
+            public List<Order> handle(long nowNs, List<Event> events) {
+                long beganNs = System.nanoTime();
+                List<Order> orders = controller.handle(nowNs, events);
+                decisionNs += System.nanoTime() - beganNs;
+                decisionEvents += events.size();
+                turns++;
+                return orders;
+            }
+
+            @Override
+            public List<Event.Recalled> known() {
+                return controller.known();
+            }
+        };
+    }
+
+    /** Ends the process: all streams break and unsaved state is lost. */
+    void kill() {
+        if (!up) {
+            return;
+        }
+        up = false;
+        frozen = false;
+        incarnation++;
+        nextTurnAtNs = Long.MAX_VALUE;
+        deferred.clear();
+        cutOffs += (long) metric("channel.cut_off");
+        List<Proxy.CoordinatorStream> openStreams = new ArrayList<>(proxyStreams);
+        proxyStreams.clear();
+        openStreams.forEach(Proxy.CoordinatorStream::end);
+        fleet.store.coordinatorStopped(this);
+        fleet.registry.disconnect(this);
+        fleet.coordinators.forEach(c -> c.peerLost(number));
+    }
+
+    /** Stops the process (on) or lets it continue; its streams stay open meanwhile. */
+    void freeze(boolean on) {
+        if (up) {
+            frozen = on;
+            if (!on) {
+                List<Runnable> actions = new ArrayList<>(deferred);
+                deferred.clear();
+                actions.forEach(Runnable::run);
+                nextTurnAtNs = Long.MAX_VALUE;
+                scheduleTurn();
+            }
+        }
+    }
+
+    /** Runs the action now, or after the coordinator is unfrozen. */
+    private void runWhenAwake(Runnable action) {
+        if (frozen) {
+            deferred.add(action);
+        } else {
+            action.run();
+        }
+    }
+
+    /** Returns the sum of all metrics whose name begins with the prefix. */
+    double metric(String prefix) {
+        return meters.values().entrySet().stream()
+                .filter(e -> e.getKey().startsWith(prefix))
+                .mapToDouble(Map.Entry::getValue)
+                .sum();
+    }
+
+    /** Sets the pace of the paced channel, as a share of the configured one. */
+    void pace(double part) {
+        if (up) {
+            offer(new Input.Pace(part));
+        }
+    }
+
+    /** Hands its slices over, if it holds leases. */
+    void leave() {
+        if (up && holder != null) {
+            holder.leave();
+        }
+    }
+
+    // ---- The decision thread.
+
+    private void offer(Input input) {
+        if (up) {
+            core.offer(input);
+            scheduleTurn();
+        }
+    }
+
+    private void scheduleTurn() {
+        scheduleTurnAt(core.nextTickNs());
+    }
+
+    /** Schedules the next turn of the core, unless an earlier one is scheduled. */
+    private void scheduleTurnAt(long atNs) {
+        long at = Math.max(simulation.now(), atNs);
+        if (at < nextTurnAtNs && at < Long.MAX_VALUE / 2) {
+            nextTurnAtNs = at;
+            int expectedIncarnation = incarnation;
+            simulation.at(at, () -> {
+                if (expectedIncarnation == incarnation && nextTurnAtNs == at && !frozen) {
+                    nextTurnAtNs = Long.MAX_VALUE;
+                    long next = core.turn(simulation.now());
+                    scheduleTurnAt(Math.max(next, simulation.now() + MIN_TURN_GAP_NS));
+                }
+            });
+        }
+    }
+
+    @Override
+    public long now() {
+        return simulation.now();
+    }
+
+    /** Timer of the lease holder; it does not survive the coordinator's incarnation. */
+    @Override
+    public void after(long ns, Runnable work) {
+        int expectedIncarnation = incarnation;
+        simulation.after(ns, () -> {
+            if (expectedIncarnation == incarnation) {
+                runWhenAwake(work);
+            }
+        });
+    }
+
+    @Override
+    public void probe(String server, Consumer<Event.Probed> answer) {
+        long beganNs = simulation.now();
+        int expectedIncarnation = incarnation;
+        Server target = fleet.server(server);
+        simulation.after(
+                fleet.model.networkDelayNs,
+                () -> target.probe(report -> {
+                    if (expectedIncarnation == incarnation) {
+                        runWhenAwake(() -> answer.accept(new Event.Probed(
+                                server,
+                                report != null,
+                                simulation.now() - beganNs,
+                                report == null ? Map.of() : report)));
+                    }
+                }));
+    }
+
+    @Override
+    public void failed(long now, List<Event> batch, RuntimeException thrown) {
+        failure = "the decisions of coordinator " + number + " threw " + thrown;
+        fleet.stop();
+    }
+
+    // ---- Proxies.
+
+    void join(Proxy.CoordinatorStream stream, Frame.Hello hello) {
+        proxyStreams.add(stream);
+        offer(new Input.Joined(
+                hello, stream, new Frame.Welcome(Frame.MINOR, number, (long) number << 32 | incarnation)));
+    }
+
+    /** The stream of a proxy has ended. */
+    void left(Proxy.CoordinatorStream stream) {
+        if (proxyStreams.remove(stream) && up) {
+            runWhenAwake(() -> offer(new Input.Left(stream.number(), stream)));
+        }
+    }
+
+    /** A frame arrived from a proxy. */
+    void fromProxy(Proxy.CoordinatorStream stream, Frame frame) {
+        if (!up) {
+            return;
+        }
+        if (frame instanceof Frame.Stale stale) {
+            if (holder != null) {
+                runWhenAwake(() -> holder.stale(stale.slice(), stale.term()));
+            }
+        } else {
+            runWhenAwake(() -> offer(new Input.FromProxy(stream.number(), stream, frame)));
+        }
+    }
+
+    // ---- Store and registry: connected to again after a pause, as by the product's dialler.
+
+    private void dialStore(int expectedIncarnation) {
+        simulation.after(2 * fleet.model.networkDelayNs, () -> {
+            if (expectedIncarnation != incarnation) {
+                return;
+            }
+            StoreModel.Stream outlet = fleet.store.connect(this);
+            if (outlet == null) {
+                runLater(storeRedialPauseNs, () -> dialStore(expectedIncarnation), expectedIncarnation);
+                storeRedialPauseNs = Math.min(MAX_REDIAL_PAUSE_NS, 2 * storeRedialPauseNs);
+                return;
+            }
+            storeRedialPauseNs = MIN_REDIAL_PAUSE_NS;
+            runWhenAwake(() -> {
+                offer(new Input.StoreUp(outlet));
+                if (holder != null) {
+                    holder.store(outlet::receive);
+                }
+            });
+        });
+    }
+
+    /** Runs the action after a delay, unless the incarnation has ended. */
+    private void runLater(long ns, Runnable action, int expectedIncarnation) {
+        simulation.after(ns, () -> {
+            if (expectedIncarnation == incarnation) {
+                action.run();
+            }
+        });
+    }
+
+    /** The stream to the store has ended; connects again after a pause. */
+    void storeDown() {
+        if (!up) {
+            return;
+        }
+        int expectedIncarnation = incarnation;
+        runWhenAwake(() -> {
+            offer(new Input.StoreUp(null));
+            if (holder != null) {
+                holder.store(null);
+            }
+        });
+        runLater(storeRedialPauseNs, () -> dialStore(expectedIncarnation), expectedIncarnation);
+    }
+
+    void fromStore(Frame frame) {
+        int expectedIncarnation = incarnation;
+        runWhenAwake(() -> {
+            if (expectedIncarnation != incarnation || !up) {
+                return;
+            }
+            if (holder == null) {
+                offer(new Input.FromStore(frame));
+            } else {
+                holder.frame(frame);
+            }
+        });
+    }
+
+    private void dialRegistry(int expectedIncarnation) {
+        simulation.after(2 * fleet.model.networkDelayNs, () -> {
+            if (expectedIncarnation != incarnation) {
+                return;
+            }
+            if (registryCut) {
+                runLater(registryRedialPauseNs, () -> dialRegistry(expectedIncarnation), expectedIncarnation);
+                registryRedialPauseNs = Math.min(MAX_REDIAL_PAUSE_NS, 2 * registryRedialPauseNs);
+                return;
+            }
+            registryRedialPauseNs = MIN_REDIAL_PAUSE_NS;
+            Outlet outlet = fleet.registry.connect(this);
+            runWhenAwake(() -> offer(new Input.RegistryUp(outlet)));
+        });
+    }
+
+    /** The stream to the registry has ended; connects again after a pause. */
+    void registryDown() {
+        if (up) {
+            int expectedIncarnation = incarnation;
+            runWhenAwake(() -> offer(new Input.RegistryUp(null)));
+            runLater(registryRedialPauseNs, () -> dialRegistry(expectedIncarnation), expectedIncarnation);
+        }
+    }
+
+    void fromRegistry(Frame.ServerList list) {
+        runWhenAwake(() -> offer(new Input.FromRegistry(list)));
+    }
+
+    // ---- Peers.
+
+    /** Returns whether messages pass between this coordinator and the peer. */
+    private boolean reaches(CoordinatorModel peer) {
+        return up && peer.up && !peerCut[peer.number] && !peer.peerCut[number];
+    }
+
+    /** Opens the stream to a peer, if it can be reached. */
+    private void connectPeer(CoordinatorModel peer) {
+        if (!reaches(peer)) {
+            return;
+        }
+        int expectedIncarnation = incarnation;
+        int peerIncarnation = peer.incarnation;
+        runWhenAwake(() -> offer(new Input.PeerUp(peer.number, new Outlet() {
+            @Override
+            public boolean send(ByteBuffer bytes) {
+                if (expectedIncarnation != incarnation || peerIncarnation != peer.incarnation || !reaches(peer)) {
+                    return false;
+                }
+                if (fleet.decode(bytes) instanceof Frame.Peer message) {
+                    simulation.after(fleet.model.networkDelayNs, () -> {
+                        if (peerIncarnation == peer.incarnation && peer.up) {
+                            peer.runWhenAwake(() -> peer.offer(new Input.FromPeer(message.sender(), message.text())));
+                        }
+                    });
+                }
+                return true;
+            }
+
+            @Override
+            public void close(String why) {}
+        })));
+    }
+
+    private void peerLost(int peer) {
+        if (up && peer != number) {
+            runWhenAwake(() -> offer(new Input.PeerUp(peer, null)));
+        }
+    }
+
+    void cutPeers(boolean on) {
+        for (CoordinatorModel peer : fleet.coordinators) {
+            if (peer != this) {
+                peerCut[peer.number] = on;
+                if (on) {
+                    peerLost(peer.number);
+                    peer.peerLost(number);
+                } else {
+                    connectPeer(peer);
+                    peer.connectPeer(this);
+                }
+            }
+        }
+    }
+
+    void cutRegistry(boolean on) {
+        registryCut = on;
+        if (on) {
+            fleet.registry.disconnect(this);
+        }
+    }
+}
--- a/src/main/java/puffinbarrow/emulator/Experiment.java
+++ b/src/main/java/puffinbarrow/emulator/Experiment.java
@@ -20,15 +20,20 @@
 import puffinbarrow.config.Words;
 
 /**
- * What an experiment varies: a base day, lines drawn anew for each seed, factors with levels, policies and seeds. A run is
- * a day's text and a policy; later lines of a text win over earlier ones of their keyword. docs/emulator.md lists the lines.
+ * Describes an experiment: a base day, lines drawn anew for each seed, factors with levels, policies and seeds. A run
+ * is the text of a day and a policy; in a text, a later line overrides earlier ones of its keyword. docs/emulator.md
+ * lists the lines of the file.
  */
 public final class Experiment {
-    /** A line that stands in a day's text, or with a probability does; {@code name} groups its runs in reports. */
+    /**
+     * A line of the day with ranges to draw from, included with probability {@code share}; {@code name} groups its
+     * runs in reports. The text of this record is part of {@link #identity}: its name and components must not change.
+     */
     public record Drawn(double share, String name, String template) {}
 
-    /** One day with one policy. */
+    /** One day under one policy, with a level of each factor. */
     public record Run(List<String> levels, String policy, long seed) {
+        /** Returns a key of the run that is unique in the experiment. */
         String key() {
             return String.join("/", levels) + "|" + policy + "|" + seed;
         }
@@ -36,87 +41,105 @@
 
     private static final List<String> KEYWORDS =
             List.of("name", "day", "line", "level", "draw", "maybe", "policy", "seeds", "most-events");
+    /**
+     * A range such as {@code {2..8}} in a line; the value is written as a whole number unless an end has a decimal
+     * point.
+     */
     private static final Pattern RANGE = Pattern.compile("\\{(-?[0-9.]+?)\\.\\.(-?[0-9.]+?)}");
 
     public String name = "experiment";
+    /** Factors by name, each with its levels, each of those with its lines. */
     public final Map<String, Map<String, List<String>>> factors = new LinkedHashMap<>();
-    public final List<Drawn> drawn = new ArrayList<>();
+    /** Lines drawn anew for each seed. */
+    public final List<Drawn> drawnLines = new ArrayList<>();
+
     public final List<String> policies = new ArrayList<>();
-    public long firstSeed = 1, lastSeed = 10;
-    public long mostEvents = 500_000_000L;
-    private final List<String> lines = new ArrayList<>();
-    private String base = "";
+    /** Seeds of the runs: from the first to the last, both included. */
+    public long firstSeed = 1;
+
+    public long lastSeed = 10;
+    /** Number of simulation events after which a run fails. */
+    public long maxEvents = 500_000_000L;
+    /** Lines added to every day. */
+    private final List<String> fixedLines = new ArrayList<>();
+    /** Text of the day that all runs start from. */
+    private String baseDay = "";
 
     private Experiment() {}
 
-    /** @param builtIn the text of a day that comes with the program, or null */
+    /**
+     * Reads an experiment file.
+     *
+     * @param builtIn returns the text of a day that comes with the program, or null
+     */
     public static Experiment read(Path file, Function<String, String> builtIn, List<Problem> problems) {
-        return of(Lines.read(file, problems), file, builtIn, problems);
+        return build(Lines.read(file, problems), file, builtIn, problems);
     }
 
+    /** Reads an experiment from a text; the name stands for the file in problems. */
     public static Experiment parse(String name, String text, Function<String, String> builtIn, List<Problem> problems) {
-        return of(Lines.parse(name, text, problems), Path.of(name), builtIn, problems);
+        return build(Lines.parse(name, text, problems), Path.of(name), builtIn, problems);
     }
 
-    private static Experiment of(
+    private static Experiment build(
             List<Statement> statements, Path file, Function<String, String> builtIn, List<Problem> problems) {
         Experiment experiment = new Experiment();
         for (Statement statement : statements) {
-            Words w = new Words(statement, problems);
-            experiment.take(statement, w, file, builtIn);
-            w.end();
+            Words words = new Words(statement, problems);
+            experiment.readStatement(statement, words, file, builtIn);
+            words.end();
         }
         if (experiment.policies.isEmpty()) {
             experiment.policies.add("ours");
         }
         if (problems.isEmpty()) {
-            experiment.check(file.toString(), problems);
+            experiment.checkDays(file.toString(), problems);
         }
         return experiment;
     }
 
-    private void take(Statement statement, Words w, Path file, Function<String, String> builtIn) {
+    private void readStatement(Statement statement, Words words, Path file, Function<String, String> builtIn) {
         switch (statement.keyword()) {
-            case "name" -> name = w.text("the experiment's name");
+            case "name" -> name = words.text("the experiment's name");
             case "day" -> {
-                String day = w.text("a day's file, or default or monday");
-                Path beside = file.toAbsolutePath().resolveSibling(day);
+                String day = words.text("a day's file, or default or monday");
+                Path besideFile = file.toAbsolutePath().resolveSibling(day);
                 try {
-                    String own = Files.exists(beside)
-                            ? Files.readString(beside, StandardCharsets.UTF_8)
+                    String dayText = Files.exists(besideFile)
+                            ? Files.readString(besideFile, StandardCharsets.UTF_8)
                             : builtIn.apply(day);
-                    if (own == null) {
-                        w.wrong("'" + day + "'", "a day's file beside this one, or default or monday");
+                    if (dayText == null) {
+                        words.wrong("'" + day + "'", "a day's file beside this one, or default or monday");
                     } else {
-                        base = own;
+                        baseDay = dayText;
                     }
                 } catch (IOException unreadable) {
-                    w.wrong("'" + day + "', which cannot be read", "a day's file");
+                    words.wrong("'" + day + "', which cannot be read", "a day's file");
                 }
             }
-            case "line" -> lines.add(rest(w));
+            case "line" -> fixedLines.add(restOfLine(words));
             case "level" -> {
-                String factor = w.text("the factor's name");
-                String level = w.text("the level's name");
-                List<String> own = new ArrayList<>();
-                while (w.more()) {
-                    own.add(w.text("a day's line in quotes"));
+                String factor = words.text("the factor's name");
+                String level = words.text("the level's name");
+                List<String> levelLines = new ArrayList<>();
+                while (words.more()) {
+                    levelLines.add(words.text("a day's line in quotes"));
                 }
-                if (factors.computeIfAbsent(factor, f -> new LinkedHashMap<>()).put(level, own) != null) {
-                    w.wrong("level " + level + " of " + factor + " again", "each level once");
+                if (factors.computeIfAbsent(factor, f -> new LinkedHashMap<>()).put(level, levelLines) != null) {
+                    words.wrong("level " + level + " of " + factor + " again", "each level once");
                 }
             }
-            case "draw" -> drawn.add(new Drawn(1, "", rest(w)));
+            case "draw" -> drawnLines.add(new Drawn(1, "", restOfLine(words)));
             case "maybe" -> {
-                double share = w.share("how often it stands");
-                String called = w.text("its name in reports");
-                drawn.add(new Drawn(share, called, rest(w)));
+                double share = words.share("how often it stands");
+                String reportName = words.text("its name in reports");
+                drawnLines.add(new Drawn(share, reportName, restOfLine(words)));
             }
             case "policy" -> {
                 do {
-                    String policy = w.text("a policy");
-                    if (w.sound() && Policy.named(policy) == null) {
-                        w.wrong(
+                    String policy = words.text("a policy");
+                    if (words.sound() && Policy.named(policy) == null) {
+                        words.wrong(
                                 "'" + policy + "'",
                                 "one of "
                                         + String.join(
@@ -126,37 +149,39 @@
                                                         .toList()));
                     }
                     policies.add(policy);
-                } while (w.more());
+                } while (words.more());
             }
             case "seeds" -> {
-                firstSeed = w.whole("the first seed", 0, Long.MAX_VALUE / 2);
-                w.expect("to");
-                lastSeed = w.whole("the last seed", firstSeed, firstSeed + 1_000_000);
+                firstSeed = words.whole("the first seed", 0, Long.MAX_VALUE / 2);
+                words.expect("to");
+                lastSeed = words.whole("the last seed", firstSeed, firstSeed + 1_000_000);
             }
-            case "most-events" -> mostEvents = w.whole("events after which a run has failed", 1, Long.MAX_VALUE);
-            default -> w.unknown(KEYWORDS);
+            case "most-events" -> maxEvents = words.whole("events after which a run has failed", 1, Long.MAX_VALUE);
+            default -> words.unknown(KEYWORDS);
         }
     }
 
-    private static String rest(Words w) {
+    /** Returns the remaining words as one line. */
+    private static String restOfLine(Words words) {
         StringBuilder line = new StringBuilder();
         do {
-            line.append(line.length() > 0 ? " " : "").append(w.text("a day's line"));
-        } while (w.more());
+            line.append(line.length() > 0 ? " " : "").append(words.text("a day's line"));
+        } while (words.more());
         return line.toString();
     }
 
-    /** Each combination of levels must be a sound day, at both ends of every range. */
-    private void check(String file, List<Problem> problems) {
-        for (List<String> levels : combinations()) {
+    /** Checks that each combination of levels gives a valid day, at both ends of every range. */
+    private void checkDays(String file, List<Problem> problems) {
+        for (List<String> levels : levelCombinations()) {
             for (int end = 0; end < 2; end++) {
-                int at = end;
-                List<String> own = new ArrayList<>();
-                drawn.forEach(d -> own.add(fill(d.template, (low, high) -> at == 0 ? low : high)));
+                int chosenEnd = end;
+                List<String> dayLines = new ArrayList<>();
+                drawnLines.forEach(
+                        d -> dayLines.add(fillRanges(d.template, (low, high) -> chosenEnd == 0 ? low : high)));
                 List<Problem> found = new ArrayList<>();
                 Setup.parse(
                         file + " as a day" + (levels.isEmpty() ? "" : " at " + levels),
-                        text(own, levels, firstSeed),
+                        dayText(dayLines, levels, firstSeed),
                         found);
                 for (Problem problem : found) {
                     if (problems.stream().noneMatch(p -> p.text().equals(problem.text()))) {
@@ -167,72 +192,82 @@
         }
     }
 
-    private interface Choose {
+    /** Chooses a value from a range. */
+    private interface ValueChooser {
         double between(double low, double high);
     }
 
-    private static String fill(String template, Choose choose) {
+    /** Replaces each range of a template by a chosen value. */
+    private static String fillRanges(String template, ValueChooser chooser) {
         Matcher range = RANGE.matcher(template);
         StringBuilder out = new StringBuilder();
         while (range.find()) {
             double low = Double.parseDouble(range.group(1));
             double high = Double.parseDouble(range.group(2));
             boolean whole = !range.group(1).contains(".") && !range.group(2).contains(".");
-            double value = choose.between(low, high);
+            double value = chooser.between(low, high);
             range.appendReplacement(
                     out, whole ? Long.toString((long) Math.floor(value)) : String.format(Locale.ROOT, "%.3f", value));
         }
         return range.appendTail(out).toString();
     }
 
-    static UniformRandomProvider chance(long seed) {
+    /** Returns the random generator of a seed. */
+    static UniformRandomProvider random(long seed) {
         return RandomSource.XO_RO_SHI_RO_128_PP.create(seed * 7_368_787 + 11);
     }
 
-    /** One line as drawn. */
-    static String draw(Drawn of, UniformRandomProvider chance) {
-        return fill(of.template, (low, high) -> {
-            // Whole numbers up to the high end, itself included.
+    /** Returns a line with a value drawn for each of its ranges. */
+    static String drawLine(Drawn drawn, UniformRandomProvider random) {
+        return fillRanges(drawn.template, (low, high) -> {
+            // If both ends are whole, only whole numbers are drawn, the upper end included.
             boolean whole = low == Math.rint(low) && high == Math.rint(high);
             return whole
-                    ? low + chance.nextLong(Math.max(1, (long) (high - low) + 1))
-                    : low + (high - low) * chance.nextDouble();
+                    ? low + random.nextLong(Math.max(1, (long) (high - low) + 1))
+                    : low + (high - low) * random.nextDouble();
         });
     }
 
-    /** The drawn lines of a seed: the same for all levels and policies, so that runs can be compared in pairs. */
+    /**
+     * Returns the drawn lines of a seed: the same for all levels and policies, so that runs can be compared in pairs.
+     */
     List<String> draws(long seed) {
-        return standing(seed).stream().map(Standing::line).toList();
+        return includedLines(seed).stream().map(IncludedLine::line).toList();
     }
 
-    private record Standing(Drawn of, String line) {}
+    /** A drawn line that is included in the day of a seed. */
+    private record IncludedLine(Drawn drawn, String line) {}
 
-    private List<Standing> standing(long seed) {
-        List<Standing> own = new ArrayList<>();
-        UniformRandomProvider chance = chance(seed);
-        for (Drawn each : drawn) {
-            boolean stands = chance.nextDouble() < each.share;
-            String line = draw(each, chance);
-            if (stands) {
-                own.add(new Standing(each, line));
+    /**
+     * Draws the lines of a seed. A value is drawn for excluded lines too, so that draws of later lines do not depend
+     * on earlier ones.
+     */
+    private List<IncludedLine> includedLines(long seed) {
+        List<IncludedLine> lines = new ArrayList<>();
+        UniformRandomProvider random = random(seed);
+        for (Drawn each : drawnLines) {
+            boolean included = random.nextDouble() < each.share;
+            String line = drawLine(each, random);
+            if (included) {
+                lines.add(new IncludedLine(each, line));
             }
         }
-        return own;
+        return lines;
     }
 
-    /** Which of the named lines stand at a seed. */
-    public List<String> troubles(long seed) {
-        return standing(seed).stream()
-                .map(s -> s.of.name)
+    /** Returns the names of the named lines that are included for a seed. */
+    public List<String> troubleNames(long seed) {
+        return includedLines(seed).stream()
+                .map(s -> s.drawn.name)
                 .filter(n -> !n.isEmpty())
                 .distinct()
                 .toList();
     }
 
-    /** A day's text. */
-    String text(List<String> draws, List<String> levels, long seed) {
-        StringBuilder text = new StringBuilder(base).append('\n');
-        lines.forEach(l -> text.append(l).append('\n'));
+    /** Returns the text of a day. */
+    String dayText(List<String> draws, List<String> levels, long seed) {
+        StringBuilder text = new StringBuilder(baseDay).append('\n');
+        fixedLines.forEach(l -> text.append(l).append('\n'));
         draws.forEach(l -> text.append(l).append('\n'));
         int i = 0;
         for (Map<String, List<String>> factor : factors.values()) {
@@ -243,18 +278,19 @@
         return text.append("seed ").append(seed).append('\n').toString();
     }
 
-    String text(Run run) {
-        return text(draws(run.seed), run.levels, run.seed);
+    String dayText(Run run) {
+        return dayText(draws(run.seed), run.levels, run.seed);
     }
 
-    List<List<String>> combinations() {
+    /** Returns all combinations of one level per factor. */
+    List<List<String>> levelCombinations() {
         List<List<String>> all = new ArrayList<>();
         all.add(List.of());
         for (Map<String, List<String>> factor : factors.values()) {
             List<List<String>> longer = new ArrayList<>();
-            for (List<String> so : all) {
+            for (List<String> shorter : all) {
                 for (String level : factor.keySet()) {
-                    List<String> more = new ArrayList<>(so);
+                    List<String> more = new ArrayList<>(shorter);
                     more.add(level);
                     longer.add(more);
                 }
@@ -264,10 +300,10 @@
         return all;
     }
 
-    /** All runs in the order of the results. */
+    /** Returns all runs in the order of the results. */
     public List<Run> runs() {
         List<Run> runs = new ArrayList<>();
-        for (List<String> levels : combinations()) {
+        for (List<String> levels : levelCombinations()) {
             for (String policy : policies) {
                 for (long seed = firstSeed; seed <= lastSeed; seed++) {
                     runs.add(new Run(levels, policy, seed));
@@ -277,17 +313,17 @@
         return runs;
     }
 
-    /** What tells this experiment from another: everything that its results follow from. */
+    /** Returns a text of everything that the results follow from; its hash tells experiments apart. */
     public String identity() {
         return String.join(
                 "\n",
                 List.of(
-                        base,
-                        lines.toString(),
-                        drawn.toString(),
+                        baseDay,
+                        fixedLines.toString(),
+                        drawnLines.toString(),
                         factors.toString(),
                         policies.toString(),
                         firstSeed + " to " + lastSeed,
-                        Long.toString(mostEvents)));
+                        Long.toString(maxEvents)));
     }
 }
--- a/src/main/java/puffinbarrow/emulator/Fleet.java
+++ b/src/main/java/puffinbarrow/emulator/Fleet.java
@@ -22,78 +22,92 @@
 import puffinbarrow.proto.Frame;
 import puffinbarrow.proto.FrameReader;
 
-/** A whole day in simulated time: clients, proxies, servers, coordinators, store and registry, and the audit. */
+/**
+ * Runs a whole day in simulated time: clients, proxies, servers, coordinators, store and registry, with the audit
+ * over all of them. The command line and {@link Runs} make one fleet per run; a fleet uses only the thread that calls
+ * {@link #run}.
+ */
 public final class Fleet implements Stage {
     private static final long SECOND = 1_000_000_000L;
-    /** In simulated time; a fleet that is not up by then never will be. */
+    /** Simulated time; a fleet that is not up by then never will be. */
     private static final long UP_WITHIN_NS = 120 * SECOND;
 
-    private static final long LOOK_NS = 20_000_000L;
-    /** Times that each proxy may be cut off by a full channel. */
-    private static final int MOST_CUT_OFF = 20;
-    /** So that what was on its way when the fleet came up has come; as on sockets. */
-    private static final long SETTLED_NS = 300_000_000L;
+    /** Interval of the checks whether the fleet is up, in simulated time. */
+    private static final long UP_POLL_NS = 20_000_000L;
+    /** Average number of cut-offs per proxy, by a full channel, above which the run has failed. */
+    private static final int MAX_CUT_OFFS_PER_PROXY = 20;
+    /**
+     * Lets messages that were in transit when the fleet came up arrive before traffic starts; the same as on sockets.
+     */
+    private static final long SETTLE_NS = 300_000_000L;
 
     final Script script;
-    final Model model;
+    final ModelParameters model;
     final Plan plan;
-    final CoordinatorConfig judged;
-    final World world;
+    final CoordinatorConfig config;
+    final Simulation simulation;
     final StoreModel store;
     final RegistryModel registry;
     final List<Proxy> proxies = new ArrayList<>();
-    final List<Host> hosts = new ArrayList<>();
+    final List<CoordinatorModel> coordinators = new ArrayList<>();
     private final Map<String, Server> servers = new LinkedHashMap<>();
     private final Strikes strikes;
     private final Audit audit;
     private final List<String> log = new ArrayList<>();
-    private final FrameReader reader = new FrameReader(1 << 28, this::decoded);
-    private byte[] lastBytes;
+    private final FrameReader reader = new FrameReader(1 << 28, this::keepDecoded);
+    private byte[] lastDecodedBytes;
     private Frame lastFrame;
     private Scenario scenario;
     private Clients clients;
-    private long beganAt;
-    private String flooding;
-
-    /** @param policy what the coordinators decide with */
-    public Fleet(Setup setup, Policy policy, Agenda agenda, long mostEvents) {
+    private long beganAtNs;
+    private String floodFailure;
+
+    /**
+     * Builds the fleet; nothing happens before {@link #run}.
+     *
+     * @param policy decides for all coordinators
+     * @param agenda holds the events to come; must be empty
+     * @param maxEvents number of events after which the run fails
+     */
+    public Fleet(Setup setup, Policy policy, Agenda agenda, long maxEvents) {
         this.script = setup.script();
         this.model = setup.model();
         this.plan = new Plan(script);
-        this.judged = plan.config(0, List.of());
-        this.world = new World(agenda, script.seed, mostEvents);
+        this.config = plan.config(0, List.of());
+        this.simulation = new Simulation(agenda, script.seed, maxEvents);
         this.strikes = new Strikes(this, plan.chance());
-        this.audit = new Audit(plan.stretched(), World.EPOCH_NS);
+        this.audit = new Audit(plan.stretched(), Simulation.EPOCH_NS);
         this.store = new StoreModel(this);
         this.registry = new RegistryModel(this);
         for (int i = 0; i < script.backends; i++) {
-            make();
+            addServer();
         }
         for (int i = 0; i < script.coordinators; i++) {
-            hosts.add(new Host(this, i, policy.factory(new Truth(this))));
+            coordinators.add(new CoordinatorModel(this, i, policy.factory(new TrueState(this))));
         }
-        // Every so-manieth, so that all zones and parts are among them.
-        int every = Math.max(1, script.proxies / Math.max(1, model.audited));
+        // Audited proxies are evenly spaced, so that all zones and traffic shares are among them.
+        int stride = Math.max(1, script.proxies / Math.max(1, model.auditedProxies));
         for (int i = 0; i < script.proxies; i++) {
-            proxies.add(new Proxy(this, i, model.audited > 0 && i % every == 0));
+            proxies.add(new Proxy(this, i, model.auditedProxies > 0 && i % stride == 0));
         }
     }
 
-    private Server make() {
+    /** Adds a server, not listed yet and at its full speed. */
+    private Server addServer() {
         int number = servers.size();
         Server server = new Server(
                 this,
                 number,
-                new Server.Shape(
+                new Server.Spec(
                         number % script.zones,
-                        number / model.cell,
+                        number / model.cellSize,
                         script.cores,
                         plan.speed(),
                         script.coldFrom,
                         script.coldNs,
-                        Plan.dedupNs(judged),
-                        judged.fallMultiple,
-                        judged.fallNs));
+                        Plan.dedupNs(config),
+                        config.fallMultiple,
+                        config.fallNs));
         servers.put(server.id(), server);
         return server;
     }
@@ -110,105 +124,112 @@
         return clients;
     }
 
-    void seen(Seen seen) {
+    /** Hands an observation to the audit. */
+    void observe(Seen seen) {
         audit.take(seen);
     }
 
-    /** The frame in these bytes. One buffer goes to many proxies: it is read once. */
+    /** Returns the frame in these bytes. One buffer is sent to many proxies, so the last result is cached. */
     Frame decode(ByteBuffer bytes) {
-        if (bytes.array() != lastBytes) {
-            lastBytes = bytes.array();
+        if (bytes.array() != lastDecodedBytes) {
+            lastDecodedBytes = bytes.array();
             reader.feed(bytes.duplicate());
         }
         return lastFrame;
     }
 
-    private void decoded(Frame frame) {
+    private void keepDecoded(Frame frame) {
         lastFrame = frame;
     }
 
+    /** Ends the run after the current event. */
     void stop() {
-        world.stop();
+        simulation.stop();
     }
 
-    // ---- A day.
+    // ---- Running the day.
 
-    /** Plays the day to its end. */
+    /** Runs the day to its end. A run that fails is reported in {@link Outcome#failed}, not thrown. */
     public Outcome run() {
         String failed = null;
         try {
-            begin();
-            world.run(beganAt + script.lengthNs + Plan.longestExpiry(judged) + SECOND);
-        } catch (World.Flooded flooded) {
-            failed = flooded.getMessage();
-        } catch (IllegalStateException never) {
-            failed = never.getMessage();
+            bringUp();
+            simulation.run(beganAtNs + script.lengthNs + Plan.longestExpiry(config) + SECOND);
+        } catch (Simulation.EventLimitException tooManyEvents) {
+            failed = tooManyEvents.getMessage();
+        } catch (IllegalStateException startFailure) {
+            failed = startFailure.getMessage();
         }
-        for (Host host : hosts) {
-            failed = failed == null ? host.failure() : failed;
+        for (CoordinatorModel coordinator : coordinators) {
+            failed = failed == null ? coordinator.failure() : failed;
         }
-        failed = failed == null ? flooding : failed;
+        failed = failed == null ? floodFailure : failed;
         return outcome(failed);
     }
 
-    private void begin() {
+    /** Starts all parts, waits until the fleet is up, and starts clients and script. */
+    private void bringUp() {
         List<Event.Entry> list = servers.values().stream()
                 .map(s -> Plan.entry(s, Event.Listed.READY))
                 .toList();
-        registry.set(list);
+        registry.update(list);
         List<Server> all = new ArrayList<>(servers.values());
         for (int i = 0; i < script.slices; i++) {
-            store.begin(i, all.get(i % all.size()));
+            store.init(i, all.get(i % all.size()));
         }
-        hosts.forEach(Host::start);
-        List<Double> parts = new ArrayList<>();
+        coordinators.forEach(CoordinatorModel::start);
+        List<Double> trafficShares = new ArrayList<>();
         List<InetSocketAddress> targets = new ArrayList<>();
         for (Proxy proxy : proxies) {
-            proxy.start(hosts);
-            parts.add(plan.part());
-            // Stands for the proxy of that number; nothing is sent to it.
+            proxy.start(coordinators);
+            trafficShares.add(plan.part());
+            // Placeholder address that encodes the proxy number; nothing is sent to it.
             targets.add(new InetSocketAddress("127.0.0.1", 1 + proxy.number % 65_535));
         }
-        watch();
-        while (!up()) {
-            if (world.now() - World.EPOCH_NS > UP_WITHIN_NS) {
+        checkFlooding();
+        while (!isUp()) {
+            if (simulation.now() - Simulation.EPOCH_NS > UP_WITHIN_NS) {
                 throw new IllegalStateException("the fleet did not come up within " + UP_WITHIN_NS / SECOND + " s");
             }
-            for (Host host : hosts) {
-                if (host.failure() != null) {
-                    throw new IllegalStateException(host.failure());
+            for (CoordinatorModel coordinator : coordinators) {
+                if (coordinator.failure() != null) {
+                    throw new IllegalStateException(coordinator.failure());
                 }
             }
-            if (flooding != null) {
-                throw new IllegalStateException(flooding);
+            if (floodFailure != null) {
+                throw new IllegalStateException(floodFailure);
             }
-            world.run(world.now() + LOOK_NS);
+            simulation.run(simulation.now() + UP_POLL_NS);
         }
-        world.run(world.now() + SETTLED_NS);
-        scenario = plan.traffic(judged, targets, parts);
+        simulation.run(simulation.now() + SETTLE_NS);
+        scenario = plan.traffic(config, targets, trafficShares);
         clients = new Clients(this, scenario);
-        beganAt = world.now();
-        audit.countFrom(beganAt);
+        beganAtNs = simulation.now();
+        audit.countFrom(beganAtNs);
         clients.start();
         for (Script.Trouble trouble : script.troubles) {
-            world.after(trouble.atNs(), () -> strikes.strike(trouble));
+            simulation.after(trouble.atNs(), () -> strikes.strike(trouble));
         }
     }
 
-    /** Orders that the channel cannot take cut proxies off, which join anew: a policy that goes on so is none. */
-    private void watch() {
-        long cutOff = 0;
-        for (Host host : hosts) {
-            cutOff += host.cutOff + (long) host.figure("channel.cut_off");
+    /**
+     * Fails the run if the policy floods its channel: proxies whose channel overflows are cut off and join again, so
+     * a policy that keeps doing so would never settle.
+     */
+    private void checkFlooding() {
+        long cutOffs = 0;
+        for (CoordinatorModel coordinator : coordinators) {
+            cutOffs += coordinator.cutOffs + (long) coordinator.metric("channel.cut_off");
         }
-        if (cutOff > MOST_CUT_OFF * (long) proxies.size()) {
-            flooding = "the policy floods its channel: proxies were cut off " + cutOff + " times";
+        if (cutOffs > MAX_CUT_OFFS_PER_PROXY * (long) proxies.size()) {
+            floodFailure = "the policy floods its channel: proxies were cut off " + cutOffs + " times";
             stop();
         }
-        world.after(SECOND, this::watch);
+        simulation.after(SECOND, this::checkFlooding);
     }
 
-    private boolean up() {
+    /** Returns whether every slice has an owner and every proxy is ready. */
+    private boolean isUp() {
         for (int slice = 0; slice < script.slices; slice++) {
             if (store.owner(slice) < 0) {
                 return false;
@@ -220,47 +241,49 @@
     private Outcome outcome(String failed) {
         Outcome outcome = new Outcome();
         outcome.failed = failed;
-        outcome.events = world.events();
-        outcome.beganAtNs = beganAt - World.EPOCH_NS;
+        outcome.events = simulation.events();
+        outcome.beganAtNs = beganAtNs - Simulation.EPOCH_NS;
         outcome.log = List.copyOf(log);
-        Audit.Verdict verdict = audit.verdict(world.now());
+        Audit.Verdict verdict = audit.verdict(simulation.now());
         outcome.verdict = verdict;
         TreeSet<String> broken = new TreeSet<>();
         verdict.findings().forEach(f -> broken.add(f.rule().name().toLowerCase(Locale.ROOT)));
         outcome.broken = String.join("+", broken);
-        for (Host host : hosts) {
-            outcome.decisionNs += host.decisionNs;
-            outcome.decisionEvents += host.decisionEvents;
-            outcome.turns += host.turns;
-            outcome.recalled += host.recalled;
-            outcome.cutOff += host.cutOff + (long) host.figure("channel.cut_off");
-            outcome.linesSent += host.figure("channel.lines.sent");
+        for (CoordinatorModel coordinator : coordinators) {
+            outcome.decisionNs += coordinator.decisionNs;
+            outcome.decisionEvents += coordinator.decisionEvents;
+            outcome.decisionTurns += coordinator.turns;
+            outcome.recalledFacts += coordinator.recalledFacts;
+            outcome.cutOffs += coordinator.cutOffs + (long) coordinator.metric("channel.cut_off");
+            outcome.linesSent += coordinator.metric("channel.lines.sent");
         }
         outcome.moves = store.moves;
-        outcome.handed = store.handed;
-        outcome.refusedWrites = store.refused;
+        outcome.ownerChanges = store.ownerChanges;
+        outcome.refusedWrites = store.refusedWrites;
         proxies.forEach(p -> {
-            outcome.retried += p.retried;
-            outcome.staleSeen += p.staleSeen;
+            outcome.proxyRetries += p.retries;
+            outcome.staleOrders += p.staleOrders;
         });
-        outcome.fell =
-                servers.values().stream().filter(Server::fell).map(Server::id).toList();
+        outcome.fellOver = servers.values().stream()
+                .filter(Server::fellOver)
+                .map(Server::id)
+                .toList();
         if (clients != null) {
-            outcome.take(clients, scenario);
+            outcome.recordTraffic(clients, scenario);
         }
         return outcome;
     }
 
-    // ---- Where the script strikes.
+    // ---- Faults and releases of the script (Stage).
 
     @Override
     public void after(long ns, Runnable work) {
-        world.after(ns, work);
+        simulation.after(ns, work);
     }
 
     @Override
     public void note(String text) {
-        log.add(String.format(Locale.ROOT, "%6.2f s  %s", (world.now() - beganAt) / 1e9, text));
+        log.add(String.format(Locale.ROOT, "%6.2f s  %s", (simulation.now() - beganAtNs) / 1e9, text));
     }
 
     @Override
@@ -270,14 +293,14 @@
 
     @Override
     public Machine fresh() {
-        Server server = make();
+        Server server = addServer();
         server.beginCold();
         return server;
     }
 
     @Override
-    public void list(List<? extends Machine> some, Event.Listed as) {
-        registry.set(some.stream().map(m -> Plan.entry(m, as)).toList());
+    public void list(List<? extends Machine> machines, Event.Listed as) {
+        registry.update(machines.stream().map(m -> Plan.entry(m, as)).toList());
     }
 
     @Override
@@ -287,44 +310,45 @@
 
     @Override
     public void kill(int coordinator) {
-        hosts.get(coordinator).kill();
+        coordinators.get(coordinator).kill();
     }
 
     @Override
     public void restart(int coordinator) {
-        hosts.get(coordinator).start();
+        coordinators.get(coordinator).start();
     }
 
     @Override
     public void pace(int coordinator, double part) {
-        hosts.get(coordinator).pace(part);
+        coordinators.get(coordinator).pace(part);
     }
 
     @Override
     public void freeze(int coordinator, boolean on) {
-        hosts.get(coordinator).freeze(on);
+        coordinators.get(coordinator).freeze(on);
     }
 
     @Override
     public void leave(int coordinator) {
-        hosts.get(coordinator).leave();
+        coordinators.get(coordinator).leave();
     }
 
     @Override
     public void cut(int number, String from, boolean on) {
-        Host host = hosts.get(number);
+        CoordinatorModel coordinator = coordinators.get(number);
         switch (from) {
-            case "store" -> store.cut(host, on);
-            case "registry" -> host.cutRegistry(on);
-            case "peers" -> host.cutPeers(on);
-            default -> proxies.forEach(p -> p.voice(number).cut(on));
+            case "store" -> store.cut(coordinator, on);
+            case "registry" -> coordinator.cutRegistry(on);
+            case "peers" -> coordinator.cutPeers(on);
+            default -> proxies.forEach(p -> p.coordinatorStream(number).cut(on));
         }
     }
 
     @Override
-    public void unheard(int some, boolean on) {
-        proxies.subList(0, some)
-                .forEach(p -> hosts.forEach(h -> p.voice(h.number).cut(on)));
+    public void unheard(int count, boolean on) {
+        proxies.subList(0, count)
+                .forEach(p ->
+                        coordinators.forEach(c -> p.coordinatorStream(c.number).cut(on)));
     }
 
     @Override
@@ -334,16 +358,16 @@
 
     @Override
     public void storeAway(boolean on) {
-        store.away(on);
+        store.setUnavailable(on);
     }
 
     @Override
     public void storeSlow(long ns) {
-        store.slow(ns);
+        store.setExtraDelay(ns);
     }
 
     @Override
     public void storeLoses(double share) {
-        store.loses(share);
+        store.setLostAnswerShare(share);
     }
 }
--- a/src/main/java/puffinbarrow/emulator/Heap.java
+++ b/src/main/java/puffinbarrow/emulator/Heap.java
@@ -3,75 +3,83 @@
 import java.util.Arrays;
 
 /**
- * A heap of four children a node on plain arrays: half as deep as a binary one, and the four children lie in one or two
- * cache lines. docs/design-emulator.md has it weighed against a calendar queue and the library's binary heap.
+ * An event queue as a 4-ary heap on plain arrays: half as deep as a binary heap, and the four children of a node lie
+ * in one or two cache lines. docs/design-emulator.md compares it with a calendar queue and the binary heap of the
+ * library.
  */
 public final class Heap implements Agenda {
-    private long[] at = new long[1024];
-    private long[] number = new long[1024];
-    private Runnable[] what = new Runnable[1024];
+    /**
+     * Times, sequence numbers and actions of the events, in the order of the heap; the sequence number orders events
+     * of the same time.
+     */
+    private long[] times = new long[1024];
+
+    private long[] sequences = new long[1024];
+    private Runnable[] actions = new Runnable[1024];
     private int size;
-    private long added;
+    private long nextSequence;
 
     @Override
-    public void add(long atNs, Runnable work) {
-        if (size == at.length) {
-            at = Arrays.copyOf(at, 2 * size);
-            number = Arrays.copyOf(number, 2 * size);
-            what = Arrays.copyOf(what, 2 * size);
+    public void add(long atNs, Runnable action) {
+        if (size == times.length) {
+            times = Arrays.copyOf(times, 2 * size);
+            sequences = Arrays.copyOf(sequences, 2 * size);
+            actions = Arrays.copyOf(actions, 2 * size);
         }
         int hole = size++;
         while (hole > 0) {
             int parent = (hole - 1) >> 2;
-            // Added later, so it never goes before one of the same time.
-            if (at[parent] <= atNs) {
+            // The new event was added last, so it never goes before one of the same time.
+            if (times[parent] <= atNs) {
                 break;
             }
             move(parent, hole);
             hole = parent;
         }
-        at[hole] = atNs;
-        number[hole] = added++;
-        what[hole] = work;
+        times[hole] = atNs;
+        sequences[hole] = nextSequence++;
+        actions[hole] = action;
     }
 
+    /** Copies an event from one position to another. */
     private void move(int from, int to) {
-        at[to] = at[from];
-        number[to] = number[from];
-        what[to] = what[from];
+        times[to] = times[from];
+        sequences[to] = sequences[from];
+        actions[to] = actions[from];
     }
 
     @Override
     public long nextNs() {
-        return size == 0 ? Long.MAX_VALUE : at[0];
+        return size == 0 ? Long.MAX_VALUE : times[0];
     }
 
     @Override
     public Runnable take() {
-        Runnable first = what[0];
+        Runnable first = actions[0];
         int last = --size;
-        long lastAt = at[last];
-        long lastNumber = number[last];
-        Runnable lastWhat = what[last];
-        what[last] = null;
+        long lastAtNs = times[last];
+        long lastSequence = sequences[last];
+        Runnable lastAction = actions[last];
+        actions[last] = null;
         if (last > 0) {
             int hole = 0;
             for (int child = 1; child < last; child = 4 * hole + 1) {
-                int least = child;
+                int smallest = child;
                 for (int other = child + 1; other < Math.min(child + 4, last); other++) {
-                    if (at[other] < at[least] || at[other] == at[least] && number[other] < number[least]) {
-                        least = other;
+                    if (times[other] < times[smallest]
+                            || times[other] == times[smallest] && sequences[other] < sequences[smallest]) {
+                        smallest = other;
                     }
                 }
-                if (lastAt < at[least] || lastAt == at[least] && lastNumber < number[least]) {
+                if (lastAtNs < times[smallest] || lastAtNs == times[smallest] && lastSequence < sequences[smallest]) {
                     break;
                 }
-                move(least, hole);
-                hole = least;
+                move(smallest, hole);
+                hole = smallest;
             }
-            at[hole] = lastAt;
-            number[hole] = lastNumber;
-            what[hole] = lastWhat;
+            times[hole] = lastAtNs;
+            sequences[hole] = lastSequence;
+            actions[hole] = lastAction;
         }
         return first;
     }
--- /dev/null
+++ b/src/main/java/puffinbarrow/emulator/ModelParameters.java
@@ -0,0 +1,152 @@
+package puffinbarrow.emulator;
+
+import java.util.List;
+import java.util.Locale;
+import puffinbarrow.config.Words;
+
+/**
+ * Parameters of the models of servers, proxies and network that the script of the day does not set; read from its
+ * {@code model} lines, which docs/emulator.md lists.
+ */
+public final class ModelParameters {
+    /**
+     * How a proxy picks a server from a table: at random by weight, in turn, or the one with fewer own attempts in
+     * flight of two picked by weight.
+     */
+    enum Pick {
+        WEIGHTED,
+        ROTATE,
+        TWO_CHOICES
+    }
+
+    /** How a server works: each core on one flow, or all cores shared by all flows. */
+    enum Sharing {
+        SLOTS,
+        PROCESSOR
+    }
+
+    /**
+     * What a server does with a flow whose proxy no longer waits: works on it all the same, drops it unless begun, or
+     * stops work.
+     */
+    enum Overdue {
+        GOES_ON,
+        DROPPED,
+        STOPS
+    }
+
+    /**
+     * Network delay in one direction between any two machines; the default is what loopback sockets take from thread
+     * to thread.
+     */
+    long networkDelayNs = 100_000;
+
+    Pick pick = Pick.WEIGHTED;
+    Sharing sharing = Sharing.SLOTS;
+    Overdue overdue = Overdue.DROPPED;
+    /** Share of its capacity that a server loses when it is full, 0 to 0.95; proportionally less when partly full. */
+    double lossWhenFull;
+    /** Work of a connection handshake at the server, in nanoseconds of one core of speed 1. */
+    long handshakeNs;
+    /** Limit of connections to a server, per core. */
+    int connectionsPerCore = 60;
+
+    /** Time after which a proxy closes an idle connection. */
+    long idleConnectionNs = 30_000_000_000L;
+    /** Flows that may wait at a server, per core. */
+    int waitingPerCore = 8;
+    /** Keys that a server remembers, per core. */
+    int warmKeysPerCore = 60;
+    /** Share of the work that a remembered key saves, 0 to 1. */
+    double warmKeyGain = 0.3;
+    /** Interval at which a server refreshes its load report. */
+    long reportIntervalNs = 500_000_000L;
+    /** Largest relative error of the busy share in a report. */
+    double reportNoise = 0.05;
+    /** Time for which a proxy stands still for each line that it applies. */
+    long applyNsPerLine = 30_000;
+    /** Failures in a row after which a proxy avoids a server; 0: never. */
+    int failuresToAvoid = 8;
+    /** Time for which a proxy avoids a server. */
+    long avoidNs = 4_000_000_000L;
+    /** Time for which a proxy holds a flow without a server. */
+    long holdNs = 200_000_000L;
+    /** Time-out of an attempt that may be retried, in latency budgets of its group. */
+    double attemptBudgets = 1.2;
+    /** Backends per cell. */
+    int cellSize = 4;
+    /** Number of proxies whose tables are audited line by line; what proxies send is audited for all. */
+    int auditedProxies = 50;
+
+    /** Keywords of the {@code model} lines. */
+    static final List<String> KEYS = List.of(
+            "network",
+            "pick",
+            "work",
+            "overdue",
+            "loss-when-full",
+            "handshake",
+            "connections",
+            "waiting-room",
+            "warm-keys",
+            "reports",
+            "apply",
+            "avoid",
+            "hold",
+            "try",
+            "cell",
+            "audited");
+
+    /** Reads the words after {@code model}. */
+    void readLine(Words w) {
+        switch (w.oneOf(KEYS.toArray(String[]::new))) {
+            case "network" -> networkDelayNs = w.time("one way");
+            case "pick" -> pick = Pick.valueOf(constantName(w.oneOf("weighted", "rotate", "two-choices")));
+            case "work" -> sharing = Sharing.valueOf(constantName(w.oneOf("slots", "processor")));
+            case "overdue" -> overdue = Overdue.valueOf(constantName(w.oneOf("dropped", "goes-on", "stops")));
+            case "loss-when-full" -> {
+                lossWhenFull = w.share("the part of its capacity that a full server loses");
+                if (w.sound() && lossWhenFull > 0.95) {
+                    w.wrong("a server that does no work when full", "0.95 at most");
+                }
+            }
+            case "handshake" -> handshakeNs = w.time("a handshake's work at the server");
+            case "connections" -> {
+                connectionsPerCore = (int) w.whole("connections accepted for each core", 1, 1_000_000);
+                if (w.take("kept")) {
+                    idleConnectionNs = w.time("how long an idle one is kept");
+                }
+            }
+            case "waiting-room" -> waitingPerCore = (int) w.whole("flows that may wait for each core", 0, 1_000_000);
+            case "warm-keys" -> {
+                warmKeysPerCore = (int) w.whole("keys remembered for each core", 0, 1_000_000);
+                if (w.take("gain")) {
+                    warmKeyGain = w.share("the work that a warm key saves");
+                }
+            }
+            case "reports" -> {
+                w.expect("every");
+                reportIntervalNs = Math.max(1, w.time("how often they are refreshed"));
+                if (w.take("noise")) {
+                    reportNoise = w.share("how far off at most");
+                }
+            }
+            case "apply" -> applyNsPerLine = w.time("a proxy's standstill for each line");
+            case "avoid" -> {
+                failuresToAvoid = (int) w.whole("failures in a row before a proxy avoids (0: never)", 0, 1000);
+                if (w.take("for")) {
+                    avoidNs = w.time("how long");
+                }
+            }
+            case "hold" -> holdNs = w.time("how long a flow without a server is held");
+            case "try" -> attemptBudgets = w.number("budgets that a try takes that may be followed", 0.01, 100);
+            case "cell" -> cellSize = (int) w.whole("backends of a cell", 1, 10_000);
+            default -> auditedProxies = (int) w.whole("proxies whose tables are audited", 0, 10_000);
+        }
+    }
+
+    /** Turns the word of a setting into the name of an enum constant. */
+    private static String constantName(String word) {
+        return word.replace('-', '_').toUpperCase(Locale.ROOT);
+    }
+}
--- a/src/main/java/puffinbarrow/emulator/Outcome.java
+++ b/src/main/java/puffinbarrow/emulator/Outcome.java
@@ -7,84 +7,141 @@
 import puffinbarrow.load.Result;
 import puffinbarrow.load.Scenario;
 
-/** What came of a day in the emulator. All but the decisions' cost follows from setup, seed and policy alone. */
+/**
+ * The result of a day in the emulator. Everything but the cost of decisions follows from setup, seed and policy
+ * alone.
+ */
 public final class Outcome {
-    private static final int WINDOW = 10;
+    /** Length of the window of {@link #worstWindow}. */
+    private static final int WINDOW_SECONDS = 10;
 
-    /** Why it ended before its time, or null. */
+    /** Why the run failed, or null. */
     public String failed;
 
-    public double service, worst;
-    public long intended, inBudget, late, blocked, dropped, retries, retried;
-    public double p50Ms, p90Ms, p99Ms, p999Ms;
-    public long moves, handed, refusedWrites, staleSeen, cutOff, turns, recalled, events, mostOpen;
+    /** Share of the offered utility that was earned over the day, 0 to 1. */
+    public double service;
+    /** The lowest such share in any window of 10 s. */
+    public double worstWindow;
+    /** Flows that clients started; the next four fields split them by outcome. */
+    public long intended;
+
+    public long inBudget;
+    public long late;
+    public long blocked;
+    public long dropped;
+    /** Retries by clients, and by proxies. */
+    public long clientRetries;
+
+    public long proxyRetries;
+    /** Percentiles of the latency of answered flows. */
+    public double p50Ms;
+
+    public double p90Ms;
+    public double p99Ms;
+    public double p999Ms;
+    /** Slices that were moved to a server. */
+    public long moves;
+    /** Slices that went from one coordinator to another. */
+    public long ownerChanges;
+    /** Lines refused by the store. */
+    public long refusedWrites;
+    /** Orders of an older term refused by proxies. */
+    public long staleOrders;
+    /** Times that a proxy was cut off by a full channel. */
+    public long cutOffs;
+    /** Calls of the controllers. */
+    public long decisionTurns;
+    /** Facts recalled after restarts. */
+    public long recalledFacts;
+    /** Events of the simulation. */
+    public long events;
+    /** Largest number of flows open at a time. */
+    public long mostOpen;
+    /** Order lines that coordinators sent. */
     public double linesSent;
-    /** Rules that broke, joined by plus signs. */
+    /** Names of broken rules in lower case, joined by plus signs; empty if none. */
     public String broken = "";
 
+    /** What the audit found. */
     public Audit.Verdict verdict;
-    public List<String> log = List.of(), fell = List.of();
-    /** Until the fleet was up. */
+    /** Faults and releases of the script with their times. */
+    public List<String> log = List.of();
+    /** Servers that fell over during a cold start. */
+    public List<String> fellOver = List.of();
+    /** Simulated time until the fleet was up and traffic began. */
     public long beganAtNs;
-    /** By group: its name, outcomes in their order, latencies. */
-    public List<String> groups = List.of();
+    /**
+     * Names of the traffic groups; {@link #outcomeCounts} holds the flows by group and {@link Result.Outcome}, {@link
+     * #latencyUs} the microseconds to a good answer by group.
+     */
+    public List<String> groupNames = List.of();
+
+    public long[][] outcomeCounts = new long[0][];
+    public Histogram[] latencyUs = new Histogram[0];
+    /** Utility offered and earned, by second of the intended start. */
+    public double[] offeredUtility = new double[0];
+
+    public double[] earnedUtility = new double[0];
+    /**
+     * Real time that decisions took on this machine and the events they were given; the time is not reproducible by a
+     * seed.
+     */
+    public long decisionNs;
 
-    public long[][] counts = new long[0][];
-    public Histogram[] latency = new Histogram[0];
-    public double[] asked = new double[0], got = new double[0];
-    /** Measured on this machine: not part of what a seed decides. */
-    public long decisionNs, decisionEvents;
+    public long decisionEvents;
 
-    void take(Clients clients, Scenario scenario) {
+    /** Takes over the counts and latencies of the clients. */
+    void recordTraffic(Clients clients, Scenario scenario) {
         intended = clients.intended;
-        retries = clients.retries;
+        clientRetries = clients.retries;
         mostOpen = clients.mostOpen;
         inBudget = clients.count(Result.Outcome.IN_BUDGET);
         late = clients.count(Result.Outcome.LATE);
         blocked = clients.count(Result.Outcome.BLOCKED);
         dropped = clients.count(Result.Outcome.FAILED) + clients.count(Result.Outcome.TIMED_OUT);
-        Histogram all = clients.all();
+        Histogram all = clients.allLatencies();
         p50Ms = all.getValueAtPercentile(50) / 1e3;
         p90Ms = all.getValueAtPercentile(90) / 1e3;
         p99Ms = all.getValueAtPercentile(99) / 1e3;
         p999Ms = all.getValueAtPercentile(99.9) / 1e3;
-        groups = scenario.groups.stream().map(Scenario.Group::name).toList();
-        counts = clients.counts;
-        latency = clients.latency;
-        asked = clients.asked;
-        got = clients.got;
-        double sum = 0;
-        double gotten = 0;
-        for (int i = 0; i < asked.length; i++) {
-            sum += asked[i];
-            gotten += got[i];
+        groupNames = scenario.groups.stream().map(Scenario.Group::name).toList();
+        outcomeCounts = clients.outcomeCounts;
+        latencyUs = clients.latencyUs;
+        offeredUtility = clients.offeredUtility;
+        earnedUtility = clients.earnedUtility;
+        double offered = 0;
+        double earned = 0;
+        for (int i = 0; i < offeredUtility.length; i++) {
+            offered += offeredUtility[i];
+            earned += earnedUtility[i];
         }
-        service = sum == 0 ? 1 : gotten / sum;
-        worst = service;
-        for (int from = 0; from + WINDOW < asked.length; from++) {
-            double windowAsked = 0;
-            double windowGot = 0;
-            for (int i = from; i < from + WINDOW; i++) {
-                windowAsked += asked[i];
-                windowGot += got[i];
+        service = offered == 0 ? 1 : earned / offered;
+        worstWindow = service;
+        for (int from = 0; from + WINDOW_SECONDS < offeredUtility.length; from++) {
+            double windowOffered = 0;
+            double windowEarned = 0;
+            for (int i = from; i < from + WINDOW_SECONDS; i++) {
+                windowOffered += offeredUtility[i];
+                windowEarned += earnedUtility[i];
             }
-            worst = windowAsked == 0 ? worst : Math.min(worst, windowGot / windowAsked);
+            worstWindow = windowOffered == 0 ? worstWindow : Math.min(worstWindow, windowEarned / windowOffered);
         }
     }
 
-    /** Whether every flow has one end. */
+    /** Returns whether the run completed and every flow has exactly one outcome. */
     public boolean whole() {
         return failed == null && intended == inBudget + late + blocked + dropped;
     }
 
+    /** Returns the report as text. */
     public String text() {
-        StringBuilder page = new StringBuilder(String.format(
+        StringBuilder report = new StringBuilder(String.format(
                 Locale.ROOT,
                 "%nThe day in the emulator (simulated servers)%n%n"
                         + "service %.3f   worst 10 s %.3f   flows %d intended, %d in budget, %d late, %d blocked, %d dropped%n"
                         + "latency p50 %.1f ms, p99 %.1f ms, p99.9 %.1f ms%n",
                 service,
-                worst,
+                worstWindow,
                 intended,
                 inBudget,
                 late,
@@ -93,49 +150,50 @@
                 p50Ms,
                 p99Ms,
                 p999Ms));
-        for (int i = 0; i < groups.size(); i++) {
-            page.append(String.format(
+        for (int i = 0; i < groupNames.size(); i++) {
+            report.append(String.format(
                     Locale.ROOT,
                     "  %-18s in budget %7d  late %6d  blocked %6d  dropped %6d  p50 %7.1f ms  " + "p99 %7.1f ms%n",
-                    groups.get(i),
-                    counts[i][Result.Outcome.IN_BUDGET.ordinal()],
-                    counts[i][Result.Outcome.LATE.ordinal()],
-                    counts[i][Result.Outcome.BLOCKED.ordinal()],
-                    counts[i][Result.Outcome.FAILED.ordinal()] + counts[i][Result.Outcome.TIMED_OUT.ordinal()],
-                    latency[i].getValueAtPercentile(50) / 1e3,
-                    latency[i].getValueAtPercentile(99) / 1e3));
+                    groupNames.get(i),
+                    outcomeCounts[i][Result.Outcome.IN_BUDGET.ordinal()],
+                    outcomeCounts[i][Result.Outcome.LATE.ordinal()],
+                    outcomeCounts[i][Result.Outcome.BLOCKED.ordinal()],
+                    outcomeCounts[i][Result.Outcome.FAILED.ordinal()]
+                            + outcomeCounts[i][Result.Outcome.TIMED_OUT.ordinal()],
+                    latencyUs[i].getValueAtPercentile(50) / 1e3,
+                    latencyUs[i].getValueAtPercentile(99) / 1e3));
         }
-        page.append("\nwhat was done\n");
-        log.forEach(line -> page.append("  ").append(line).append('\n'));
-        page.append(String.format(
+        report.append("\nwhat was done\n");
+        log.forEach(line -> report.append("  ").append(line).append('\n'));
+        report.append(String.format(
                 Locale.ROOT,
                 "%nmoves of slices %d   charges handed on %d   lines sent %.0f   tries again by "
                         + "proxies %d, by clients %d%nwrites refused by the store %d, old orders refused by proxies %d, proxies cut off by "
                         + "a full channel %d, facts recalled after restarts %d%n",
                 moves,
-                handed,
+                ownerChanges,
                 linesSent,
-                retried,
-                retries,
+                proxyRetries,
+                clientRetries,
                 refusedWrites,
-                staleSeen,
-                cutOff,
-                recalled));
-        if (!fell.isEmpty()) {
-            page.append("fell over cold: ").append(fell).append('\n');
+                staleOrders,
+                cutOffs,
+                recalledFacts));
+        if (!fellOver.isEmpty()) {
+            report.append("fell over cold: ").append(fellOver).append('\n');
         }
-        page.append("\nthe rules\n");
+        report.append("\nthe rules\n");
         for (Audit.Rule rule : Audit.rules()) {
-            page.append(verdict.broke(rule) ? "  BROKEN " : "  kept   ")
+            report.append(verdict.broke(rule) ? "  BROKEN " : "  kept   ")
                     .append(rule.name().toLowerCase(Locale.ROOT))
                     .append('\n');
-            verdict.findings().stream().filter(f -> f.rule() == rule).limit(5).forEach(f -> page.append("           ")
+            verdict.findings().stream().filter(f -> f.rule() == rule).limit(5).forEach(f -> report.append("           ")
                     .append(f.evidence())
                     .append('\n'));
         }
         if (failed != null) {
-            page.append("\nFAILED: ").append(failed).append('\n');
+            report.append("\nFAILED: ").append(failed).append('\n');
         }
-        return page.toString();
+        return report.toString();
     }
 }
--- a/src/main/java/puffinbarrow/emulator/Policy.java
+++ b/src/main/java/puffinbarrow/emulator/Policy.java
@@ -5,21 +5,28 @@
 import puffinbarrow.Logic;
 import puffinbarrow.control.Controller;
 
-/** What coordinators decide with: the module, or one of what it is measured against. */
-public record Policy(String name, Function<Truth, Controller.Factory> factories) {
+/**
+ * A policy that coordinators decide with: the product's own logic, or one of those that it is measured against.
+ *
+ * @param name an option of the command line and a value in results
+ * @param factories gives the factory of the controllers of a fleet, from its true state
+ */
+public record Policy(String name, Function<TrueState, Controller.Factory> factories) {
+    /** All policies; the first is the product's own. */
     public static final List<Policy> ALL = List.of(
-            new Policy("ours", truth -> Logic::new),
-            new Policy("random", truth -> Baseline.AtRandom::new),
-            new Policy("least-loaded", truth -> Baseline.LeastLoaded::new),
-            new Policy("two-choices", truth -> Baseline.TwoChoices::new),
-            new Policy("bounded-hash", truth -> Baseline.BoundedHash::new),
-            new Policy("oracle", truth -> (settings, seed) -> new Baseline.Oracle(settings, seed, truth)));
+            new Policy("ours", trueState -> Logic::new),
+            new Policy("random", trueState -> Baseline.AtRandom::new),
+            new Policy("least-loaded", trueState -> Baseline.LeastLoaded::new),
+            new Policy("two-choices", trueState -> Baseline.TwoChoices::new),
+            new Policy("bounded-hash", trueState -> Baseline.BoundedHash::new),
+            new Policy("oracle", trueState -> (settings, seed) -> new Baseline.Oracle(settings, seed, trueState)));
 
-    Controller.Factory factory(Truth truth) {
-        return factories.apply(truth);
+    /** Returns the factory of the controllers of a fleet. */
+    Controller.Factory factory(TrueState trueState) {
+        return factories.apply(trueState);
     }
 
-    /** Null if there is none of that name. */
+    /** Returns the policy of that name, or null. */
     public static Policy named(String name) {
         return ALL.stream().filter(p -> p.name.equals(name)).findFirst().orElse(null);
     }
--- a/src/main/java/puffinbarrow/emulator/Proxy.java
+++ b/src/main/java/puffinbarrow/emulator/Proxy.java
@@ -21,35 +21,52 @@
 import puffinbarrow.proto.Frame;
 
 /**
- * A plain proxy in simulated time: it does as its tables say, keeps away from a server at which its own tries failed in a
- * row, tries again only as ordered, holds a flow without a server for a moment and then blocks it. Orders take effect
- * late and in order.
+ * A proxy in simulated time. It picks servers from the tables it is sent, avoids a server after several failed
+ * attempts in a row, retries only as its orders allow, and holds a flow without a server for a moment before it
+ * blocks it. Orders take effect after a delay and in order.
  */
 final class Proxy {
-    /** A flow as it came from a client. */
+    /**
+     * A flow from its arrival at the proxy to its answer; {@code answer} takes the status code, one of the constants
+     * of {@link Server}.
+     */
     static final class Flow {
         final long id;
-        final int slice, group, key;
-        final long workNs, cameAt, expiresAt;
+        final int slice;
+        final int group;
+        final int key;
+        final long workNs;
+        final long arrivedAtNs;
+        final long expiresAtNs;
         final IntConsumer answer;
-        /** Few tries, so a list is as good as a set. */
+        /** Servers tried so far: few, so a list is as fast as a set. */
         final List<Server> tried = new ArrayList<>(2);
 
+        /** Number of attempts so far. */
         int attempt;
+
         private Attempt current;
 
-        Flow(long id, int slice, int group, int key, long workNs, long cameAt, long expiresAt, IntConsumer answer) {
+        Flow(
+                long id,
+                int slice,
+                int group,
+                int key,
+                long workNs,
+                long arrivedAtNs,
+                long expiresAtNs,
+                IntConsumer answer) {
             this.id = id;
             this.slice = slice;
             this.group = group;
             this.key = key;
             this.workNs = workNs;
-            this.cameAt = cameAt;
-            this.expiresAt = expiresAt;
+            this.arrivedAtNs = arrivedAtNs;
+            this.expiresAtNs = expiresAtNs;
             this.answer = answer;
         }
 
-        /** It has expired: an open try ends now. */
+        /** The flow has expired: ends its open attempt. */
         void expire() {
             if (current != null) {
                 current.timeOut();
@@ -57,67 +74,74 @@
         }
     }
 
-    /** One try at one server. */
+    /** One attempt of a flow at one server. */
     final class Attempt {
         final Flow flow;
         final Server server;
         final int number;
-        final long sentAt;
-        final int serverLife;
-        boolean opened, connected, begun, stopped;
-        private boolean over;
-        /** Where the server keeps it among its open ones, or -1. */
-        int place = -1;
-
-        Attempt(Flow flow, Server server, int number, long sentAt) {
+        final long sentAtNs;
+        final int serverIncarnation;
+        boolean newConnection;
+        boolean connected;
+        boolean begun;
+        boolean cancelled;
+        private boolean finished;
+        /** Index in the server's list of open attempts, or -1 if it is not in there. */
+        int openIndex = -1;
+
+        Attempt(Flow flow, Server server, int number, long sentAtNs) {
             this.flow = flow;
             this.server = server;
             this.number = number;
-            this.sentAt = sentAt;
-            this.serverLife = server.life();
+            this.sentAtNs = sentAtNs;
+            this.serverIncarnation = server.incarnation();
         }
 
         long workNs() {
             return flow.workNs;
         }
 
-        boolean done() {
-            return over;
+        boolean finished() {
+            return finished;
         }
 
-        void ended(int code, Map<Event.Measure, Double> report) {
-            if (!over) {
-                over = true;
-                leave(code > 0);
-                Proxy.this.ended(this, code, report);
+        /** Completes the attempt with a status code and, if one came, a load report. */
+        void complete(int code, Map<Event.Measure, Double> report) {
+            if (!finished) {
+                finished = true;
+                releaseConnection(code > 0);
+                Proxy.this.attemptEnded(this, code, report);
             }
         }
 
-        private void leave(boolean whole) {
+        private void releaseConnection(boolean reusable) {
             if (connected) {
-                pool(server).back(server, serverLife, whole, world.now());
+                pool(server).giveBack(server, serverIncarnation, reusable, simulation.now());
             }
         }
 
         void timeOut() {
-            if (!over) {
-                over = true;
-                leave(false);
-                server.abandoned(this);
-                Proxy.this.ended(this, Server.RESET, null);
+            if (!finished) {
+                finished = true;
+                releaseConnection(false);
+                server.abandon(this);
+                Proxy.this.attemptEnded(this, Server.RESET, null);
             }
         }
     }
 
-    /** Kept connections to one server. */
-    private static final class Pool {
-        int idle, life;
-        long usedAt;
+    /** Idle connections to one server, kept for reuse. */
+    private static final class ConnectionPool {
+        int idle;
+        /** Incarnation of the server that the idle connections lead to. */
+        int poolIncarnation;
+
+        long usedAtNs;
 
-        /** A kept one, if there is one of the server's present life. */
-        boolean take(int ofLife) {
-            idle = life == ofLife ? idle : 0;
-            life = ofLife;
+        /** Takes an idle connection to the given incarnation of the server; false if there is none. */
+        boolean takeIdle(int incarnation) {
+            idle = poolIncarnation == incarnation ? idle : 0;
+            poolIncarnation = incarnation;
             if (idle > 0) {
                 idle--;
                 return true;
@@ -125,80 +149,113 @@
             return false;
         }
 
-        void back(Server server, int ofLife, boolean whole, long now) {
-            if (ofLife != server.life()) {
+        /** Returns a connection after an attempt; closes it if it cannot be used again. */
+        void giveBack(Server server, int incarnation, boolean reusable, long now) {
+            if (incarnation != server.incarnation()) {
                 return;
             }
-            usedAt = now;
-            if (whole && life == ofLife) {
+            usedAtNs = now;
+            if (reusable && poolIncarnation == incarnation) {
                 idle++;
             } else {
-                server.closed(1, ofLife);
+                server.connectionsClosed(1, incarnation);
             }
         }
     }
 
-    private static final class Avoid {
+    /** Failures in a row at one server, and the end of its avoidance. */
+    private static final class FailureStreak {
         int failures;
-        long until;
+        long avoidUntilNs;
     }
 
-    private static final class Sum {
-        long tries, dropped, tookNs;
+    /** Attempts at one server since the last report round. */
+    private static final class ServerCounts {
+        long attempts;
+        long dropped;
+        long latencySumNs;
         Map<Event.Measure, Double> report = Map.of();
     }
 
-    private record Due(Frame.Orders orders, long atNs) {}
+    /** Orders that take effect at a stated time. */
+    private record PendingOrders(Frame.Orders orders, long atNs) {}
 
-    /** The stream to one coordinator, and what that one ordered. */
-    final class Voice implements Outlet {
-        final Host host;
+    /** The stream to one coordinator, and the masks and levels that it ordered. */
+    final class CoordinatorStream implements Outlet {
+        final CoordinatorModel coordinator;
         final Set<String> masks = new HashSet<>();
         final Order.SetLevel[] levels = new Order.SetLevel[config.groups.size()];
-        final ArrayDeque<Due> waiting = new ArrayDeque<>();
-        long lastDue, lostAt = world.now();
-        long life;
-        Map<Server, Sum> sums = new LinkedHashMap<>();
+        /** Orders that have arrived but not taken effect, in order. */
+        final ArrayDeque<PendingOrders> pendingOrders = new ArrayDeque<>();
+
+        long lastApplyAtNs;
+        /** When the stream last ended, as seen by the proxy; the start of the proxy before the first stream. */
+        long lostAtNs = simulation.now();
+        /** The incarnation that the masks and levels are from. */
+        long coordinatorIncarnation;
+
+        Map<Server, ServerCounts> serverCounts = new LinkedHashMap<>();
+        /**
+         * Flows by slice and group since the last report round (key: slice shifted left by 8, plus group): arrivals,
+         * dropped attempts.
+         */
         Map<Long, long[]> demand = new TreeMap<>();
-        boolean applying, met, cut;
-        /** Joined at the coordinator; heard of by the proxy; both end together but for the way. */
-        boolean open, up;
-        /** Counts dials: what belongs to an earlier stream is passed over. */
-        int dial;
 
-        private long pauseNs = Host.LEAST_PAUSE_NS;
+        boolean applying;
+        /** Whether this coordinator has welcomed the proxy before. */
+        boolean welcomedBefore;
+
+        boolean cut;
+        /**
+         * {@code joined}: the coordinator regards the stream as open; {@code up}: the proxy does. They differ only
+         * for the network delay.
+         */
+        boolean joined;
+
+        boolean up;
+        /** Number of attempts to connect; events that belong to an earlier stream are ignored. */
+        int dialCount;
+
+        private long redialPauseNs = CoordinatorModel.MIN_REDIAL_PAUSE_NS;
 
-        Voice(Host host) {
-            this.host = host;
+        CoordinatorStream(CoordinatorModel coordinator) {
+            this.coordinator = coordinator;
         }
 
         void dial() {
             if (cut) {
-                later();
+                redial();
                 return;
             }
-            int mine = ++dial;
-            world.after(2 * model.networkNs, () -> {
-                if (mine == dial && !cut && host.accepts()) {
-                    open = true;
-                    host.join(
+            int expectedDial = ++dialCount;
+            simulation.after(2 * model.networkDelayNs, () -> {
+                if (expectedDial == dialCount && !cut && coordinator.acceptsProxies()) {
+                    joined = true;
+                    coordinator.join(
                             this,
                             new Frame.Hello(
-                                    Frame.MAJOR, Frame.MINOR, Frame.Role.PROXY, number, zone, number + 1L, !met, 10));
-                } else if (mine == dial) {
-                    later();
+                                    Frame.MAJOR,
+                                    Frame.MINOR,
+                                    Frame.Role.PROXY,
+                                    number,
+                                    zone,
+                                    number + 1L,
+                                    !welcomedBefore,
+                                    10));
+                } else if (expectedDial == dialCount) {
+                    redial();
                 }
             });
         }
 
-        private void later() {
-            int mine = dial;
-            world.after(pauseNs, () -> {
-                if (mine == dial) {
+        private void redial() {
+            int expectedDial = dialCount;
+            simulation.after(redialPauseNs, () -> {
+                if (expectedDial == dialCount) {
                     dial();
                 }
             });
-            pauseNs = Math.min(Host.MOST_PAUSE_NS, 2 * pauseNs);
+            redialPauseNs = Math.min(CoordinatorModel.MAX_REDIAL_PAUSE_NS, 2 * redialPauseNs);
         }
 
         int number() {
@@ -212,40 +269,40 @@
             }
         }
 
-        /** The stream breaks: the coordinator hears of it unless it is gone itself. */
+        /** Breaks the stream; the coordinator is told unless it is gone itself. */
         void end() {
-            if (open) {
-                open = false;
-                host.left(this);
-                int mine = ++dial;
-                world.after(model.networkNs, () -> {
-                    if (mine == dial) {
-                        down();
-                        later();
+            if (joined) {
+                joined = false;
+                coordinator.left(this);
+                int expectedDial = ++dialCount;
+                simulation.after(model.networkDelayNs, () -> {
+                    if (expectedDial == dialCount) {
+                        markDown();
+                        redial();
                     }
                 });
             }
         }
 
-        private void down() {
+        private void markDown() {
             if (up) {
                 up = false;
-                lostAt = world.now();
-                waiting.clear();
-                seen(new Seen.Stream(world.now(), number, host.number, false));
+                lostAtNs = simulation.now();
+                pendingOrders.clear();
+                observe(new Seen.Stream(simulation.now(), number, coordinator.number, false));
             }
         }
 
         @Override
         public boolean send(ByteBuffer bytes) {
-            if (!open) {
+            if (!joined) {
                 return false;
             }
             Frame frame = fleet.decode(bytes);
-            int mine = dial;
-            world.after(model.networkNs, () -> {
-                if (mine == dial && open) {
-                    heard(frame);
+            int expectedDial = dialCount;
+            simulation.after(model.networkDelayNs, () -> {
+                if (expectedDial == dialCount && joined) {
+                    handle(frame);
                 }
             });
             return true;
@@ -256,22 +313,23 @@
             end();
         }
 
-        private void heard(Frame frame) {
+        private void handle(Frame frame) {
             if (frame instanceof Frame.Welcome w) {
-                pauseNs = Host.LEAST_PAUSE_NS;
+                redialPauseNs = CoordinatorModel.MIN_REDIAL_PAUSE_NS;
                 welcomed(w.incarnation());
             } else if (frame instanceof Frame.Orders orders && up) {
-                fleet.seen(new Seen.Arrived(
-                        world.now(),
+                fleet.observe(new Seen.Arrived(
+                        simulation.now(),
                         number,
-                        host.number,
+                        coordinator.number,
                         orders.turn(),
                         orders.orderedAtNs(),
                         orders.orders().size()));
-                long way = (long) (transitNs * (0.5 + chance.nextDouble()));
-                long at = Math.max(lastDue, world.now() + way) + orders.orders().size() * model.applyNsPerLine;
-                lastDue = at;
-                waiting.addLast(new Due(orders, at));
+                long delayNs = (long) (transitNs * (0.5 + random.nextDouble()));
+                long applyAtNs = Math.max(lastApplyAtNs, simulation.now() + delayNs)
+                        + orders.orders().size() * model.applyNsPerLine;
+                lastApplyAtNs = applyAtNs;
+                pendingOrders.addLast(new PendingOrders(orders, applyAtNs));
                 applyNext();
             } else if (frame instanceof Frame.Bye) {
                 end();
@@ -279,53 +337,55 @@
         }
 
         private void welcomed(long incarnation) {
-            if (incarnation != life) {
-                // A killed coordinator's masks and levels are lost with it: its next life knows nothing of them.
-                life = incarnation;
-                List<Order> lifted = new ArrayList<>();
-                masks.stream().sorted().forEach(server -> lifted.add(new Order.Mask(server, false)));
+            if (incarnation != coordinatorIncarnation) {
+                // Masks and levels die with the coordinator's incarnation: the next one knows nothing of them.
+                coordinatorIncarnation = incarnation;
+                List<Order> liftedMasks = new ArrayList<>();
+                masks.stream().sorted().forEach(server -> liftedMasks.add(new Order.Mask(server, false)));
                 masks.clear();
                 Arrays.fill(levels, null);
                 if (audited) {
-                    fleet.seen(new Seen.Applied(world.now(), number, host.number, world.now(), lifted));
+                    fleet.observe(new Seen.Applied(
+                            simulation.now(), number, coordinator.number, simulation.now(), liftedMasks));
                 }
             }
-            up = met = true;
-            waiting.clear();
+            up = welcomedBefore = true;
+            pendingOrders.clear();
             applying = false;
-            seen(new Seen.Stream(world.now(), number, host.number, true));
-            // Twice: what the coordinator wrote to the store just before its welcome may still be on its way there.
-            fleet.store.ask(Proxy.this);
-            world.after(READ_AGAIN_NS, () -> fleet.store.ask(Proxy.this));
+            observe(new Seen.Stream(simulation.now(), number, coordinator.number, true));
+            // Read twice: what the coordinator wrote to the store just before its welcome may still be in transit.
+            fleet.store.readAll(Proxy.this);
+            simulation.after(STORE_REREAD_DELAY_NS, () -> fleet.store.readAll(Proxy.this));
         }
 
         private void applyNext() {
-            if (applying || waiting.isEmpty()) {
+            if (applying || pendingOrders.isEmpty()) {
                 return;
             }
             applying = true;
-            Due due = waiting.peekFirst();
-            world.at(due.atNs, () -> {
-                if (waiting.peekFirst() == due) {
+            PendingOrders next = pendingOrders.peekFirst();
+            simulation.at(next.atNs, () -> {
+                if (pendingOrders.peekFirst() == next) {
                     applying = false;
-                    waiting.pollFirst();
-                    apply(due.orders);
+                    pendingOrders.pollFirst();
+                    apply(next.orders);
                     applyNext();
                 }
             });
         }
 
+        /** Puts orders into effect. */
         private void apply(Frame.Orders orders) {
             Set<Integer> stale = fence(this, orders);
             for (Order order : orders.orders()) {
                 if (order instanceof Order.SetLine o) {
-                    if (owners[o.table()] != host.number) {
-                        wrongVoice += stale.contains(o.table()) ? 0 : 1;
+                    if (owners[o.table()] != coordinator.number) {
+                        wrongOwnerLines += stale.contains(o.table()) ? 0 : 1;
                     } else if (!stale.contains(o.table())) {
                         tables[o.table()] = tables[o.table()].with(o, fleet.server(o.server()), config.soleOwner);
                     }
                 } else if (order instanceof Order.ClearTable o) {
-                    if (owners[o.table()] == host.number && !stale.contains(o.table())) {
+                    if (owners[o.table()] == coordinator.number && !stale.contains(o.table())) {
                         tables[o.table()] = Table.EMPTY;
                     }
                 } else if (order instanceof Order.Mask o) {
@@ -342,14 +402,14 @@
                         }
                     }
                 } else if (order instanceof Order.Mark o) {
-                    toHost(new Frame.Applied(o.number(), world.now() - orders.orderedAtNs()));
+                    toCoordinator(new Frame.Applied(o.number(), simulation.now() - orders.orderedAtNs()));
                 }
             }
             if (audited) {
-                fleet.seen(new Seen.Applied(
-                        world.now(),
+                fleet.observe(new Seen.Applied(
+                        simulation.now(),
                         number,
-                        host.number,
+                        coordinator.number,
                         orders.orderedAtNs(),
                         stale.isEmpty()
                                 ? orders.orders()
@@ -360,123 +420,141 @@
             }
         }
 
-        void toHost(Frame frame) {
-            int mine = dial;
-            world.after(model.networkNs, () -> {
-                if (mine == dial && open) {
-                    host.fromProxy(this, frame);
+        void toCoordinator(Frame frame) {
+            int expectedDial = dialCount;
+            simulation.after(model.networkDelayNs, () -> {
+                if (expectedDial == dialCount && joined) {
+                    coordinator.fromProxy(this, frame);
                 }
             });
         }
 
-        private void seen(Seen seen) {
-            fleet.seen(seen);
+        private void observe(Seen seen) {
+            fleet.observe(seen);
         }
     }
 
-    /** As the stand-in proxies do: within the second that WIRE gives a proxy to read the store. */
-    private static final long READ_AGAIN_NS = 500_000_000L;
+    /** As in the stand-in proxies: within the second that the protocol gives a proxy to read the store. */
+    private static final long STORE_REREAD_DELAY_NS = 500_000_000L;
 
-    private static final long LOOK_AGAIN_NS = 20_000_000L;
-    /** With less left to its expiry a flow is not tried again. */
-    private static final long TOO_LATE_NS = 50_000_000L;
+    /** Interval at which a held flow looks for a server again. */
+    private static final long HOLD_POLL_NS = 20_000_000L;
+    /** A flow with less time than this left to its expiry is not retried. */
+    private static final long MIN_RETRY_TIME_LEFT_NS = 50_000_000L;
 
     private final Fleet fleet;
-    private final World world;
-    private final Model model;
+    private final Simulation simulation;
+    private final ModelParameters model;
     private final CoordinatorConfig config;
-    final int number, zone;
+    final int number;
+    final int zone;
+    /** Whether changes of this proxy's tables are reported to the audit. */
     private final boolean audited;
-    private final long transitNs, sumsLateNs;
-    private final UniformRandomProvider chance;
-    private final Voice[] voices;
+
+    private final long transitNs;
+    private final long sumsLateNs;
+    private final UniformRandomProvider random;
+    private final CoordinatorStream[] streams;
     private final Table[] tables;
+    /** Owning coordinator by slice, or -1. */
     private final int[] owners;
+    /** Latest term seen, by slice. */
     private final long[] terms;
-    private final Map<Server, Avoid> avoided = new HashMap<>();
-    private final Map<Server, Pool> pools = new LinkedHashMap<>();
-    /** Tries in flight of its own, by server; for picks of two. */
+
+    private final Map<Server, FailureStreak> failureStreaks = new HashMap<>();
+    private final Map<Server, ConnectionPool> pools = new LinkedHashMap<>();
+    /** This proxy's attempts in flight by server; counted only for picks of two choices. */
     private final Map<Server, int[]> inFlight = new HashMap<>();
 
-    private final Map<Integer, Integer> turns = new HashMap<>();
+    /** Number of picks by slice; for picks in turn. */
+    private final Map<Integer, Integer> rotations = new HashMap<>();
+
     private long nextFlow;
-    boolean asking;
-    long storeLostAt;
-    long retried, wrongVoice, staleSeen;
+    /** Whether a read of the whole store is under way. */
+    boolean storeReadPending;
+
+    long storeLostAtNs;
+    long retries;
+    /** Lines ignored because the sender does not own the slice. */
+    long wrongOwnerLines;
+    /** Terms of orders that were older than one already seen. */
+    long staleOrders;
 
     Proxy(Fleet fleet, int number, boolean audited) {
         this.fleet = fleet;
-        this.world = fleet.world;
+        this.simulation = fleet.simulation;
         this.model = fleet.model;
-        this.config = fleet.judged;
+        this.config = fleet.config;
         this.number = number;
         this.zone = number % fleet.script.zones;
         this.audited = audited;
         this.transitNs = fleet.script.transitNs;
         this.sumsLateNs = fleet.script.sumsLateNs;
-        this.chance = world.chance("proxy", number);
+        this.random = simulation.random("proxy", number);
         this.nextFlow = (long) number << 40;
-        this.storeLostAt = world.now();
+        this.storeLostAtNs = simulation.now();
         int slices = fleet.script.slices;
         tables = new Table[slices];
         Arrays.fill(tables, Table.EMPTY);
         owners = new int[slices];
         Arrays.fill(owners, -1);
         terms = new long[slices];
-        voices = new Voice[fleet.script.coordinators];
+        streams = new CoordinatorStream[fleet.script.coordinators];
     }
 
-    void start(List<Host> hosts) {
-        for (Host host : hosts) {
-            voices[host.number] = new Voice(host);
+    void start(List<CoordinatorModel> coordinators) {
+        for (CoordinatorModel coordinator : coordinators) {
+            streams[coordinator.number] = new CoordinatorStream(coordinator);
         }
-        for (Voice voice : voices) {
-            voice.dial();
+        for (CoordinatorStream stream : streams) {
+            stream.dial();
         }
-        fleet.store.ask(this);
-        // Rounds begin anywhere, as proxies are not started together.
-        world.after((long) (chance.nextDouble() * config.roundNs), this::report);
+        fleet.store.readAll(this);
+        // Report rounds are not aligned, as proxies are not started together.
+        simulation.after((long) (random.nextDouble() * config.roundNs), this::reportRound);
     }
 
-    Voice voice(int coordinator) {
-        return voices[coordinator];
+    CoordinatorStream coordinatorStream(int coordinator) {
+        return streams[coordinator];
     }
 
+    /** Returns whether every slice has a server and every coordinator is connected. */
     boolean ready() {
         for (Table table : tables) {
             if (table.size() == 0) {
                 return false;
             }
         }
-        for (Voice voice : voices) {
-            if (!voice.up) {
+        for (CoordinatorStream stream : streams) {
+            if (!stream.up) {
                 return false;
             }
         }
         return true;
     }
 
-    private Pool pool(Server server) {
-        return pools.computeIfAbsent(server, s -> new Pool());
+    private ConnectionPool pool(Server server) {
+        return pools.computeIfAbsent(server, s -> new ConnectionPool());
     }
 
     // ---- The store.
 
-    /** The whole store as it stands; the arrays are the store's copy for this answer. */
-    void read(int[] ownersThen, long[] termsThen, Table[] tablesThen) {
-        asking = false;
+    /** Takes over the whole contents of the store; the arrays are copies made for this answer. */
+    void read(int[] storedOwners, long[] storedTerms, Table[] storedTables) {
+        storeReadPending = false;
         for (int slice = 0; slice < tables.length; slice++) {
-            read(slice, ownersThen[slice], termsThen[slice], tablesThen[slice]);
+            read(slice, storedOwners[slice], storedTerms[slice], storedTables[slice]);
         }
     }
 
+    /** Takes over the owner and the table of a slice from the store; the owner of an older term is ignored. */
     void read(int slice, int owner, long term, Table table) {
         if (term >= terms[slice]) {
             terms[slice] = term;
             if (owners[slice] != owner) {
                 owners[slice] = owner;
                 if (audited) {
-                    fleet.seen(new Seen.OwnerRead(world.now(), number, slice, owner));
+                    fleet.observe(new Seen.OwnerRead(simulation.now(), number, slice, owner));
                 }
             }
         }
@@ -487,32 +565,35 @@
                 for (int i = 0; i < table.size(); i++) {
                     lines.add(new Order.SetLine(slice, table.servers[i].id(), table.weights[i]));
                 }
-                fleet.seen(new Seen.TableRead(world.now(), number, slice, lines));
+                fleet.observe(new Seen.TableRead(simulation.now(), number, slice, lines));
             }
         }
     }
 
-    /** The slices for which these orders are of an older term than one that was seen; a newer one is taken up. */
-    private Set<Integer> fence(Voice voice, Frame.Orders orders) {
+    /**
+     * Returns the slices for which these orders carry an older term than one already seen, and takes over newer
+     * terms.
+     */
+    private Set<Integer> fence(CoordinatorStream stream, Frame.Orders orders) {
         Set<Integer> stale = Set.of();
         for (Frame.Term term : orders.terms()) {
             int slice = term.slice();
             if (term.term() < terms[slice]) {
                 stale = stale.isEmpty() ? new HashSet<>() : stale;
                 stale.add(slice);
-                staleSeen++;
-                voice.toHost(new Frame.Stale(slice, terms[slice]));
+                staleOrders++;
+                stream.toCoordinator(new Frame.Stale(slice, terms[slice]));
                 continue;
             }
             if (term.term() > terms[slice]) {
                 terms[slice] = term.term();
-                owners[slice] = voice.host.number;
+                owners[slice] = stream.coordinator.number;
                 if (audited) {
-                    fleet.seen(new Seen.OwnerRead(world.now(), number, slice, voice.host.number));
+                    fleet.observe(new Seen.OwnerRead(simulation.now(), number, slice, stream.coordinator.number));
                 }
             }
             if (audited) {
-                fleet.seen(new Seen.Took(world.now(), number, voice.host.number, slice, term.term()));
+                fleet.observe(new Seen.Took(simulation.now(), number, stream.coordinator.number, slice, term.term()));
             }
         }
         return stale;
@@ -520,53 +601,55 @@
 
     // ---- Flows.
 
-    /** A flow came from a client; the answer's code goes back by it. */
-    Flow request(int slice, int group, int key, long workNs, long expiresAt, IntConsumer answer) {
-        Flow flow = new Flow(nextFlow++, slice, group, key, workNs, world.now(), expiresAt, answer);
-        Voice voice = voice(flow);
-        if (voice != null) {
-            voice.demand.computeIfAbsent((long) slice << 8 | group, k -> new long[2])[0]++;
+    /** Accepts a flow from a client; {@code answer} is called once with its status code. */
+    Flow request(int slice, int group, int key, long workNs, long expiresAtNs, IntConsumer answer) {
+        Flow flow = new Flow(nextFlow++, slice, group, key, workNs, simulation.now(), expiresAtNs, answer);
+        CoordinatorStream stream = ownerStream(flow);
+        if (stream != null) {
+            stream.demand.computeIfAbsent((long) slice << 8 | group, k -> new long[2])[0]++;
         }
-        Order.SetLevel level = voice == null ? null : voice.levels[group];
-        if (level == null || level.level() >= 1 || chance.nextDouble() < level.level()) {
+        Order.SetLevel level = stream == null ? null : stream.levels[group];
+        if (level == null || level.level() >= 1 || random.nextDouble() < level.level()) {
             send(flow);
         } else {
-            flow.answer.accept(Server.TURNED_AWAY);
+            flow.answer.accept(Server.REJECTED);
         }
         return flow;
     }
 
-    private Voice voice(Flow flow) {
+    private CoordinatorStream ownerStream(Flow flow) {
         int owner = owners[flow.slice];
-        return owner < 0 ? null : voices[owner];
+        return owner < 0 ? null : streams[owner];
     }
 
-    private Order.Retry retry(Flow flow) {
-        Voice voice = voice(flow);
-        Order.SetLevel level = voice == null ? null : voice.levels[flow.group];
+    private Order.Retry retryMode(Flow flow) {
+        CoordinatorStream stream = ownerStream(flow);
+        Order.SetLevel level = stream == null ? null : stream.levels[flow.group];
         return level == null ? Order.Retry.NEVER : level.retry();
     }
 
-    private static boolean mayFollow(Flow flow, Order.Retry retry) {
+    /** Returns whether another attempt is allowed after any failure, proven not to have run or not. */
+    private static boolean retryAllowed(Flow flow, Order.Retry retry) {
         return (retry == Order.Retry.ONCE || retry == Order.Retry.TWICE)
                 && flow.attempt < (retry == Order.Retry.TWICE ? 3 : 2);
     }
 
+    /** Sends the next attempt of a flow, or holds or blocks the flow if there is no server. */
     private void send(Flow flow) {
-        long now = world.now();
-        Voice voice = voice(flow);
-        Server server = pick(flow, voice, now);
+        long now = simulation.now();
+        CoordinatorStream stream = ownerStream(flow);
+        Server server = pickServer(flow, stream, now);
         if (server == null) {
-            if (flow.attempt == 0 && now - flow.cameAt < model.holdNs) {
-                world.after(LOOK_AGAIN_NS, () -> send(flow));
+            if (flow.attempt == 0 && now - flow.arrivedAtNs < model.holdNs) {
+                simulation.after(HOLD_POLL_NS, () -> send(flow));
             } else {
-                flow.answer.accept(Server.TURNED_AWAY);
+                flow.answer.accept(Server.REJECTED);
             }
             return;
         }
         flow.tried.add(server);
         Attempt attempt = new Attempt(flow, server, flow.attempt, now);
-        fleet.seen(new Seen.Sent(
+        fleet.observe(new Seen.Sent(
                 now,
                 number,
                 server.id(),
@@ -575,112 +658,122 @@
                 flow.id,
                 flow.attempt,
                 flow.workNs,
-                voice == null ? -1 : voice.host.number));
+                stream == null ? -1 : stream.coordinator.number));
         flow.attempt++;
         flow.current = attempt;
-        // The client's own timer ends the last try with the flow; one that may be followed ends sooner.
-        long soon = (long) (model.tryBudgets * config.groups.get(flow.group).budgetNs());
-        if (soon < flow.expiresAt - now && mayFollow(flow, retry(flow))) {
-            world.after(soon, attempt::timeOut);
+        // The last attempt ends with the flow, by the timer of the client; one that may be retried times out sooner.
+        long timeoutNs =
+                (long) (model.attemptBudgets * config.groups.get(flow.group).budgetNs());
+        if (timeoutNs < flow.expiresAtNs - now && retryAllowed(flow, retryMode(flow))) {
+            simulation.after(timeoutNs, attempt::timeOut);
         }
-        if (model.pick == Model.Pick.TWO_CHOICES) {
+        if (model.pick == ModelParameters.Pick.TWO_CHOICES) {
             inFlight.computeIfAbsent(server, s -> new int[1])[0]++;
         }
-        if (pool(server).take(server.life())) {
+        if (pool(server).takeIdle(server.incarnation())) {
             attempt.connected = true;
-            world.after(model.networkNs, () -> arrives(attempt));
+            simulation.after(model.networkDelayNs, () -> arrive(attempt));
         } else {
-            attempt.opened = true;
-            world.after(model.networkNs, () -> opens(attempt));
+            attempt.newConnection = true;
+            simulation.after(model.networkDelayNs, () -> openConnection(attempt));
         }
     }
 
-    private void opens(Attempt attempt) {
-        if (attempt.over) {
+    /** The request for a connection arrives at the server. */
+    private void openConnection(Attempt attempt) {
+        if (attempt.finished) {
             return;
         }
-        if (attempt.serverLife == attempt.server.life() && attempt.server.accept()) {
+        if (attempt.serverIncarnation == attempt.server.incarnation() && attempt.server.acceptConnection()) {
             attempt.connected = true;
-            // The answer to the handshake, then the request.
-            world.after(2 * model.networkNs, () -> arrives(attempt));
+            // One delay for the answer to the handshake, one for the request.
+            simulation.after(2 * model.networkDelayNs, () -> arrive(attempt));
         } else {
-            world.after(model.networkNs, () -> {
-                if (!attempt.over) {
-                    attempt.over = true;
-                    ended(attempt, Server.NOT_CONNECTED, null);
+            simulation.after(model.networkDelayNs, () -> {
+                if (!attempt.finished) {
+                    attempt.finished = true;
+                    attemptEnded(attempt, Server.CONNECT_FAILED, null);
                 }
             });
         }
     }
 
-    private void arrives(Attempt attempt) {
-        if (attempt.serverLife != attempt.server.life()) {
-            world.after(model.networkNs, () -> attempt.ended(Server.RESET, null));
-        } else if (!attempt.over || model.overdue == Model.Overdue.GOES_ON) {
+    /** The request arrives at the server. */
+    private void arrive(Attempt attempt) {
+        if (attempt.serverIncarnation != attempt.server.incarnation()) {
+            simulation.after(model.networkDelayNs, () -> attempt.complete(Server.RESET, null));
+        } else if (!attempt.finished || model.overdue == ModelParameters.Overdue.GOES_ON) {
             attempt.server.request(attempt);
         }
     }
 
-    /** To a single owner only while its voice is heard and the store could tell of another, and a proxy lease longer. */
-    private boolean mayWrite(Flow flow, Voice voice, long now) {
+    /**
+     * Whether a flow may be sent under the single-owner rule: one that is not safe to repeat is sent only while the
+     * stream to the coordinator and the store are up, or went down less than a proxy lease ago; otherwise a new owner
+     * might have been named unnoticed.
+     */
+    private boolean maySend(Flow flow, CoordinatorStream stream, long now) {
         return config.groups.get(flow.group).repeats() == CoordinatorConfig.Repeats.RETRIABLE
-                || voice != null
-                        && (voice.up || now - voice.lostAt < config.proxyLeaseNs)
-                        && (!fleet.store.away() || now - storeLostAt < config.proxyLeaseNs);
+                || stream != null
+                        && (stream.up || now - stream.lostAtNs < config.proxyLeaseNs)
+                        && (!fleet.store.unavailable() || now - storeLostAtNs < config.proxyLeaseNs);
     }
 
-    private Server pick(Flow flow, Voice voice, long now) {
-        if (config.soleOwner && !mayWrite(flow, voice, now)) {
+    /** Picks a server for the next attempt by the slice's table, or returns null. */
+    private Server pickServer(Flow flow, CoordinatorStream stream, long now) {
+        if (config.soleOwner && !maySend(flow, stream, now)) {
             return null;
         }
         Table table = tables[flow.slice];
         int size = table.size();
         if (size == 1) {
             Server only = table.servers[0];
-            return flow.tried.contains(only) || voice != null && voice.masks.contains(only.id()) ? null : only;
+            return flow.tried.contains(only) || stream != null && stream.masks.contains(only.id()) ? null : only;
         }
-        // With nothing else to pick, one that failed lately is better than none.
-        Server[] from = new Server[size];
+        // First pass: servers that are not being avoided. Second pass: a server that failed lately is better than
+        // none.
+        Server[] candidates = new Server[size];
         double[] weights = new double[size];
         int count = 0;
         for (int pass = 0; pass < 2 && count == 0; pass++) {
             for (int i = 0; i < size; i++) {
                 Server server = table.servers[i];
-                Avoid avoid = avoided.get(server);
+                FailureStreak streak = failureStreaks.get(server);
                 if (table.weights[i] > 0
-                        && (pass == 1 || avoid == null || avoid.until <= now)
+                        && (pass == 1 || streak == null || streak.avoidUntilNs <= now)
                         && !flow.tried.contains(server)
-                        && (voice == null || !voice.masks.contains(server.id()))) {
-                    from[count] = server;
+                        && (stream == null || !stream.masks.contains(server.id()))) {
+                    candidates[count] = server;
                     weights[count++] = table.weights[i];
                 }
             }
         }
         if (count <= 1) {
-            return count == 0 ? null : from[0];
+            return count == 0 ? null : candidates[0];
         }
         return switch (model.pick) {
-            case WEIGHTED -> from[draw(weights, count)];
-            case ROTATE -> from[turns.merge(flow.slice, 1, Integer::sum) % count];
+            case WEIGHTED -> candidates[draw(weights, count)];
+            case ROTATE -> candidates[rotations.merge(flow.slice, 1, Integer::sum) % count];
             case TWO_CHOICES -> {
-                Server one = from[draw(weights, count)];
-                Server other = from[draw(weights, count)];
-                yield flying(other) < flying(one) ? other : one;
+                Server one = candidates[draw(weights, count)];
+                Server other = candidates[draw(weights, count)];
+                yield attemptsInFlight(other) < attemptsInFlight(one) ? other : one;
             }
         };
     }
 
-    private int flying(Server server) {
+    private int attemptsInFlight(Server server) {
         int[] count = inFlight.get(server);
         return count == null ? 0 : count[0];
     }
 
+    /** Draws an index with a probability in proportion to its weight. */
     private int draw(double[] weights, int count) {
         double sum = 0;
         for (int i = 0; i < count; i++) {
             sum += weights[i];
         }
-        double at = chance.nextDouble() * sum;
+        double at = random.nextDouble() * sum;
         for (int i = 0; i < count; i++) {
             at -= weights[i];
             if (at < 0) {
@@ -690,105 +783,111 @@
         return count - 1;
     }
 
-    private void ended(Attempt attempt, int code, Map<Event.Measure, Double> report) {
+    /** Answers the flow or retries it, as its orders allow. */
+    private void attemptEnded(Attempt attempt, int code, Map<Event.Measure, Double> report) {
         Flow flow = attempt.flow;
-        long now = world.now();
-        boolean good = code == Server.OK;
-        boolean proof = code == Server.TURNED_AWAY || code == Server.NOT_CONNECTED;
-        fleet.seen(new Seen.Ended(now, number, flow.id, attempt.number, good, proof));
-        if (model.pick == Model.Pick.TWO_CHOICES) {
+        long now = simulation.now();
+        boolean succeeded = code == Server.OK;
+        boolean provenNotRun = code == Server.REJECTED || code == Server.CONNECT_FAILED;
+        fleet.observe(new Seen.Ended(now, number, flow.id, attempt.number, succeeded, provenNotRun));
+        if (model.pick == ModelParameters.Pick.TWO_CHOICES) {
             inFlight.get(attempt.server)[0]--;
         }
-        note(attempt, now, good, report);
-        Order.Retry retry = retry(flow);
-        boolean again = !good
-                && now < flow.expiresAt - TOO_LATE_NS
+        recordAttempt(attempt, now, succeeded, report);
+        Order.Retry retry = retryMode(flow);
+        boolean retrying = !succeeded
+                && now < flow.expiresAtNs - MIN_RETRY_TIME_LEFT_NS
                 && switch (retry) {
                     case NEVER -> false;
-                    case ON_PROOF -> proof && flow.attempt < 2;
-                    case ONCE, TWICE -> mayFollow(flow, retry);
+                    case ON_PROOF -> provenNotRun && flow.attempt < 2;
+                    case ONCE, TWICE -> retryAllowed(flow, retry);
                 }
                 && tables[flow.slice].size() > 1;
-        if (good) {
+        if (succeeded) {
             flow.answer.accept(Server.OK);
-        } else if (again) {
-            retried++;
+        } else if (retrying) {
+            retries++;
             send(flow);
         } else {
             flow.answer.accept(Server.ERROR);
         }
     }
 
-    private void note(Attempt attempt, long now, boolean good, Map<Event.Measure, Double> report) {
-        Voice voice = voice(attempt.flow);
-        if (voice != null) {
-            Sum sum = voice.sums.computeIfAbsent(attempt.server, s -> new Sum());
-            sum.tries++;
-            if (good) {
-                sum.tookNs += now - attempt.sentAt;
+    /** Records an attempt for the next report and for the avoidance of failing servers. */
+    private void recordAttempt(Attempt attempt, long now, boolean succeeded, Map<Event.Measure, Double> report) {
+        CoordinatorStream stream = ownerStream(attempt.flow);
+        if (stream != null) {
+            ServerCounts counts = stream.serverCounts.computeIfAbsent(attempt.server, s -> new ServerCounts());
+            counts.attempts++;
+            if (succeeded) {
+                counts.latencySumNs += now - attempt.sentAtNs;
             } else {
-                sum.dropped++;
-                voice.demand
+                counts.dropped++;
+                stream.demand
                         .computeIfAbsent((long) attempt.flow.slice << 8 | attempt.flow.group, k -> new long[2])[1]++;
             }
             if (report != null) {
-                sum.report = report;
+                counts.report = report;
             }
         }
-        if (model.failsToAvoid > 0) {
-            Avoid avoid = avoided.get(attempt.server);
-            if (good) {
-                if (avoid != null) {
-                    avoid.failures = 0;
+        if (model.failuresToAvoid > 0) {
+            FailureStreak streak = failureStreaks.get(attempt.server);
+            if (succeeded) {
+                if (streak != null) {
+                    streak.failures = 0;
                 }
                 return;
             }
-            if (avoid == null) {
-                avoid = new Avoid();
-                avoided.put(attempt.server, avoid);
+            if (streak == null) {
+                streak = new FailureStreak();
+                failureStreaks.put(attempt.server, streak);
             }
-            if (++avoid.failures >= model.failsToAvoid) {
-                avoid.failures = 0;
-                avoid.until = now + model.avoidNs;
+            if (++streak.failures >= model.failuresToAvoid) {
+                streak.failures = 0;
+                streak.avoidUntilNs = now + model.avoidNs;
             }
         }
     }
 
-    // ---- Sums.
-
-    private void report() {
-        long round = world.now() / config.roundNs;
-        for (Voice voice : voices) {
-            List<Frame.Met> met = new ArrayList<>(voice.sums.size());
-            voice.sums.forEach((server, sum) ->
-                    met.add(new Frame.Met(server.id(), sum.tries, sum.dropped, sum.tookNs, sum.report)));
+    // ---- Reports to coordinators.
+
+    /**
+     * Sends sums and demand of the last round to the coordinators, and closes connections that were idle for too
+     * long.
+     */
+    private void reportRound() {
+        long round = simulation.now() / config.roundNs;
+        for (CoordinatorStream stream : streams) {
+            List<Frame.Met> met = new ArrayList<>(stream.serverCounts.size());
+            stream.serverCounts.forEach((server, counts) -> met.add(
+                    new Frame.Met(server.id(), counts.attempts, counts.dropped, counts.latencySumNs, counts.report)));
             met.sort((a, b) -> a.server().compareTo(b.server()));
-            List<Frame.Came> came = new ArrayList<>(voice.demand.size());
-            voice.demand.forEach((key, counts) -> {
+            List<Frame.Came> came = new ArrayList<>(stream.demand.size());
+            stream.demand.forEach((key, counts) -> {
                 if (counts[0] > 0) {
                     came.add(new Frame.Came(
                             (int) (key >> 8), (int) (key & 0xff), counts[0], Math.min(counts[0], counts[1])));
                 }
             });
-            voice.sums = new LinkedHashMap<>();
-            voice.demand = new TreeMap<>();
-            if (voice.up) {
+            stream.serverCounts = new LinkedHashMap<>();
+            stream.demand = new TreeMap<>();
+            if (stream.up) {
                 Frame sums = new Frame.Sums(zone, round, config.roundNs, met);
                 Frame demand = new Frame.Demand(round, config.roundNs, came);
-                world.after(sumsLateNs, () -> {
-                    if (voice.up) {
-                        voice.toHost(sums);
-                        voice.toHost(demand);
+                simulation.after(sumsLateNs, () -> {
+                    if (stream.up) {
+                        stream.toCoordinator(sums);
+                        stream.toCoordinator(demand);
                     }
                 });
             }
         }
         pools.forEach((server, pool) -> {
-            if (pool.idle > 0 && world.now() - pool.usedAt > model.keepNs) {
-                server.closed(pool.idle, pool.life);
+            if (pool.idle > 0 && simulation.now() - pool.usedAtNs > model.idleConnectionNs) {
+                server.connectionsClosed(pool.idle, pool.poolIncarnation);
                 pool.idle = 0;
             }
         });
-        world.after(config.roundNs, this::report);
+        simulation.after(config.roundNs, this::reportRound);
     }
 }
--- a/src/main/java/puffinbarrow/emulator/RegistryModel.java
+++ b/src/main/java/puffinbarrow/emulator/RegistryModel.java
@@ -12,31 +12,38 @@
 import puffinbarrow.coordinator.Outlet;
 import puffinbarrow.proto.Frame;
 
-/** The list of backends in simulated time: pushed or asked for, late for each coordinator by itself, and breaking off. */
+/**
+ * The service registry in simulated time: the list of backends, pushed or fetched on request. Changes reach each
+ * coordinator with a delay of its own, and a list may break off.
+ */
 final class RegistryModel {
+    /** A coordinator's stream to the registry. */
     private final class Stream implements Outlet {
-        final Host host;
-        boolean follows, sentWhole, due;
-        /** What this coordinator has not been told, in order; told together when the first is due. */
-        final LinkedHashMap<String, Event.Entry> untold = new LinkedHashMap<>();
+        final CoordinatorModel coordinator;
+        boolean follows;
+        boolean sentWhole;
+        /** Whether a patch with the pending changes is scheduled. */
+        boolean patchScheduled;
+        /** Changes not sent to this coordinator yet, in order; sent together when the first is due. */
+        final LinkedHashMap<String, Event.Entry> pending = new LinkedHashMap<>();
 
-        Stream(Host host) {
-            this.host = host;
+        Stream(CoordinatorModel coordinator) {
+            this.coordinator = coordinator;
         }
 
-        boolean stands() {
-            return streams.get(host.number) == this;
+        boolean isOpen() {
+            return streams.get(coordinator.number) == this;
         }
 
         @Override
         public boolean send(ByteBuffer bytes) {
-            if (!stands()) {
+            if (!isOpen()) {
                 return false;
             }
             Frame frame = fleet.decode(bytes);
-            world.after(fleet.model.networkNs, () -> {
-                if (stands()) {
-                    heard(frame);
+            simulation.after(fleet.model.networkDelayNs, () -> {
+                if (isOpen()) {
+                    handle(frame);
                 }
             });
             return true;
@@ -44,60 +51,62 @@
 
         @Override
         public void close(String why) {
-            end(host);
+            disconnect(coordinator);
         }
 
-        private void heard(Frame frame) {
+        private void handle(Frame frame) {
             if (frame instanceof Frame.Follow follow) {
                 follows = follow.on();
                 if (follows) {
-                    tell(
+                    sendList(
                             sentWhole ? Event.ListKind.WHOLE : Event.ListKind.STALE_COPY,
                             new ArrayList<>(entries.values()));
                     sentWhole = true;
                 }
             } else if (frame instanceof Frame.Fetch) {
-                tell(Event.ListKind.WHOLE, new ArrayList<>(entries.values()));
+                sendList(Event.ListKind.WHOLE, new ArrayList<>(entries.values()));
             }
         }
 
-        void change(List<Event.Entry> changed) {
+        /** Queues changes for this coordinator and schedules a patch. */
+        void queueChanges(List<Event.Entry> changed) {
             if (!follows) {
                 return;
             }
-            changed.forEach(e -> untold.put(e.server(), e));
-            if (!due) {
-                due = true;
-                long least = fleet.script.noticeLowNs;
-                world.after(least + (long) ((fleet.script.noticeHighNs - least) * chance.nextDouble()), () -> {
-                    due = false;
-                    if (stands() && follows && !untold.isEmpty()) {
-                        tell(Event.ListKind.PATCH, new ArrayList<>(untold.values()));
-                        untold.clear();
-                    }
-                });
+            changed.forEach(e -> pending.put(e.server(), e));
+            if (!patchScheduled) {
+                patchScheduled = true;
+                long minDelayNs = fleet.script.noticeLowNs;
+                simulation.after(
+                        minDelayNs + (long) ((fleet.script.noticeHighNs - minDelayNs) * random.nextDouble()), () -> {
+                            patchScheduled = false;
+                            if (isOpen() && follows && !pending.isEmpty()) {
+                                sendList(Event.ListKind.PATCH, new ArrayList<>(pending.values()));
+                                pending.clear();
+                            }
+                        });
             }
         }
 
-        private void tell(Event.ListKind kind, List<Event.Entry> list) {
+        private void sendList(Event.ListKind kind, List<Event.Entry> list) {
             if (breakNext) {
                 breakNext = false;
-                end(host);
+                disconnect(coordinator);
                 return;
             }
-            fleet.seen(new Seen.ListTold(world.now(), host.number, kind, list));
-            long told = version;
-            world.after(fleet.model.networkNs, () -> {
-                if (stands()) {
-                    host.fromRegistry(new Frame.ServerList(kind, told, list));
+            fleet.observe(new Seen.ListTold(simulation.now(), coordinator.number, kind, list));
+            long sentVersion = version;
+            simulation.after(fleet.model.networkDelayNs, () -> {
+                if (isOpen()) {
+                    coordinator.fromRegistry(new Frame.ServerList(kind, sentVersion, list));
                 }
             });
         }
     }
 
     private final Fleet fleet;
-    private final World world;
-    private final UniformRandomProvider chance;
+    private final Simulation simulation;
+    private final UniformRandomProvider random;
     private final TreeMap<String, Event.Entry> entries = new TreeMap<>();
     private final Map<Integer, Stream> streams = new TreeMap<>();
     private long version;
@@ -105,11 +114,12 @@
 
     RegistryModel(Fleet fleet) {
         this.fleet = fleet;
-        this.world = fleet.world;
-        this.chance = world.chance("registry", 0);
+        this.simulation = fleet.simulation;
+        this.random = simulation.random("registry", 0);
     }
 
-    void set(List<Event.Entry> changed) {
+    /** Applies changes to the list and sends them to the coordinators that follow it. */
+    void update(List<Event.Entry> changed) {
         version++;
         for (Event.Entry entry : changed) {
             if (entry.listed() == Event.Listed.GONE) {
@@ -118,23 +128,25 @@
                 entries.put(entry.server(), entry);
             }
         }
-        streams.values().forEach(s -> s.change(changed));
+        streams.values().forEach(s -> s.queueChanges(changed));
     }
 
+    /** Makes the next list that is sent break off. */
     void breakNext() {
         breakNext = true;
     }
 
-    Outlet dial(Host host) {
-        Stream stream = new Stream(host);
-        streams.put(host.number, stream);
+    /** Opens the stream of a coordinator. */
+    Outlet connect(CoordinatorModel coordinator) {
+        Stream stream = new Stream(coordinator);
+        streams.put(coordinator.number, stream);
         return stream;
     }
 
-    /** The coordinator's stream breaks, for whatever reason. */
-    void end(Host host) {
-        if (streams.remove(host.number) != null) {
-            host.registryDown();
+    /** Breaks the stream of a coordinator, for whatever reason. */
+    void disconnect(CoordinatorModel coordinator) {
+        if (streams.remove(coordinator.number) != null) {
+            coordinator.registryDown();
         }
     }
 }
