--- a/src/main/java/puffinbarrow/emulator/Report.java
+++ b/src/main/java/puffinbarrow/emulator/Report.java
@@ -16,12 +16,13 @@
 import org.knowm.xchart.CategoryChartBuilder;
 import org.knowm.xchart.XYChart;
 import org.knowm.xchart.XYSeries;
+import org.knowm.xchart.style.markers.SeriesMarkers;
 import puffinbarrow.load.Charts;
 import puffinbarrow.load.Html;
 
-/** An experiment as text and as one HTML file with charts. */
+/** Writes the results of an experiment as text and as one HTML file with charts; called by the command line. */
 public final class Report {
-    /** Told apart on white, and by those who do not see red from green. */
+    /** Colours that can be told apart on white, also without seeing the difference between red and green. */
     private static final Color[] COLOURS = {
         new Color(0x00, 0x72, 0xb2),
         new Color(0xd5, 0x5e, 0x00),
@@ -34,59 +35,71 @@
     private final Sheet sheet;
     private final Set<String> policies;
 
+    /** Creates a report on a table of results. */
     public Report(Sheet sheet) {
         this.sheet = sheet;
         this.policies = sheet.values("policy");
     }
 
-    private static Predicate<Sheet.Row> at(String column, String value) {
+    private static Predicate<Sheet.Row> hasValue(String column, String value) {
         return r -> r.get(column).equals(value);
     }
 
-    private static String told(Sheet.Mean m) {
-        return m.runs() == 0 ? "-" : String.format(Locale.ROOT, "%.4f (%.4f to %.4f)", m.mean(), m.low(), m.high());
+    private static String formatMean(Sheet.Mean mean) {
+        return mean.runs() == 0
+                ? "-"
+                : String.format(Locale.ROOT, "%.4f (%.4f to %.4f)", mean.mean(), mean.low(), mean.high());
     }
 
-    /** By cell of levels: each policy's service, worst window, rules broken, and the module against the others. */
+    /**
+     * Returns a row for each combination of levels and each policy: service, worst window, p99, moves, runs that
+     * broke a rule, failed runs, and the paired difference of the first policy to this one.
+     */
     public List<List<String>> table() {
         List<List<String>> rows = new ArrayList<>();
-        for (String cell : cells()) {
+        for (String levels : levelCombinations()) {
             for (String policy : policies) {
-                List<Sheet.Row> own =
-                        sheet.where(r -> cell(r).equals(cell) && r.get("policy").equals(policy));
-                long all = sheet.rows.stream()
-                        .filter(r -> cell(r).equals(cell) && r.get("policy").equals(policy))
+                List<Sheet.Row> runs = sheet.select(
+                        r -> levelsOf(r).equals(levels) && r.get("policy").equals(policy));
+                long runCount = sheet.rows.stream()
+                        .filter(r ->
+                                levelsOf(r).equals(levels) && r.get("policy").equals(policy))
                         .count();
-                long broken =
-                        own.stream().filter(r -> !r.get("broken").isEmpty()).count();
-                String first = policies.iterator().next();
+                long brokenRuns =
+                        runs.stream().filter(r -> !r.get("broken").isEmpty()).count();
+                String firstPolicy = policies.iterator().next();
                 rows.add(List.of(
-                        cell,
+                        levels,
                         policy,
-                        told(Sheet.mean(own, "service")),
-                        told(Sheet.mean(own, "worst")),
-                        mean(own, "p99_ms"),
-                        mean(own, "moves"),
-                        broken + " of " + own.size(),
-                        Long.toString(all - own.size()),
-                        policy.equals(first)
+                        formatMean(Sheet.mean(runs, "service")),
+                        formatMean(Sheet.mean(runs, "worst")),
+                        mean(runs, "p99_ms"),
+                        mean(runs, "moves"),
+                        brokenRuns + " of " + runs.size(),
+                        Long.toString(runCount - runs.size()),
+                        policy.equals(firstPolicy)
                                 ? ""
-                                : told(sheet.paired(first, policy, "service", r -> cell(r).equals(cell)))));
+                                : formatMean(sheet.pairedDifference(firstPolicy, policy, "service", r -> levelsOf(r)
+                                        .equals(levels)))));
             }
         }
         return rows;
     }
 
-    private static String mean(List<Sheet.Row> of, String column) {
-        return of.isEmpty()
+    private static String mean(List<Sheet.Row> rows, String column) {
+        return rows.isEmpty()
                 ? "-"
                 : String.format(
                         Locale.ROOT,
                         "%.0f",
-                        of.stream().mapToDouble(r -> r.number(column)).average().orElse(0));
+                        rows.stream()
+                                .mapToDouble(r -> r.number(column))
+                                .average()
+                                .orElse(0));
     }
 
-    private String cell(Sheet.Row row) {
+    /** Returns the combination of levels of a row as text. */
+    private String levelsOf(Sheet.Row row) {
         return sheet.factors.isEmpty()
                 ? "all"
                 : String.join(
@@ -94,12 +107,13 @@
                         sheet.factors.stream().map(f -> f + "=" + row.get(f)).toList());
     }
 
-    private Set<String> cells() {
-        Set<String> cells = new LinkedHashSet<>();
-        sheet.rows.forEach(r -> cells.add(cell(r)));
-        return cells;
+    private Set<String> levelCombinations() {
+        Set<String> combinations = new LinkedHashSet<>();
+        sheet.rows.forEach(r -> combinations.add(levelsOf(r)));
+        return combinations;
     }
 
+    /** Returns the headings of {@link #table}. */
     public List<String> columns() {
         return List.of(
                 "levels",
@@ -113,28 +127,33 @@
                 policies.iterator().next() + " less this one, paired");
     }
 
-    /** Each rule that broke, by cell and policy, with the seeds that break it; failed runs with their cause. */
-    public List<String> broken() {
+    /**
+     * Returns a line for each broken rule by combination of levels and policy, with the seeds that break it; likewise
+     * for failed runs with their cause.
+     */
+    public List<String> ruleBreaks() {
         Map<String, List<String>> seeds = new TreeMap<>();
         for (Sheet.Row row : sheet.rows) {
-            for (String rule : row.named("broken")) {
-                seeds.computeIfAbsent(rule + ": " + cell(row) + ", " + row.get("policy"), k -> new ArrayList<>())
+            for (String rule : row.list("broken")) {
+                seeds.computeIfAbsent(rule + ": " + levelsOf(row) + ", " + row.get("policy"), k -> new ArrayList<>())
                         .add(row.get("seed"));
             }
             if (row.failed()) {
                 seeds.computeIfAbsent(
-                                "FAILED " + row.get("failed") + ": " + cell(row) + ", " + row.get("policy"),
+                                "FAILED " + row.get("failed") + ": " + levelsOf(row) + ", " + row.get("policy"),
                                 k -> new ArrayList<>())
                         .add(row.get("seed"));
             }
         }
         List<String> lines = new ArrayList<>();
-        seeds.forEach((what, own) -> lines.add(what + ": " + own.size()
-                + (own.size() == 1 ? " run, seed " : " runs, seeds ")
-                + String.join(" ", own.subList(0, Math.min(20, own.size()))) + (own.size() > 20 ? " ..." : "")));
+        seeds.forEach((problem, failing) -> lines.add(problem + ": " + failing.size()
+                + (failing.size() == 1 ? " run, seed " : " runs, seeds ")
+                + String.join(" ", failing.subList(0, Math.min(20, failing.size())))
+                + (failing.size() > 20 ? " ..." : "")));
         return lines;
     }
 
+    /** Returns the table and the broken rules as text. */
     public String text() {
         List<List<String>> rows = new ArrayList<>(table());
         rows.add(0, columns());
@@ -152,52 +171,55 @@
             }
             text.append(line.toString().stripTrailing()).append('\n');
         }
-        List<String> broken = broken();
+        List<String> broken = ruleBreaks();
         text.append(broken.isEmpty() ? "no rule broke\n" : "rules broken\n");
         broken.forEach(l -> text.append("  ").append(l).append('\n'));
         return text.toString();
     }
 
+    /** Writes the HTML file. */
     public void html(Path file, String title) throws IOException {
         Map<String, Object> model = new LinkedHashMap<>();
         model.put("title", title);
         model.put("columns", columns());
         model.put("rows", table());
-        model.put("broken", broken());
+        model.put("broken", ruleBreaks());
         Map<String, String> charts = new LinkedHashMap<>();
         for (String factor : sheet.factors) {
             if (sheet.values(factor).size() > 1) {
                 charts.put(
-                        "Service by " + factor + ", with intervals of 95%", Charts.picture(against(factor, "service")));
-                charts.put("p99 of latency by " + factor, Charts.picture(against(factor, "p99_ms")));
+                        "Service by " + factor + ", with intervals of 95%",
+                        Charts.picture(chartByFactor(factor, "service")));
+                charts.put("p99 of latency by " + factor, Charts.picture(chartByFactor(factor, "p99_ms")));
             }
         }
         Set<String> troubles = new LinkedHashSet<>();
-        sheet.rows.forEach(r -> troubles.addAll(r.named("troubles")));
+        sheet.rows.forEach(r -> troubles.addAll(r.list("troubles")));
         if (!troubles.isEmpty()) {
-            charts.put("Service on days with each trouble", Charts.picture(byTrouble(troubles)));
+            charts.put("Service on days with each trouble", Charts.picture(chartByTrouble(troubles)));
         }
         if (policies.size() > 1) {
-            charts.put("Service of each day, sorted for each policy", Charts.picture(sorted()));
+            charts.put("Service of each day, sorted for each policy", Charts.picture(chartSortedDays()));
         }
         model.put("charts", charts);
         Html.write(file, "experiment.ftlh", model);
     }
 
-    private XYChart against(String factor, String measure) {
+    /** Returns a chart of a measure over the levels of a factor, with a line for each policy. */
+    private XYChart chartByFactor(String factor, String measure) {
         XYChart chart = Charts.chart(factor, measure);
         List<String> levels = new ArrayList<>(sheet.values(factor));
-        boolean numbers = levels.stream().allMatch(l -> l.matches("[0-9.]+"));
+        boolean numeric = levels.stream().allMatch(l -> l.matches("[0-9.]+"));
         int colour = 0;
         for (String policy : policies) {
             List<Double> x = new ArrayList<>();
             List<Double> y = new ArrayList<>();
             List<Double> error = new ArrayList<>();
             for (int i = 0; i < levels.size(); i++) {
-                Sheet.Mean mean =
-                        Sheet.mean(sheet.where(at(factor, levels.get(i)).and(at("policy", policy))), measure);
+                Sheet.Mean mean = Sheet.mean(
+                        sheet.select(hasValue(factor, levels.get(i)).and(hasValue("policy", policy))), measure);
                 if (mean.runs() > 0) {
-                    x.add(numbers ? Double.parseDouble(levels.get(i)) : i);
+                    x.add(numeric ? Double.parseDouble(levels.get(i)) : i);
                     y.add(mean.mean());
                     error.add((mean.high() - mean.low()) / 2);
                 }
@@ -209,7 +231,7 @@
             }
             colour++;
         }
-        if (numbers
+        if (numeric
                 && levels.stream().mapToDouble(Double::parseDouble).max().orElse(1)
                         > 20
                                 * levels.stream()
@@ -217,7 +239,7 @@
                                         .min()
                                         .orElse(1)) {
             chart.getStyler().setXAxisLogarithmic(true);
-        } else if (!numbers) {
+        } else if (!numeric) {
             Map<Object, Object> names = new LinkedHashMap<>();
             for (int i = 0; i < levels.size(); i++) {
                 names.put((double) i, levels.get(i));
@@ -227,7 +249,8 @@
         return chart;
     }
 
-    private CategoryChart byTrouble(Set<String> troubles) {
+    /** Returns a bar chart of the mean service on days with each named trouble. */
+    private CategoryChart chartByTrouble(Set<String> troubles) {
         CategoryChart chart = new CategoryChartBuilder()
                 .width(Charts.WIDTH)
                 .height(Charts.HEIGHT)
@@ -235,44 +258,46 @@
                 .build();
         Charts.style(chart.getStyler());
         List<String> names = new ArrayList<>(troubles);
-        // A dozen names side by side would run into each other.
+        // Horizontal labels would overlap with a dozen names.
         chart.getStyler().setXAxisLabelRotation(45);
-        double least = 1;
+        double lowest = 1;
         int colour = 0;
         for (String policy : policies) {
             List<Double> y = new ArrayList<>();
             for (String trouble : names) {
                 double mean = Sheet.mean(
-                                sheet.where(at("policy", policy)
-                                        .and(r -> r.named("troubles").contains(trouble))),
+                                sheet.select(hasValue("policy", policy)
+                                        .and(r -> r.list("troubles").contains(trouble))),
                                 "service")
                         .mean();
                 y.add(Double.isNaN(mean) ? 0 : mean);
-                least = Double.isNaN(mean) ? least : Math.min(least, mean);
+                lowest = Double.isNaN(mean) ? lowest : Math.min(lowest, mean);
             }
             chart.addSeries(policy, names, y).setFillColor(COLOURS[colour++ % COLOURS.length]);
         }
-        // Bars that differ in the second digit are all alike from zero on; the axis says where it begins.
-        chart.getStyler().setYAxisMin(Math.floor(least * 20 - 1) / 20);
+        // Bars that start at zero and differ in the second digit look alike, so the axis starts just below the
+        // lowest; its labels show where.
+        chart.getStyler().setYAxisMin(Math.floor(lowest * 20 - 1) / 20);
         chart.getStyler().setYAxisMax(1.0);
         return chart;
     }
 
-    private XYChart sorted() {
+    /** Returns a chart of the service of all days, sorted, with a line for each policy. */
+    private XYChart chartSortedDays() {
         XYChart chart = Charts.chart("share of days", "service");
         int colour = 0;
         for (String policy : policies) {
-            double[] all = sheet.where(at("policy", policy)).stream()
+            double[] services = sheet.select(hasValue("policy", policy)).stream()
                     .mapToDouble(r -> r.number("service"))
                     .sorted()
                     .toArray();
-            if (all.length > 0) {
-                double[] x = new double[all.length];
+            if (services.length > 0) {
+                double[] x = new double[services.length];
                 for (int i = 0; i < x.length; i++) {
                     x[i] = (i + 0.5) / x.length;
                 }
-                XYSeries series = chart.addSeries(policy, x, all);
-                series.setMarker(org.knowm.xchart.style.markers.SeriesMarkers.NONE);
+                XYSeries series = chart.addSeries(policy, x, services);
+                series.setMarker(SeriesMarkers.NONE);
                 series.setLineColor(COLOURS[colour % COLOURS.length]);
             }
             colour++;
--- a/src/main/java/puffinbarrow/emulator/Runs.java
+++ b/src/main/java/puffinbarrow/emulator/Runs.java
@@ -2,6 +2,7 @@
 
 import com.dynatrace.hash4j.hashing.Hashing;
 import java.io.IOException;
+import java.io.UncheckedIOException;
 import java.io.Writer;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
@@ -24,11 +25,12 @@
 import puffinbarrow.config.Problem;
 
 /**
- * Plays an experiment's runs side by side and keeps a row of each: at once in {@code runs.part.csv}, so that a run that was
- * cut off goes on where it stood, and when all are done sorted in {@code results.csv}, which follows from the experiment
- * alone. What this machine took stands apart, in {@code timings.csv}.
+ * Executes the runs of an experiment on several threads. Each finished run is appended to {@code runs.part.csv}, so
+ * that an interrupted experiment continues where it stopped; when all are done, {@code results.csv} holds them in
+ * order and depends on the experiment alone. What the runs cost on this machine stands apart, in {@code timings.csv}.
  */
 public final class Runs {
+    /** Columns of measures in results.csv, after levels, policy and seed. */
     public static final List<String> MEASURES = List.of(
             "service",
             "worst",
@@ -49,7 +51,7 @@
             "broken",
             "troubles",
             "failed");
-    /** In the part file only. */
+    /** Columns on the cost of a run, which results.csv leaves out. */
     private static final List<String> COSTS = List.of("wall_s", "decision_us_per_event", "decisions_share");
 
     private final Experiment experiment;
@@ -57,6 +59,12 @@
     private final int threads;
     private final Consumer<String> progress;
 
+    /**
+     * Creates the runner of an experiment.
+     *
+     * @param folder holds the result files; created if missing
+     * @param progress takes a line of text after each run
+     */
     public Runs(Experiment experiment, Path folder, int threads, Consumer<String> progress) {
         this.experiment = experiment;
         this.folder = folder;
@@ -64,23 +72,23 @@
         this.progress = progress;
     }
 
-    /** One day, whatever comes of it. */
-    static Outcome play(String text, Policy policy, long mostEvents) {
+    /** Runs one day; returns an outcome in any case, failed if the day is invalid or the run throws. */
+    static Outcome runDay(String text, Policy policy, long maxEvents) {
         List<Problem> problems = new ArrayList<>();
         Setup setup = Setup.parse("run", text, problems);
         if (!problems.isEmpty()) {
             return failed("no sound day: " + problems.get(0));
         }
         try {
-            return new Fleet(setup, policy, new Heap(), mostEvents).run();
+            return new Fleet(setup, policy, new Heap(), maxEvents).run();
         } catch (RuntimeException | OutOfMemoryError thrown) {
             return failed("threw " + thrown);
         }
     }
 
-    private static Outcome failed(String why) {
+    private static Outcome failed(String reason) {
         Outcome outcome = new Outcome();
-        outcome.failed = why;
+        outcome.failed = reason;
         return outcome;
     }
 
@@ -92,13 +100,14 @@
         return columns;
     }
 
+    /** Returns the cells of a run, in the order of the columns. */
     private List<String> row(Experiment.Run run, Outcome o) {
         List<String> row = new ArrayList<>(run.levels());
         row.add(run.policy());
         row.add(Long.toString(run.seed()));
         row.addAll(List.of(
                 number(o.service),
-                number(o.worst),
+                number(o.worstWindow),
                 "" + o.intended,
                 "" + o.inBudget,
                 "" + o.late,
@@ -108,13 +117,13 @@
                 number(o.p99Ms),
                 number(o.p999Ms),
                 "" + o.moves,
-                "" + o.handed,
+                "" + o.ownerChanges,
                 "" + (long) o.linesSent,
-                "" + o.retried,
-                "" + o.cutOff,
+                "" + o.proxyRetries,
+                "" + o.cutOffs,
                 "" + o.events,
                 o.broken,
-                String.join("+", experiment.troubles(run.seed())),
+                String.join("+", experiment.troubleNames(run.seed())),
                 o.failed == null ? "" : o.failed.replace('\n', ' ')));
         return row;
     }
@@ -123,55 +132,58 @@
         return String.format(Locale.ROOT, "%.5f", value);
     }
 
-    /** All rows in their order, played or read from an earlier, cut-off try; false if the folder is another experiment's. */
+    /**
+     * Executes all runs that an earlier, interrupted call has not finished and writes the result files; returns false
+     * if the folder belongs to another experiment.
+     */
     public boolean play() throws IOException, InterruptedException {
         Files.createDirectories(folder);
         String identity = Long.toHexString(Hashing.komihash5_0()
                 .hashStream()
                 .putString(experiment.identity())
                 .getAsLong());
-        Path mark = folder.resolve("experiment.id");
-        if (Files.exists(mark) && !Files.readString(mark).trim().equals(identity)) {
+        Path idFile = folder.resolve("experiment.id");
+        if (Files.exists(idFile) && !Files.readString(idFile).trim().equals(identity)) {
             return false;
         }
-        Files.writeString(mark, identity + "\n");
-        Path part = folder.resolve("runs.part.csv");
-        Map<String, List<String>> rows = kept(part);
-        List<Experiment.Run> todo = experiment.runs().stream()
+        Files.writeString(idFile, identity + "\n");
+        Path partFile = folder.resolve("runs.part.csv");
+        Map<String, List<String>> rows = readEarlierRows(partFile);
+        List<Experiment.Run> pendingRuns = experiment.runs().stream()
                 .filter(r -> !rows.containsKey(r.key()))
                 .toList();
-        int all = experiment.runs().size();
+        int runCount = experiment.runs().size();
         if (!rows.isEmpty()) {
-            progress.accept(rows.size() + " of " + all + " runs are there from an earlier try");
+            progress.accept(rows.size() + " of " + runCount + " runs are there from an earlier try");
         }
-        long began = System.nanoTime();
+        long beganNs = System.nanoTime();
         ExecutorService pool = Executors.newFixedThreadPool(threads);
         try (Writer out = Files.newBufferedWriter(
-                part, StandardCharsets.UTF_8, StandardOpenOption.CREATE, StandardOpenOption.APPEND)) {
-            for (Experiment.Run run : todo) {
+                partFile, StandardCharsets.UTF_8, StandardOpenOption.CREATE, StandardOpenOption.APPEND)) {
+            for (Experiment.Run run : pendingRuns) {
                 pool.execute(() -> {
-                    long from = System.nanoTime();
-                    Outcome outcome = play(experiment.text(run), Policy.named(run.policy()), experiment.mostEvents);
-                    double wall = (System.nanoTime() - from) / 1e9;
+                    long startedNs = System.nanoTime();
+                    Outcome outcome = runDay(experiment.dayText(run), Policy.named(run.policy()), experiment.maxEvents);
+                    double wallSeconds = (System.nanoTime() - startedNs) / 1e9;
                     List<String> row = row(run, outcome);
                     row.addAll(List.of(
-                            number(wall),
+                            number(wallSeconds),
                             number(outcome.decisionNs / 1e3 / Math.max(1, outcome.decisionEvents)),
-                            number(outcome.decisionNs / 1e9 / wall)));
+                            number(outcome.decisionNs / 1e9 / wallSeconds)));
                     synchronized (rows) {
                         rows.put(run.key(), row);
                         try {
                             out.write(CSVFormat.DEFAULT.format(row.toArray()) + "\n");
                             out.flush();
-                        } catch (IOException full) {
-                            throw new java.io.UncheckedIOException(full);
+                        } catch (IOException failure) {
+                            throw new UncheckedIOException(failure);
                         }
-                        double left = (System.nanoTime() - began)
+                        double secondsLeft = (System.nanoTime() - beganNs)
                                 / 1e9
-                                / Math.max(1, rows.size() - (all - todo.size()))
-                                * (all - rows.size());
-                        progress.accept(
-                                String.format(Locale.ROOT, "%d of %d runs, about %.0f s left", rows.size(), all, left));
+                                / Math.max(1, rows.size() - (runCount - pendingRuns.size()))
+                                * (runCount - rows.size());
+                        progress.accept(String.format(
+                                Locale.ROOT, "%d of %d runs, about %.0f s left", rows.size(), runCount, secondsLeft));
                     }
                 });
             }
@@ -180,63 +192,68 @@
         } finally {
             pool.shutdownNow();
         }
-        if (rows.size() < all) {
-            throw new IOException((all - rows.size()) + " runs could not be kept");
+        if (rows.size() < runCount) {
+            throw new IOException((runCount - rows.size()) + " runs could not be kept");
         }
-        finish(rows);
-        Files.delete(part);
+        writeResults(rows);
+        Files.delete(partFile);
         return true;
     }
 
-    private void finish(Map<String, List<String>> rows) throws IOException {
-        int costs = COSTS.size();
+    /** Writes the final files from the rows of all runs. */
+    private void writeResults(Map<String, List<String>> rows) throws IOException {
+        int costCount = COSTS.size();
         StringBuilder results =
                 new StringBuilder(CSVFormat.DEFAULT.format(columns().toArray())).append('\n');
-        List<String> timed = new ArrayList<>(columns().subList(0, experiment.factors.size() + 2));
-        timed.addAll(COSTS);
-        StringBuilder timings = new StringBuilder(CSVFormat.DEFAULT.format(timed.toArray())).append('\n');
+        List<String> timingColumns = new ArrayList<>(columns().subList(0, experiment.factors.size() + 2));
+        timingColumns.addAll(COSTS);
+        StringBuilder timings = new StringBuilder(CSVFormat.DEFAULT.format(timingColumns.toArray())).append('\n');
         for (Experiment.Run run : experiment.runs()) {
             List<String> row = rows.get(run.key());
             results.append(CSVFormat.DEFAULT.format(
-                            row.subList(0, row.size() - costs).toArray()))
+                            row.subList(0, row.size() - costCount).toArray()))
                     .append('\n');
             List<String> cost = new ArrayList<>(row.subList(0, experiment.factors.size() + 2));
-            cost.addAll(row.subList(row.size() - costs, row.size()));
+            cost.addAll(row.subList(row.size() - costCount, row.size()));
             timings.append(CSVFormat.DEFAULT.format(cost.toArray())).append('\n');
         }
         write("timings.csv", timings.toString());
         write("results.csv", results.toString());
     }
 
+    /** Replaces a file atomically. */
     private void write(String name, String text) throws IOException {
-        Path next = folder.resolve(name + ".new");
-        Files.writeString(next, text, StandardCharsets.UTF_8);
-        Files.move(next, folder.resolve(name), StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
+        Path newFile = folder.resolve(name + ".new");
+        Files.writeString(newFile, text, StandardCharsets.UTF_8);
+        Files.move(newFile, folder.resolve(name), StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
     }
 
-    /** Rows of an earlier try. The last may be torn: whatever is not whole is played again, and cut off the file. */
-    private Map<String, List<String>> kept(Path part) throws IOException {
+    /**
+     * Reads the rows of an earlier, interrupted call. The last row may be incomplete: it is cut off the file and its
+     * run is repeated.
+     */
+    private Map<String, List<String>> readEarlierRows(Path partFile) throws IOException {
         Map<String, List<String>> rows = new LinkedHashMap<>();
-        Path whole = folder.resolve("results.csv");
-        if (!Files.exists(part) && Files.exists(whole)) {
-            Map<String, List<String>> costs = new HashMap<>();
-            int keys = experiment.factors.size() + 2;
+        Path resultsFile = folder.resolve("results.csv");
+        if (!Files.exists(partFile) && Files.exists(resultsFile)) {
+            Map<String, List<String>> costsByKey = new HashMap<>();
+            int keyColumns = experiment.factors.size() + 2;
             for (List<String> row : rows(folder.resolve("timings.csv"))) {
-                costs.put(row.subList(0, keys).toString(), row.subList(keys, row.size()));
+                costsByKey.put(row.subList(0, keyColumns).toString(), row.subList(keyColumns, row.size()));
             }
-            for (List<String> row : rows(whole)) {
-                List<String> both = new ArrayList<>(row);
-                both.addAll(costs.get(row.subList(0, keys).toString()));
-                rows.put(run(row).key(), both);
+            for (List<String> row : rows(resultsFile)) {
+                List<String> fullRow = new ArrayList<>(row);
+                fullRow.addAll(costsByKey.get(row.subList(0, keyColumns).toString()));
+                rows.put(run(row).key(), fullRow);
             }
             return rows;
         }
-        if (!Files.exists(part)) {
+        if (!Files.exists(partFile)) {
             return rows;
         }
-        String text = Files.readString(part, StandardCharsets.UTF_8);
+        String text = Files.readString(partFile, StandardCharsets.UTF_8);
         text = text.substring(0, text.lastIndexOf('\n') + 1);
-        Files.writeString(part, text, StandardCharsets.UTF_8);
+        Files.writeString(partFile, text, StandardCharsets.UTF_8);
         try (CSVParser in = CSVParser.parse(text, CSVFormat.DEFAULT)) {
             for (CSVRecord record : in) {
                 if (record.size() == columns().size() + COSTS.size()) {
@@ -247,6 +264,7 @@
         return rows;
     }
 
+    /** Returns the run that a row belongs to. */
     private Experiment.Run run(List<String> row) {
         int factors = experiment.factors.size();
         return new Experiment.Run(
--- a/src/main/java/puffinbarrow/emulator/Search.java
+++ b/src/main/java/puffinbarrow/emulator/Search.java
@@ -16,16 +16,19 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Hunts an experiment's ranges for the day that breaks a rule, or loses most against another policy: first days at random,
- * then changes to the worst, then the worst cut down to what it needs. The same seed and number of days find the same.
+ * Searches an experiment's ranges for the day that breaks a rule, or loses most against another policy: first random
+ * days, then mutations of the worst, then the worst day is reduced to the lines it needs. The same seed and number of
+ * days give the same result. Called by the command line; days run on a pool of threads of its own.
  */
 public final class Search {
-    /** A day and how bad it is. Breaking a rule is worse than any loss. */
+    /** A day and its result; breaking a rule counts as worse than any loss. */
     public record Find(String text, String broken, double loss) {
-        double badness() {
-            return loss + (broken.isEmpty() ? 0 : 10);
+        /** Returns the order of candidates: the higher, the worse. */
+        double severity() {
+            return loss + (broken.isEmpty() ? 0 : RULE_PENALTY);
         }
 
+        /** Returns the result in a few words. */
         public String told() {
             return broken.isEmpty()
                     ? String.format(Locale.ROOT, "loses %.3f of service", loss)
@@ -33,108 +36,121 @@
         }
     }
 
-    /** A candidate: which of the drawn lines stand, and how they were drawn. */
+    /** A candidate day: its drawn lines and, once it has been run, its result. */
     private record Candidate(long seed, List<String> lines, Find find) {}
 
-    /** Days at random before changes begin. */
-    private static final double AT_RANDOM = 0.5;
-    /** The worst so many are changed further. */
-    private static final int KEPT = 6;
-    /** A cut is kept if this part of the loss is left. */
-    private static final double LEFT = 0.85;
-    /** The last time of a line, {@code for 8s}; halved while it matters no less. */
-    private static final Pattern LASTS = Pattern.compile("for ([0-9.]+)(s|ms)\\b");
+    /** Added to the loss of a day that breaks a rule; more than any loss. */
+    private static final int RULE_PENALTY = 10;
+    /** Days run between two selections. */
+    private static final int BATCH_SIZE = 16;
+    /** Share of the days that are drawn at random before mutations begin. */
+    private static final double RANDOM_SHARE = 0.5;
+    /** Number of worst days that are mutated further. */
+    private static final int POPULATION = 6;
+    /** A reduced day is kept if at least this share of the loss is left. */
+    private static final double MIN_LOSS_LEFT = 0.85;
+    /** Duration of a line, {@code for 8s}; halved as long as the day stays as bad. */
+    private static final Pattern DURATION = Pattern.compile("for ([0-9.]+)(s|ms)\\b");
 
     private final Experiment experiment;
-    private final Policy policy, against;
+    private final Policy policy;
+    private final Policy reference;
     private final ExecutorService pool;
     private final int threads;
-    private final UniformRandomProvider chance;
+    private final UniformRandomProvider random;
     private final long seed;
     private final Consumer<String> progress;
-    private int played;
+    private int daysRun;
 
+    /**
+     * Creates a search.
+     *
+     * @param reference the policy that losses are counted against, or null: they are counted against full service
+     * @param progress takes a line of text after each batch
+     */
     public Search(
-            Experiment experiment, Policy policy, Policy against, long seed, int threads, Consumer<String> progress) {
+            Experiment experiment, Policy policy, Policy reference, long seed, int threads, Consumer<String> progress) {
         this.experiment = experiment;
         this.policy = policy;
-        this.against = against;
+        this.reference = reference;
         this.seed = seed;
-        this.chance = Experiment.chance(seed);
+        this.random = Experiment.random(seed);
         this.threads = threads;
         this.pool = Executors.newFixedThreadPool(threads);
         this.progress = progress;
     }
 
-    /** The worst after so many days, cut down; null if none loses or breaks anything. */
+    /** Runs so many days and returns the worst one, reduced; null if none loses or breaks anything. */
     public Find run(int days) throws InterruptedException {
         try {
             List<Candidate> worst = new ArrayList<>();
-            long next = seed * 1_000_000;
-            while (played < days) {
+            long nextSeed = seed * 1_000_000;
+            while (daysRun < days) {
                 List<Candidate> batch = new ArrayList<>();
-                // A batch is of a fixed size, so that the number of threads changes nothing.
-                for (int i = 0; i < 16 && played + i < days; i++) {
-                    boolean fresh = played < days * AT_RANDOM || worst.isEmpty();
+                // Batches have a fixed size, so that the result does not depend on the number of threads.
+                for (int i = 0; i < BATCH_SIZE && daysRun + i < days; i++) {
+                    boolean drawNew = daysRun < days * RANDOM_SHARE || worst.isEmpty();
                     batch.add(
-                            fresh
-                                    ? new Candidate(next, experiment.draws(next++), null)
-                                    : changed(worst.get(chance.nextInt(worst.size()))));
+                            drawNew
+                                    ? new Candidate(nextSeed, experiment.draws(nextSeed++), null)
+                                    : mutate(worst.get(random.nextInt(worst.size()))));
                 }
-                worst.addAll(judged(batch));
-                worst.sort(Comparator.comparingDouble((Candidate c) -> -c.find.badness())
+                worst.addAll(runAll(batch));
+                worst.sort(Comparator.comparingDouble((Candidate c) -> -c.find.severity())
                         .thenComparing(c -> c.find.text));
-                while (worst.size() > KEPT) {
+                while (worst.size() > POPULATION) {
                     worst.remove(worst.size() - 1);
                 }
-                played += batch.size();
-                progress.accept(played + " of " + days + " days; the worst "
+                daysRun += batch.size();
+                progress.accept(daysRun + " of " + days + " days; the worst "
                         + worst.get(0).find.told());
             }
-            Candidate found = worst.get(0);
-            return found.find.badness() <= 0 ? null : shrunk(found).find;
+            Candidate worstDay = worst.get(0);
+            return worstDay.find.severity() <= 0 ? null : reduce(worstDay).find;
         } finally {
             pool.shutdownNow();
         }
     }
 
-    private List<Candidate> judged(List<Candidate> batch) throws InterruptedException {
-        List<Callable<Candidate>> work = new ArrayList<>();
+    /** Runs the days in parallel and returns them with their results, in the same order. */
+    private List<Candidate> runAll(List<Candidate> batch) throws InterruptedException {
+        List<Callable<Candidate>> tasks = new ArrayList<>();
         for (Candidate each : batch) {
-            work.add(() -> new Candidate(each.seed, each.lines, judge(each)));
+            tasks.add(() -> new Candidate(each.seed, each.lines, runDay(each)));
         }
-        List<Candidate> done = new ArrayList<>();
+        List<Candidate> results = new ArrayList<>();
         try {
-            for (Future<Candidate> each : pool.invokeAll(work)) {
-                done.add(each.get());
+            for (Future<Candidate> each : pool.invokeAll(tasks)) {
+                results.add(each.get());
             }
         } catch (ExecutionException thrown) {
             throw new IllegalStateException(thrown.getCause());
         }
-        return done;
+        return results;
     }
 
-    private Find judge(Candidate of) {
-        String text = experiment.text(of.lines, List.of(), of.seed);
-        Outcome ours = Runs.play(text, policy, experiment.mostEvents);
-        if (ours.failed != null && ours.failed.startsWith("no sound day")) {
+    /** Runs a day under both policies; a loss of -1 marks an invalid day. */
+    private Find runDay(Candidate candidate) {
+        String text = experiment.dayText(candidate.lines, List.of(), candidate.seed);
+        Outcome outcome = Runs.runDay(text, policy, experiment.maxEvents);
+        if (outcome.failed != null && outcome.failed.startsWith("no sound day")) {
             return new Find(text, "", -1);
         }
-        double theirs = against == null ? 1 : Runs.play(text, against, experiment.mostEvents).service;
-        return new Find(text, ours.failed != null ? "failed" : ours.broken, theirs - ours.service);
+        double referenceService = reference == null ? 1 : Runs.runDay(text, reference, experiment.maxEvents).service;
+        return new Find(text, outcome.failed != null ? "failed" : outcome.broken, referenceService - outcome.service);
     }
 
-    /** One drawn line anew, one taken away, or one that did not stand. */
-    private Candidate changed(Candidate of) {
-        List<String> lines = new ArrayList<>(of.lines);
-        List<Experiment.Drawn> drawn = experiment.drawn;
-        if (drawn.isEmpty()) {
-            return new Candidate(of.seed + 1, lines, null);
+    /** Returns a mutation: a line added, a fault removed, or a line drawn again in place of one of its keyword. */
+    private Candidate mutate(Candidate origin) {
+        List<String> lines = new ArrayList<>(origin.lines);
+        List<Experiment.Drawn> drawnLines = experiment.drawnLines;
+        if (drawnLines.isEmpty()) {
+            return new Candidate(origin.seed + 1, lines, null);
         }
-        String line = Experiment.draw(drawn.get(chance.nextInt(drawn.size())), chance);
-        int at = lines.isEmpty() ? -1 : chance.nextInt(lines.size());
+        String line = Experiment.drawLine(drawnLines.get(random.nextInt(drawnLines.size())), random);
+        int at = lines.isEmpty() ? -1 : random.nextInt(lines.size());
         String keyword = line.split(" ")[0];
-        switch (chance.nextInt(3)) {
+        switch (random.nextInt(3)) {
             case 0 -> lines.add(line);
             case 1 -> {
                 if (at >= 0 && lines.get(at).startsWith("at ")) {
@@ -142,59 +158,62 @@
                 }
             }
             default -> {
-                // In place of one of its kind, so that no day is all troubles.
+                // In place of one of its keyword, so that days do not fill up with faults.
                 for (int i = 0; i < lines.size(); i++) {
                     if (lines.get(i).startsWith(keyword + " ")) {
                         lines.set(i, line);
-                        return new Candidate(of.seed, lines, null);
+                        return new Candidate(origin.seed, lines, null);
                     }
                 }
                 lines.add(line);
             }
         }
-        return new Candidate(of.seed, lines, null);
+        return new Candidate(origin.seed, lines, null);
     }
 
-    private boolean asBad(Find cut, Find whole) {
-        if (!whole.broken.isEmpty()) {
-            TreeSet<String> rules = new TreeSet<>(List.of(whole.broken.split("\\+")));
-            rules.retainAll(List.of(cut.broken.split("\\+")));
+    /** Returns whether a reduced day still breaks one of the rules, or keeps enough of the loss. */
+    private boolean stillAsBad(Find reduced, Find original) {
+        if (!original.broken.isEmpty()) {
+            TreeSet<String> rules = new TreeSet<>(List.of(original.broken.split("\\+")));
+            rules.retainAll(List.of(reduced.broken.split("\\+")));
             return !rules.isEmpty();
         }
-        return cut.loss >= LEFT * whole.loss;
+        return reduced.loss >= MIN_LOSS_LEFT * original.loss;
     }
 
-    /** Line by line taken away, then durations halved, for as long as it stays as bad. */
-    private Candidate shrunk(Candidate found) throws InterruptedException {
-        Candidate best = found;
-        for (boolean again = true; again; ) {
-            again = false;
-            List<Candidate> cuts = new ArrayList<>();
+    /** Removes lines one by one, then halves durations, for as long as the day stays as bad. */
+    private Candidate reduce(Candidate worstDay) throws InterruptedException {
+        Candidate best = worstDay;
+        for (boolean improved = true; improved; ) {
+            improved = false;
+            List<Candidate> reducedDays = new ArrayList<>();
             for (int i = 0; i < best.lines.size(); i++) {
                 if (best.lines.get(i).startsWith("at ")) {
                     List<String> without = new ArrayList<>(best.lines);
                     without.remove(i);
-                    cuts.add(new Candidate(best.seed, without, null));
+                    reducedDays.add(new Candidate(best.seed, without, null));
                 }
             }
             for (int i = 0; i < best.lines.size(); i++) {
-                Matcher lasts = LASTS.matcher(best.lines.get(i));
-                if (best.lines.get(i).startsWith("at ") && lasts.find() && Double.parseDouble(lasts.group(1)) > 1) {
+                Matcher duration = DURATION.matcher(best.lines.get(i));
+                if (best.lines.get(i).startsWith("at ")
+                        && duration.find()
+                        && Double.parseDouble(duration.group(1)) > 1) {
                     List<String> shorter = new ArrayList<>(best.lines);
                     shorter.set(
                             i,
-                            lasts.replaceFirst(String.format(
+                            duration.replaceFirst(String.format(
                                     Locale.ROOT,
                                     "for %.2f%s",
-                                    Double.parseDouble(lasts.group(1)) / 2,
-                                    lasts.group(2))));
-                    cuts.add(new Candidate(best.seed, shorter, null));
+                                    Double.parseDouble(duration.group(1)) / 2,
+                                    duration.group(2))));
+                    reducedDays.add(new Candidate(best.seed, shorter, null));
                 }
             }
-            for (Candidate cut : judged(cuts)) {
-                if (asBad(cut.find, found.find)) {
-                    best = cut;
-                    again = true;
+            for (Candidate reduced : runAll(reducedDays)) {
+                if (stillAsBad(reduced.find, worstDay.find)) {
+                    best = reduced;
+                    improved = true;
                     progress.accept("cut to " + best.lines.size() + " drawn lines; " + best.find.told());
                     break;
                 }
--- a/src/main/java/puffinbarrow/emulator/Server.java
+++ b/src/main/java/puffinbarrow/emulator/Server.java
@@ -7,18 +7,23 @@
 import java.util.List;
 import java.util.Map;
 import java.util.PriorityQueue;
+import java.util.function.Consumer;
 import org.apache.commons.rng.UniformRandomProvider;
 import puffinbarrow.audit.Seen;
 import puffinbarrow.control.Event;
 import puffinbarrow.day.Machine;
 
 /**
- * A backend in simulated time: cores that work flows one each or share all, a waiting room, a cold start, warm keys,
- * connections with a cap, load reports now and then, and faults on command.
+ * A backend server in simulated time: cores that each work on one flow or are shared by all, a waiting room, a cold
+ * start, a cache of warm keys, a limit on connections, periodic load reports, and faults on command of the script.
  */
 final class Server implements Machine {
-    /** What a machine is. */
-    record Shape(
+    /**
+     * Fixed properties of a server: speed relative to 1; {@code coldFrom} is the share of its speed right after a
+     * start, {@code coldNs} the time to full speed; {@code fallMultiple} and {@code fallNs} say what overload a cold
+     * server bears.
+     */
+    record Spec(
             int zone,
             int cell,
             int cores,
@@ -29,82 +34,119 @@
             double fallMultiple,
             long fallNs) {}
 
-    /** A code as a proxy sees it; 0 is a broken stream. */
-    static final int OK = 200, ERROR = 500, TURNED_AWAY = 503, RESET = 0, NOT_CONNECTED = -1;
+    /** Status codes as a proxy sees them; 0 is a broken stream, -1 a connection that could not be opened. */
+    static final int OK = 200;
 
+    static final int ERROR = 500;
+    static final int REJECTED = 503;
+    static final int RESET = 0;
+    static final int CONNECT_FAILED = -1;
+
+    /** A request in work or waiting. */
     private static final class Job implements Comparable<Job> {
         final Proxy.Attempt attempt;
-        final long number;
-        /** Work left as asked, in nanoseconds of one core of speed 1; with shared cores, the meter at which it is done. */
+        /** Order of arrival; breaks ties between jobs. */
+        final long sequence;
+        /**
+         * Work in nanoseconds of one core of speed 1; with shared cores, the reading of {@link
+         * Server#attainedService} at which the job is done.
+         */
         double work;
 
-        Job(Proxy.Attempt attempt, long number) {
+        Job(Proxy.Attempt attempt, long sequence) {
             this.attempt = attempt;
-            this.number = number;
+            this.sequence = sequence;
             this.work = attempt.workNs();
         }
 
         @Override
         public int compareTo(Job other) {
-            return work != other.work ? Double.compare(work, other.work) : Long.compare(number, other.number);
+            return work != other.work ? Double.compare(work, other.work) : Long.compare(sequence, other.sequence);
         }
     }
 
-    /** Of the part above its fair share that a cold server bears before it falls: slack for uneven draws. */
-    private static final double SLACK = 1.1;
+    /** Tolerance on the load that a cold server bears before it falls over: slack for uneven draws. */
+    private static final double OVERLOAD_TOLERANCE = 1.1;
 
     private final Fleet fleet;
-    private final World world;
-    private final Model model;
-    private final Shape shape;
+    private final Simulation simulation;
+    private final ModelParameters model;
+    private final Spec spec;
     private final String id;
     final int index;
-    private final UniformRandomProvider chance;
+    private final UniformRandomProvider random;
     private final ArrayDeque<Job> waiting = new ArrayDeque<>();
-    /** With shared cores: all in work, by the meter's reading at their end. */
-    private final PriorityQueue<Job> sharing = new PriorityQueue<>();
+    /** With shared cores: the jobs in work, ordered by the service at which they end. */
+    private final PriorityQueue<Job> sharedJobs = new PriorityQueue<>();
 
-    private final Map<Integer, Boolean> keys = new LinkedHashMap<>(64, 0.75f, true);
+    /** Recently used keys, the least recently used first. */
+    private final Map<Integer, Boolean> warmKeys = new LinkedHashMap<>(64, 0.75f, true);
+    /** Flows completed within the deduplication time, with the time of completion. */
     private final LinkedHashMap<Long, Long> dedup = new LinkedHashMap<>();
-    private final ArrayDeque<long[]> asked = new ArrayDeque<>();
-    private final List<Proxy.Attempt> open = new ArrayList<>();
-    private double askedWork;
-    private int working, connections;
-    private int life;
-    private boolean up = true, fell, draining;
-    private long startedAt;
-    private double failShare, loseShare, slow = 1;
-    private long pausedUntil;
-    private long reportAt, jobs;
-    private double busyNs, busyMark;
-    private int done;
-    private double lastBusy, lastPerS;
-    private double meter;
-    private long meterAt, meterTurn;
-
-    Server(Fleet fleet, int index, Shape shape) {
+    /** Time and work of the requests within the time of the overload rule. */
+    private final ArrayDeque<long[]> recentRequests = new ArrayDeque<>();
+
+    private final List<Proxy.Attempt> openAttempts = new ArrayList<>();
+    private double recentWorkNs;
+    /** Jobs in work. */
+    private int working;
+
+    private int connections;
+    /** Counts deaths; what belongs to an earlier incarnation is ignored. */
+    private int incarnation;
+
+    private boolean up = true;
+    private boolean fellOver;
+    private boolean draining;
+    /** When the process started; 0: before the day, fully warm. */
+    private long startedAtNs;
+
+    private double failureShare;
+    private double lostAnswerShare;
+    /** Factor by which the script slows the server; 1: none. */
+    private double slowdown = 1;
+
+    private long pausedUntilNs;
+    private long reportedAtNs;
+    private long jobsCreated;
+    private double busyNs;
+    private double reportedBusyNs;
+    private int completedSinceReport;
+    private double lastBusy;
+    private double lastDeliveredPerS;
+    /**
+     * With shared cores: work that a job in service since the start would have received, in nanoseconds of one core
+     * of speed 1.
+     */
+    private double attainedService;
+
+    private long attainedAtNs;
+    /** Number of the scheduled completion; an earlier one is ignored. */
+    private long completionNumber;
+
+    Server(Fleet fleet, int index, Spec spec) {
         this.fleet = fleet;
-        this.world = fleet.world;
+        this.simulation = fleet.simulation;
         this.model = fleet.model;
-        this.shape = shape;
+        this.spec = spec;
         this.index = index;
         this.id = String.format("e%05d", index);
-        this.chance = world.chance("server", index);
+        this.random = simulation.random("server", index);
     }
 
-    Shape shape() {
-        return shape;
+    Spec spec() {
+        return spec;
     }
 
-    int life() {
-        return life;
+    int incarnation() {
+        return incarnation;
     }
 
-    boolean fell() {
-        return fell;
+    boolean fellOver() {
+        return fellOver;
     }
 
-    // ---- What the script does to it.
+    // ---- Faults and drains of the script (Machine).
 
     @Override
     public String id() {
@@ -113,17 +155,17 @@
 
     @Override
     public int zone() {
-        return shape.zone;
+        return spec.zone;
     }
 
     @Override
     public int cell() {
-        return shape.cell;
+        return spec.cell;
     }
 
     @Override
     public long startedAt() {
-        return startedAt;
+        return startedAtNs;
     }
 
     @Override
@@ -142,40 +184,40 @@
             return;
         }
         up = false;
-        life++;
+        incarnation++;
         waiting.clear();
-        sharing.clear();
+        sharedJobs.clear();
         working = 0;
         connections = 0;
-        keys.clear();
+        warmKeys.clear();
         dedup.clear();
-        List<Proxy.Attempt> cut = new ArrayList<>(open);
-        open.clear();
-        for (Proxy.Attempt attempt : cut) {
-            attempt.place = -1;
-            world.after(model.networkNs, () -> attempt.ended(RESET, null));
+        List<Proxy.Attempt> brokenAttempts = new ArrayList<>(openAttempts);
+        openAttempts.clear();
+        for (Proxy.Attempt attempt : brokenAttempts) {
+            attempt.openIndex = -1;
+            simulation.after(model.networkDelayNs, () -> attempt.complete(RESET, null));
         }
     }
 
     @Override
     public void startCold() {
-        if (up || fell) {
+        if (up || fellOver) {
             return;
         }
         up = true;
         draining = false;
-        failShare = loseShare = 0;
-        slow = 1;
-        pausedUntil = 0;
-        asked.clear();
-        askedWork = 0;
+        failureShare = lostAnswerShare = 0;
+        slowdown = 1;
+        pausedUntilNs = 0;
+        recentRequests.clear();
+        recentWorkNs = 0;
         beginCold();
     }
 
-    /** Cold from now on. */
+    /** Starts the warm-up now. */
     void beginCold() {
-        startedAt = world.now();
-        fleet.seen(new Seen.Started(startedAt, id, shape.cores, shape.speed, shape.coldFrom, shape.coldNs));
+        startedAtNs = simulation.now();
+        fleet.observe(new Seen.Started(startedAtNs, id, spec.cores, spec.speed, spec.coldFrom, spec.coldNs));
     }
 
     @Override
@@ -185,333 +227,361 @@
 
     @Override
     public void fail(double share) {
-        failShare = share;
+        failureShare = share;
     }
 
     @Override
     public void loseAnswers(double share) {
-        loseShare = share;
+        lostAnswerShare = share;
     }
 
     @Override
     public void slowBy(double factor) {
-        meter();
-        slow = factor;
-        meterNext();
+        advanceService();
+        slowdown = factor;
+        scheduleNextCompletion();
     }
 
     @Override
     public void pause(long ns) {
-        meter();
-        pausedUntil = world.now() + ns;
-        meterNext();
+        advanceService();
+        pausedUntilNs = simulation.now() + ns;
+        scheduleNextCompletion();
     }
 
     // ---- Connections.
 
-    /** A new connection, or false where the table is full. */
-    boolean accept() {
-        if (!up || connections >= shape.cores * model.connectionsPerCore) {
+    /** Opens a connection; returns false if the server is down or at its limit of connections. */
+    boolean acceptConnection() {
+        if (!up || connections >= spec.cores * model.connectionsPerCore) {
             return false;
         }
         connections++;
         return true;
     }
 
-    void closed(int some, int ofLife) {
-        if (ofLife == life) {
-            connections -= some;
+    void connectionsClosed(int count, int expectedIncarnation) {
+        if (expectedIncarnation == incarnation) {
+            connections -= count;
         }
     }
 
     // ---- Work.
 
+    /** Returns the share of its full speed that the server has reached, 0 to 1. */
     double warmth() {
-        if (startedAt == 0 || shape.coldNs <= 0) {
+        if (startedAtNs == 0 || spec.coldNs <= 0) {
             return 1;
         }
-        return shape.coldFrom + (1 - shape.coldFrom) * Math.min(1, (double) (world.now() - startedAt) / shape.coldNs);
+        return spec.coldFrom
+                + (1 - spec.coldFrom) * Math.min(1, (double) (simulation.now() - startedAtNs) / spec.coldNs);
     }
 
-    /** Work a nanosecond that one core does now. */
+    /** Returns the speed of one core now, relative to a core of speed 1. */
     private double rate() {
-        int room = shape.cores * (1 + model.roomPerCore);
-        double loss = model.lossWhenFull * Math.min(1, (double) held() / room);
-        return shape.speed * warmth() / slow * (1 - loss);
+        int maxHeld = spec.cores * (1 + model.waitingPerCore);
+        double loss = model.lossWhenFull * Math.min(1, (double) held() / maxHeld);
+        return spec.speed * warmth() / slowdown * (1 - loss);
     }
 
-    /** What it can do now, in cores of speed 1; for policies that see the true state. */
+    /** Returns the capacity now, in cores of speed 1; for policies that see the true state. */
     double capacity() {
-        return !up || draining || pausedUntil > world.now() ? 0 : shape.cores * rate() * (1 - failShare);
+        return !up || draining || pausedUntilNs > simulation.now() ? 0 : spec.cores * rate() * (1 - failureShare);
     }
 
+    /** Returns the number of flows in work and waiting. */
     int held() {
         return working + waiting.size();
     }
 
-    /** A flow came over a connection that stands. */
+    /** Takes a request that arrived on an open connection. */
     void request(Proxy.Attempt attempt) {
-        if (pausedUntil > world.now()) {
-            // A process that stands still reads nothing; its sockets keep what came.
-            int came = life;
-            world.at(pausedUntil, () -> {
-                if (came == life) {
+        if (pausedUntilNs > simulation.now()) {
+            // A paused process reads nothing; its sockets keep what arrives.
+            int expectedIncarnation = incarnation;
+            simulation.at(pausedUntilNs, () -> {
+                if (expectedIncarnation == incarnation) {
                     request(attempt);
                 }
             });
-            attempt.place = attempt.place < 0 ? hold(attempt) : attempt.place;
+            attempt.openIndex = attempt.openIndex < 0 ? trackOpen(attempt) : attempt.openIndex;
             return;
         }
-        if (attempt.place < 0) {
-            attempt.place = hold(attempt);
+        if (attempt.openIndex < 0) {
+            attempt.openIndex = trackOpen(attempt);
         }
-        if (attempt.done() && model.overdue != Model.Overdue.GOES_ON) {
-            release(attempt);
+        if (attempt.finished() && model.overdue != ModelParameters.Overdue.GOES_ON) {
+            untrackOpen(attempt);
             return;
         }
-        if (overload(attempt.workNs())) {
+        if (recordOverload(attempt.workNs())) {
             die();
             return;
         }
         if (draining) {
-            answer(attempt, TURNED_AWAY);
-        } else if (failShare > 0 && chance.nextDouble() < failShare) {
+            answer(attempt, REJECTED);
+        } else if (failureShare > 0 && random.nextDouble() < failureShare) {
             answer(attempt, ERROR);
-        } else if (held() >= shape.cores * (1 + model.roomPerCore)) {
-            answer(attempt, TURNED_AWAY);
+        } else if (held() >= spec.cores * (1 + model.waitingPerCore)) {
+            answer(attempt, REJECTED);
         } else if (dedup.containsKey(attempt.flow.id)) {
             answer(attempt, OK);
         } else {
-            Job job = new Job(attempt, jobs++);
-            if (model.sharing == Model.Sharing.PROCESSOR) {
-                share(job);
-            } else if (working < shape.cores) {
-                begin(job);
+            Job job = new Job(attempt, jobsCreated++);
+            if (model.sharing == ModelParameters.Sharing.PROCESSOR) {
+                beginShared(job);
+            } else if (working < spec.cores) {
+                beginOnCore(job);
             } else {
                 waiting.addLast(job);
             }
         }
     }
 
-    private int hold(Proxy.Attempt attempt) {
-        open.add(attempt);
-        return open.size() - 1;
+    /** Adds to the open attempts and returns the index. */
+    private int trackOpen(Proxy.Attempt attempt) {
+        openAttempts.add(attempt);
+        return openAttempts.size() - 1;
     }
 
-    private void release(Proxy.Attempt attempt) {
-        if (attempt.place >= 0) {
-            Proxy.Attempt last = open.remove(open.size() - 1);
+    /** Removes from the open attempts, moving the last one into the gap. */
+    private void untrackOpen(Proxy.Attempt attempt) {
+        if (attempt.openIndex >= 0) {
+            Proxy.Attempt last = openAttempts.remove(openAttempts.size() - 1);
             if (last != attempt) {
-                open.set(attempt.place, last);
-                last.place = attempt.place;
+                openAttempts.set(attempt.openIndex, last);
+                last.openIndex = attempt.openIndex;
             }
-            attempt.place = -1;
+            attempt.openIndex = -1;
         }
     }
 
     private void answer(Proxy.Attempt attempt, int code) {
-        release(attempt);
+        untrackOpen(attempt);
         Map<Event.Measure, Double> report = report();
-        world.after(model.networkNs, () -> attempt.ended(code, report));
+        simulation.after(model.networkDelayNs, () -> attempt.complete(code, report));
     }
 
-    /** A cold server that is sent more than the multiple of what it can do for the stated time falls over. */
-    private boolean overload(long workNs) {
-        long now = world.now();
-        if (startedAt == 0 || now - startedAt > shape.coldNs + shape.fallNs) {
+    /**
+     * Records the work that arrived and returns whether the server falls over: a cold server does if, over the stated
+     * time, it is sent more than the stated multiple of what it can do.
+     */
+    private boolean recordOverload(long workNs) {
+        long now = simulation.now();
+        if (startedAtNs == 0 || now - startedAtNs > spec.coldNs + spec.fallNs) {
             return false;
         }
-        asked.addLast(new long[] {now, workNs});
-        askedWork += workNs;
-        while (now - asked.peekFirst()[0] > shape.fallNs) {
-            askedWork -= asked.pollFirst()[1];
+        recentRequests.addLast(new long[] {now, workNs});
+        recentWorkNs += workNs;
+        while (now - recentRequests.peekFirst()[0] > spec.fallNs) {
+            recentWorkNs -= recentRequests.pollFirst()[1];
         }
-        fell |= askedWork > SLACK * shape.fallMultiple * shape.cores * shape.speed * warmth() * shape.fallNs;
-        return fell;
+        fellOver |= recentWorkNs
+                > OVERLOAD_TOLERANCE * spec.fallMultiple * spec.cores * spec.speed * warmth() * spec.fallNs;
+        return fellOver;
     }
 
-    /** What the flow takes: its own work, less for a key met lately, and the handshake's if it opened its connection. */
-    private double toDo(Job job) {
+    /**
+     * Marks the job as begun and returns its work: the flow's own, less the gain for a recently used key, plus the
+     * handshake if the attempt opened its connection.
+     */
+    private double beginWork(Job job) {
         Proxy.Attempt attempt = job.attempt;
-        boolean warm = model.warmKeyGain > 0 && keys.put(attempt.flow.key, true) != null;
-        if (keys.size() > shape.cores * model.keysPerCore) {
-            keys.remove(keys.keySet().iterator().next());
+        boolean warm = model.warmKeyGain > 0 && warmKeys.put(attempt.flow.key, true) != null;
+        if (warmKeys.size() > spec.cores * model.warmKeysPerCore) {
+            warmKeys.remove(warmKeys.keySet().iterator().next());
         }
         attempt.begun = true;
-        fleet.seen(new Seen.Ran(
-                world.now(),
+        fleet.observe(new Seen.Ran(
+                simulation.now(),
                 id,
-                shape.zone,
-                shape.cell,
+                spec.zone,
+                spec.cell,
                 attempt.flow.slice,
                 attempt.flow.group,
                 attempt.flow.id,
                 true));
-        return job.work * (warm ? 1 - model.warmKeyGain : 1) + (attempt.opened ? model.handshakeNs : 0);
+        return job.work * (warm ? 1 - model.warmKeyGain : 1) + (attempt.newConnection ? model.handshakeNs : 0);
     }
 
-    private void begin(Job job) {
+    /** Takes a job into work on a core of its own. */
+    private void beginOnCore(Job job) {
         working++;
-        long took = (long) (toDo(job) / rate());
-        busyNs += took;
-        int began = life;
-        world.after(took, () -> finish(job, began));
+        long tookNs = (long) (beginWork(job) / rate());
+        busyNs += tookNs;
+        int expectedIncarnation = incarnation;
+        simulation.after(tookNs, () -> finish(job, expectedIncarnation));
     }
 
-    private void finish(Job job, int began) {
-        if (began != life || job.attempt.stopped) {
+    private void finish(Job job, int expectedIncarnation) {
+        if (expectedIncarnation != incarnation || job.attempt.cancelled) {
             return;
         }
-        long still = pausedUntil - world.now();
-        if (still > 0) {
-            world.after(still, () -> finish(job, began));
+        long pauseLeftNs = pausedUntilNs - simulation.now();
+        if (pauseLeftNs > 0) {
+            simulation.after(pauseLeftNs, () -> finish(job, expectedIncarnation));
             return;
         }
-        finished(job);
-        free();
+        complete(job);
+        freeCore();
     }
 
-    /** A slot is free: the next that somebody still waits for goes into work. */
-    private void free() {
+    /** Frees a slot: the next waiting job whose proxy still waits goes into work. */
+    private void freeCore() {
         working--;
         Job next = waiting.pollFirst();
-        while (next != null && next.attempt.done() && model.overdue != Model.Overdue.GOES_ON) {
-            release(next.attempt);
+        while (next != null && next.attempt.finished() && model.overdue != ModelParameters.Overdue.GOES_ON) {
+            untrackOpen(next.attempt);
             next = waiting.pollFirst();
         }
         if (next != null) {
-            begin(next);
+            beginOnCore(next);
         }
     }
 
-    private void finished(Job job) {
+    /** Ends a job and answers it. */
+    private void complete(Job job) {
         Proxy.Attempt attempt = job.attempt;
-        done++;
-        fleet.seen(new Seen.Ran(
-                world.now(),
+        completedSinceReport++;
+        fleet.observe(new Seen.Ran(
+                simulation.now(),
                 id,
-                shape.zone,
-                shape.cell,
+                spec.zone,
+                spec.cell,
                 attempt.flow.slice,
                 attempt.flow.group,
                 attempt.flow.id,
                 false));
-        if (shape.dedupNs > 0) {
-            dedup.put(attempt.flow.id, world.now());
-            while (world.now() - dedup.values().iterator().next() > shape.dedupNs) {
+        if (spec.dedupNs > 0) {
+            dedup.put(attempt.flow.id, simulation.now());
+            while (simulation.now() - dedup.values().iterator().next() > spec.dedupNs) {
                 dedup.remove(dedup.keySet().iterator().next());
             }
         }
-        if (loseShare > 0 && chance.nextDouble() < loseShare) {
-            release(attempt);
-            world.after(model.networkNs, () -> attempt.ended(RESET, null));
+        if (lostAnswerShare > 0 && random.nextDouble() < lostAnswerShare) {
+            untrackOpen(attempt);
+            simulation.after(model.networkDelayNs, () -> attempt.complete(RESET, null));
         } else {
             answer(attempt, OK);
         }
     }
 
-    // ---- Shared cores: a meter runs at each flow's part of the cores; a flow is done when it has run its work.
+    // ---- Shared cores (processor sharing): attained service grows at each job's share of the cores; a job ends when
+    // it has attained its work.
 
-    private double share() {
-        return working == 0 || pausedUntil > world.now() ? 0 : rate() * Math.min(1, (double) shape.cores / working);
+    /** Returns the attained service per nanosecond of each job. */
+    private double serviceRate() {
+        return working == 0 || pausedUntilNs > simulation.now()
+                ? 0
+                : rate() * Math.min(1, (double) spec.cores / working);
     }
 
-    private void meter() {
-        if (model.sharing == Model.Sharing.PROCESSOR) {
-            long now = world.now();
-            meter += share() * (now - meterAt);
-            busyNs += (double) (now - meterAt) * Math.min(working, shape.cores);
-            meterAt = now;
+    /** Advances the attained service to now; called before each change of the rate. */
+    private void advanceService() {
+        if (model.sharing == ModelParameters.Sharing.PROCESSOR) {
+            long now = simulation.now();
+            attainedService += serviceRate() * (now - attainedAtNs);
+            busyNs += (double) (now - attainedAtNs) * Math.min(working, spec.cores);
+            attainedAtNs = now;
         }
     }
 
-    private void meterNext() {
-        if (model.sharing != Model.Sharing.PROCESSOR) {
+    /** Schedules the next completion, replacing one that was scheduled before. */
+    private void scheduleNextCompletion() {
+        if (model.sharing != ModelParameters.Sharing.PROCESSOR) {
             return;
         }
-        long turn = ++meterTurn;
-        if (pausedUntil > world.now()) {
-            world.at(pausedUntil, () -> {
-                if (turn == meterTurn) {
-                    meterAt = world.now();
-                    meterNext();
+        long expectedNumber = ++completionNumber;
+        if (pausedUntilNs > simulation.now()) {
+            simulation.at(pausedUntilNs, () -> {
+                if (expectedNumber == completionNumber) {
+                    attainedAtNs = simulation.now();
+                    scheduleNextCompletion();
                 }
             });
-        } else if (!sharing.isEmpty()) {
-            // A server that warms up is faster than at the last look: a look a millisecond is fine enough.
-            double left = (sharing.peek().work - meter) / share();
-            boolean changes = startedAt != 0 && world.now() - startedAt < shape.coldNs;
-            long wait = (long) Math.ceil(Math.max(0, changes ? Math.min(left, 1e6) : left));
-            int began = life;
-            world.after(wait, () -> {
-                if (turn == meterTurn && began == life) {
-                    meter();
-                    while (!sharing.isEmpty() && sharing.peek().work <= meter + 0.5) {
-                        Job job = sharing.poll();
+        } else if (!sharedJobs.isEmpty()) {
+            // The rate changes while the server warms up: checking every millisecond is precise enough.
+            double left = (sharedJobs.peek().work - attainedService) / serviceRate();
+            boolean warmingUp = startedAtNs != 0 && simulation.now() - startedAtNs < spec.coldNs;
+            long waitNs = (long) Math.ceil(Math.max(0, warmingUp ? Math.min(left, 1e6) : left));
+            int expectedIncarnation = incarnation;
+            simulation.after(waitNs, () -> {
+                if (expectedNumber == completionNumber && expectedIncarnation == incarnation) {
+                    advanceService();
+                    while (!sharedJobs.isEmpty() && sharedJobs.peek().work <= attainedService + 0.5) {
+                        Job job = sharedJobs.poll();
                         working--;
-                        finished(job);
+                        complete(job);
                     }
-                    meterNext();
+                    scheduleNextCompletion();
                 }
             });
         }
     }
 
-    private void share(Job job) {
-        meter();
-        job.work = meter + toDo(job);
+    /** Takes a job into work on shared cores. */
+    private void beginShared(Job job) {
+        advanceService();
+        job.work = attainedService + beginWork(job);
         working++;
-        sharing.add(job);
-        meterNext();
+        sharedJobs.add(job);
+        scheduleNextCompletion();
     }
 
-    /** The proxy no longer waits and has closed its connection; what waits is passed over when its turn comes. */
-    void abandoned(Proxy.Attempt attempt) {
-        if (model.overdue != Model.Overdue.STOPS || attempt.place < 0 || !attempt.begun) {
+    /**
+     * The proxy no longer waits and has closed its connection: with {@code overdue stops} a job in work ends now. A
+     * waiting job is skipped when its turn comes.
+     */
+    void abandon(Proxy.Attempt attempt) {
+        if (model.overdue != ModelParameters.Overdue.STOPS || attempt.openIndex < 0 || !attempt.begun) {
             return;
         }
-        release(attempt);
-        attempt.stopped = true;
-        if (model.sharing == Model.Sharing.PROCESSOR) {
-            meter();
-            sharing.removeIf(j -> j.attempt == attempt);
+        untrackOpen(attempt);
+        attempt.cancelled = true;
+        if (model.sharing == ModelParameters.Sharing.PROCESSOR) {
+            advanceService();
+            sharedJobs.removeIf(j -> j.attempt == attempt);
             working--;
-            meterNext();
+            scheduleNextCompletion();
         } else {
-            free();
+            freeCore();
         }
     }
 
     // ---- Reports.
 
+    /** Returns the load report, refreshed at most once per {@code reportIntervalNs}. */
     Map<Event.Measure, Double> report() {
-        long now = world.now();
-        if (now - reportAt > model.reportEveryNs) {
-            meter();
-            double span = reportAt == 0 ? model.reportEveryNs : now - reportAt;
-            double noise = 1 - model.reportNoise + 2 * model.reportNoise * chance.nextDouble();
-            lastBusy = Math.min(1, (busyNs - busyMark) / span / shape.cores * noise);
-            lastBusy = Math.max(lastBusy, working >= shape.cores ? 0.9 : 0);
-            busyMark = busyNs;
-            lastPerS = done * 1e9 / span;
-            done = 0;
-            reportAt = now;
+        long now = simulation.now();
+        if (now - reportedAtNs > model.reportIntervalNs) {
+            advanceService();
+            double spanNs = reportedAtNs == 0 ? model.reportIntervalNs : now - reportedAtNs;
+            double noise = 1 - model.reportNoise + 2 * model.reportNoise * random.nextDouble();
+            lastBusy = Math.min(1, (busyNs - reportedBusyNs) / spanNs / spec.cores * noise);
+            lastBusy = Math.max(lastBusy, working >= spec.cores ? 0.9 : 0);
+            reportedBusyNs = busyNs;
+            lastDeliveredPerS = completedSinceReport * 1e9 / spanNs;
+            completedSinceReport = 0;
+            reportedAtNs = now;
         }
         Map<Event.Measure, Double> report = new EnumMap<>(Event.Measure.class);
         report.put(Event.Measure.BUSY, lastBusy);
-        report.put(Event.Measure.DELIVERED_PER_S, lastPerS);
+        report.put(Event.Measure.DELIVERED_PER_S, lastDeliveredPerS);
         report.put(Event.Measure.HELD, (double) held());
         return report;
     }
 
-    /** A probe is answered beside the queue, unless the process stands still. */
-    void probe(java.util.function.Consumer<Map<Event.Measure, Double>> answer) {
-        long still = Math.max(0, pausedUntil - world.now());
-        int asked = life;
-        world.after(still, () -> {
-            boolean good = up && asked == life && !draining;
-            Map<Event.Measure, Double> report = good ? report() : null;
-            world.after(model.networkNs, () -> answer.accept(report));
+    /**
+     * Answers a probe without queueing, unless the process is paused; the answer is null if the server is not
+     * available.
+     */
+    void probe(Consumer<Map<Event.Measure, Double>> answer) {
+        long pauseLeftNs = Math.max(0, pausedUntilNs - simulation.now());
+        int expectedIncarnation = incarnation;
+        simulation.after(pauseLeftNs, () -> {
+            boolean available = up && expectedIncarnation == incarnation && !draining;
+            Map<Event.Measure, Double> report = available ? report() : null;
+            simulation.after(model.networkDelayNs, () -> answer.accept(report));
         });
     }
 }
--- a/src/main/java/puffinbarrow/emulator/Setup.java
+++ b/src/main/java/puffinbarrow/emulator/Setup.java
@@ -9,28 +9,32 @@
 import puffinbarrow.config.Words;
 import puffinbarrow.day.Script;
 
-/** A day as the emulator plays it: a day's script, with {@code model} lines between. */
-public record Setup(Script script, Model model) {
+/**
+ * A day as the emulator runs it: the script of the day, with parameters of the models from its {@code model} lines.
+ */
+public record Setup(Script script, ModelParameters model) {
+    /** Reads a file; mistakes are added to the problems. */
     public static Setup read(Path file, List<Problem> problems) {
-        return of(Lines.read(file, problems), problems);
+        return build(Lines.read(file, problems), problems);
     }
 
+    /** Reads a text; the name stands for the file in problems. */
     public static Setup parse(String name, String text, List<Problem> problems) {
-        return of(Lines.parse(name, text, problems), problems);
+        return build(Lines.parse(name, text, problems), problems);
     }
 
-    private static Setup of(List<Statement> statements, List<Problem> problems) {
-        Model model = new Model();
-        List<Statement> rest = new ArrayList<>();
+    private static Setup build(List<Statement> statements, List<Problem> problems) {
+        ModelParameters model = new ModelParameters();
+        List<Statement> scriptStatements = new ArrayList<>();
         for (Statement statement : statements) {
             if (statement.keyword().equals("model")) {
-                Words w = new Words(statement, problems);
-                model.take(w);
-                w.end();
+                Words words = new Words(statement, problems);
+                model.readLine(words);
+                words.end();
             } else {
-                rest.add(statement);
+                scriptStatements.add(statement);
             }
         }
-        return new Setup(Script.of(rest, problems), model);
+        return new Setup(Script.of(scriptStatements, problems), model);
     }
 }
--- a/src/main/java/puffinbarrow/emulator/Sheet.java
+++ b/src/main/java/puffinbarrow/emulator/Sheet.java
@@ -17,9 +17,11 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** The results of an experiment, read back, and what can be said of them. */
+/**
+ * The results of an experiment as a table read from results.csv, with means and confidence intervals over its runs.
+ */
 public final class Sheet {
-    /** One run. */
+    /** The row of one run: its cells by column. */
     public record Row(Map<String, String> cells) {
         public String get(String column) {
             return cells.get(column);
@@ -33,21 +35,23 @@
             return !get("failed").isEmpty();
         }
 
-        List<String> named(String column) {
+        /** Returns the parts of a cell that are joined by plus signs. */
+        List<String> list(String column) {
             return get(column).isEmpty() ? List.of() : Arrays.asList(get(column).split("\\+"));
         }
     }
 
-    /** A mean with its interval of 95% over runs. */
+    /** A mean with its 95% confidence interval over runs; NaN if there are none. */
     public record Mean(double mean, double low, double high, int runs) {}
 
-    /** Enough for an interval of 95% to stand to the second digit. */
+    /** Resamples of the bootstrap; enough for the interval to be stable to the second digit. */
     private static final int RESAMPLES = 2000;
 
     public final List<Row> rows = new ArrayList<>();
-    /** All columns before the policy. */
+    /** Columns of factors: all before the policy. */
     public final List<String> factors = new ArrayList<>();
 
+    /** Reads a results.csv. */
     public static Sheet read(Path results) throws IOException {
         Sheet sheet = new Sheet();
         try (CSVParser in = CSVParser.parse(
@@ -64,56 +68,60 @@
         return sheet;
     }
 
+    /** Returns the distinct values of a column, in order of appearance. */
     public Set<String> values(String column) {
-        Set<String> values = new LinkedHashSet<>();
-        rows.forEach(r -> values.add(r.get(column)));
-        return values;
+        Set<String> distinct = new LinkedHashSet<>();
+        rows.forEach(r -> distinct.add(r.get(column)));
+        return distinct;
     }
 
-    public List<Row> where(Predicate<Row> which) {
-        return rows.stream().filter(r -> !r.failed()).filter(which).toList();
+    /** Returns the rows of runs that did not fail and match. */
+    public List<Row> select(Predicate<Row> matching) {
+        return rows.stream().filter(r -> !r.failed()).filter(matching).toList();
     }
 
-    public static Mean mean(List<Row> of, String column) {
-        return interval(of.stream().mapToDouble(r -> r.number(column)).toArray());
+    /** Returns the mean of a column over the rows. */
+    public static Mean mean(List<Row> runs, String column) {
+        return bootstrapMean(runs.stream().mapToDouble(r -> r.number(column)).toArray());
     }
 
-    /** One policy less another on the same days: the difference of each pair, then their mean. */
-    public Mean paired(String one, String other, String column, Predicate<Row> which) {
-        Map<String, Double> ours = new TreeMap<>();
-        for (Row row : where(which)) {
-            if (row.get("policy").equals(one)) {
-                ours.put(day(row), row.number(column));
+    /** Returns the mean difference of one policy to another, paired by day (levels and seed). */
+    public Mean pairedDifference(String policy, String reference, String column, Predicate<Row> matching) {
+        Map<String, Double> valuesByDay = new TreeMap<>();
+        for (Row row : select(matching)) {
+            if (row.get("policy").equals(policy)) {
+                valuesByDay.put(day(row), row.number(column));
             }
         }
-        return interval(where(which).stream()
-                .filter(r -> r.get("policy").equals(other) && ours.containsKey(day(r)))
-                .mapToDouble(r -> ours.get(day(r)) - r.number(column))
+        return bootstrapMean(select(matching).stream()
+                .filter(r -> r.get("policy").equals(reference) && valuesByDay.containsKey(day(r)))
+                .mapToDouble(r -> valuesByDay.get(day(r)) - r.number(column))
                 .toArray());
     }
 
+    /** Returns a key of the day of a row: levels and seed. */
     private String day(Row row) {
         StringBuilder day = new StringBuilder();
         factors.forEach(f -> day.append(row.get(f)).append('/'));
         return day.append(row.get("seed")).toString();
     }
 
-    /** By the bootstrap: runs are independent of each other, each with its seed. */
-    static Mean interval(double[] of) {
-        double mean = Arrays.stream(of).average().orElse(Double.NaN);
-        if (of.length < 2) {
-            return new Mean(mean, mean, mean, of.length);
+    /** Returns mean and interval by the bootstrap; runs are independent, each with its own seed. */
+    static Mean bootstrapMean(double[] values) {
+        double mean = Arrays.stream(values).average().orElse(Double.NaN);
+        if (values.length < 2) {
+            return new Mean(mean, mean, mean, values.length);
         }
-        UniformRandomProvider chance = RandomSource.XO_RO_SHI_RO_128_PP.create(of.length);
+        UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(values.length);
         double[] means = new double[RESAMPLES];
         for (int i = 0; i < RESAMPLES; i++) {
             double sum = 0;
-            for (int j = 0; j < of.length; j++) {
-                sum += of[chance.nextInt(of.length)];
+            for (int j = 0; j < values.length; j++) {
+                sum += values[random.nextInt(values.length)];
             }
-            means[i] = sum / of.length;
+            means[i] = sum / values.length;
         }
         Arrays.sort(means);
-        return new Mean(mean, means[(int) (RESAMPLES * 0.025)], means[(int) (RESAMPLES * 0.975)], of.length);
+        return new Mean(mean, means[(int) (RESAMPLES * 0.025)], means[(int) (RESAMPLES * 0.975)], values.length);
     }
 }
--- a/src/main/java/puffinbarrow/emulator/StoreModel.java
+++ b/src/main/java/puffinbarrow/emulator/StoreModel.java
@@ -15,81 +15,93 @@
 import puffinbarrow.proto.Frame;
 
 /**
- * The table store in simulated time: tables, records with revisions written by compare-and-set and watched; without
- * leases it deals the charges itself. Faults as a script has them: away, slow, answers lost, cut from one coordinator.
+ * The table store in simulated time: tables, and records with revisions that are written by compare-and-set and
+ * watched. Without leases it deals the slices to the coordinators itself. Faults of the script: unavailable, slow,
+ * answers lost, cut off from one coordinator.
  */
 final class StoreModel {
-    /** A coordinator's stream. */
+    /** A coordinator's stream to the store. */
     final class Stream implements Outlet {
-        final Host host;
-        boolean watches;
+        final CoordinatorModel coordinator;
+        boolean watching;
 
-        Stream(Host host) {
-            this.host = host;
+        Stream(CoordinatorModel coordinator) {
+            this.coordinator = coordinator;
         }
 
         @Override
         public boolean send(ByteBuffer bytes) {
-            if (holders.get(host.number) != this) {
+            if (streams.get(coordinator.number) != this) {
                 return false;
             }
-            take(fleet.decode(bytes));
+            receive(fleet.decode(bytes));
             return true;
         }
 
-        void take(Frame frame) {
-            world.after(fleet.model.networkNs, () -> {
-                if (holders.get(host.number) == this) {
-                    heard(this, frame);
+        /** Receives a frame from the coordinator, after the delay of the network. */
+        void receive(Frame frame) {
+            simulation.after(fleet.model.networkDelayNs, () -> {
+                if (streams.get(coordinator.number) == this) {
+                    handle(this, frame);
                 }
             });
         }
 
         @Override
         public void close(String why) {
-            end(this);
+            disconnect(this);
         }
 
-        void tell(Frame frame) {
-            world.after(fleet.model.networkNs + slowNs, () -> {
-                if (holders.get(host.number) == this) {
-                    host.fromStore(frame);
+        /** Sends a frame to the coordinator, after the delays of network and store. */
+        void deliver(Frame frame) {
+            simulation.after(fleet.model.networkDelayNs + extraDelayNs, () -> {
+                if (streams.get(coordinator.number) == this) {
+                    coordinator.fromStore(frame);
                 }
             });
         }
     }
 
     private final Fleet fleet;
-    private final World world;
-    private final UniformRandomProvider chance;
+    private final Simulation simulation;
+    private final UniformRandomProvider random;
     private final int slices;
-    private final boolean leases, sole;
+    private final boolean leases;
+    private final boolean singleOwner;
     private final Table[] tables;
+    /** Owning coordinator by slice, or -1. */
     private final int[] owner;
-    private final Map<Integer, Stream> holders = new TreeMap<>();
-    private final Map<Integer, Frame.MemberRecord> members = new TreeMap<>();
-    private final Map<Integer, Frame.VoiceRecord> voices = new TreeMap<>();
+
+    private final Map<Integer, Stream> streams = new TreeMap<>();
+    private final Map<Integer, Frame.MemberRecord> memberRecords = new TreeMap<>();
+    private final Map<Integer, Frame.VoiceRecord> ownerRecords = new TreeMap<>();
+    /** Coordinators that cannot reach the store. */
     private final Set<Integer> cut = new HashSet<>();
+    /** The last revision given to a record. */
     private long revisions;
-    private boolean away;
-    private double loseShare;
-    private long slowNs;
-    long handed, refused, moves;
+
+    private boolean unavailable;
+    private double lostAnswerShare;
+    private long extraDelayNs;
+    long ownerChanges;
+    long refusedWrites;
+    long moves;
 
     StoreModel(Fleet fleet) {
         this.fleet = fleet;
-        this.world = fleet.world;
-        this.chance = world.chance("store", 0);
+        this.simulation = fleet.simulation;
+        this.random = simulation.random("store", 0);
         this.slices = fleet.script.slices;
         this.leases = fleet.script.leaseNs > 0;
-        this.sole = fleet.judged.soleOwner;
+        this.singleOwner = fleet.config.soleOwner;
         this.tables = new Table[slices];
         Arrays.fill(tables, Table.EMPTY);
         this.owner = new int[slices];
         Arrays.fill(owner, -1);
     }
 
-    void begin(int slice, Server server) {
+    /** Sets the first table of a slice. */
+    void init(int slice, Server server) {
         tables[slice] = Table.of(server);
     }
 
@@ -101,118 +113,121 @@
         return owner[slice];
     }
 
-    boolean away() {
-        return away;
+    boolean unavailable() {
+        return unavailable;
     }
 
     // ---- Faults.
 
-    void away(boolean on) {
-        away = on;
+    void setUnavailable(boolean on) {
+        unavailable = on;
         if (on) {
-            fleet.proxies.forEach(p -> p.storeLostAt = world.now());
-            new ArrayList<>(holders.values()).forEach(this::end);
+            fleet.proxies.forEach(p -> p.storeLostAtNs = simulation.now());
+            new ArrayList<>(streams.values()).forEach(this::disconnect);
         } else {
-            // Proxies dial again and read all; coordinators dial by themselves.
-            fleet.proxies.forEach(this::ask);
+            // Proxies connect again and read everything; coordinators connect by themselves.
+            fleet.proxies.forEach(this::readAll);
         }
     }
 
-    void slow(long ns) {
-        slowNs = ns;
+    void setExtraDelay(long ns) {
+        extraDelayNs = ns;
     }
 
-    void loses(double share) {
-        loseShare = share;
+    void setLostAnswerShare(double share) {
+        lostAnswerShare = share;
     }
 
-    void cut(Host host, boolean on) {
+    void cut(CoordinatorModel coordinator, boolean on) {
         if (on) {
-            cut.add(host.number);
-            Stream stream = holders.get(host.number);
+            cut.add(coordinator.number);
+            Stream stream = streams.get(coordinator.number);
             if (stream != null) {
-                end(stream);
+                disconnect(stream);
             }
         } else {
-            cut.remove(host.number);
+            cut.remove(coordinator.number);
         }
     }
 
     // ---- Streams of coordinators.
 
-    /** Null if it cannot be reached. */
-    Stream dial(Host host) {
-        if (away || cut.contains(host.number)) {
+    /** Opens a stream; returns null if the store cannot be reached. */
+    Stream connect(CoordinatorModel coordinator) {
+        if (unavailable || cut.contains(coordinator.number)) {
             return null;
         }
-        Stream stream = new Stream(host);
-        Stream before = holders.put(host.number, stream);
+        Stream stream = new Stream(coordinator);
+        Stream previous = streams.put(coordinator.number, stream);
         if (!leases) {
-            world.after(0, () -> welcome(stream, before == null));
+            simulation.after(0, () -> welcome(stream, previous == null));
         }
         return stream;
     }
 
-    private void welcome(Stream stream, boolean anew) {
+    /** Tells a coordinator which slices it owns. */
+    private void welcome(Stream stream, boolean newStream) {
         for (int slice = 0; slice < slices; slice++) {
-            if (owner[slice] == stream.host.number) {
-                charge(stream, slice, true);
-            } else if (anew) {
-                // One that held it before its stream broke must not go on believing so.
-                stream.tell(new Frame.Charge(slice, false));
+            if (owner[slice] == stream.coordinator.number) {
+                announceCharge(stream, slice, true);
+            } else if (newStream) {
+                // A coordinator that held the slice before its stream broke must not go on believing that it does.
+                stream.deliver(new Frame.Charge(slice, false));
             }
         }
-        deal();
+        dealSlices();
     }
 
-    private void end(Stream stream) {
-        if (holders.remove(stream.host.number, stream)) {
-            stream.host.storeDown();
+    private void disconnect(Stream stream) {
+        if (streams.remove(stream.coordinator.number, stream)) {
+            stream.coordinator.storeDown();
             if (!leases) {
-                world.after(fleet.script.takeoverNs, this::deal);
+                simulation.after(fleet.script.takeoverNs, this::dealSlices);
             }
         }
     }
 
-    /** A coordinator is gone. */
-    void gone(Host host) {
-        Stream stream = holders.get(host.number);
+    /** Breaks the stream of a coordinator that stopped. */
+    void coordinatorStopped(CoordinatorModel coordinator) {
+        Stream stream = streams.get(coordinator.number);
         if (stream != null) {
-            end(stream);
+            disconnect(stream);
         }
     }
 
-    /** Deals the slices evenly over the coordinators that are there. */
-    private void deal() {
-        if (holders.isEmpty() || leases) {
+    /** Deals the slices evenly over the connected coordinators; does nothing where coordinators hold leases. */
+    private void dealSlices() {
+        if (streams.isEmpty() || leases) {
             return;
         }
-        List<Integer> there = new ArrayList<>(holders.keySet());
+        List<Integer> connected = new ArrayList<>(streams.keySet());
         for (int slice = 0; slice < slices; slice++) {
-            int usual = slice % fleet.script.coordinators;
-            int to = holders.containsKey(usual) ? usual : there.get(slice % there.size());
+            int preferred = slice % fleet.script.coordinators;
+            int to = streams.containsKey(preferred) ? preferred : connected.get(slice % connected.size());
             if (owner[slice] == to) {
                 continue;
             }
-            Stream before = holders.get(owner[slice]);
-            if (before != null) {
-                charge(before, slice, false);
+            Stream previous = streams.get(owner[slice]);
+            if (previous != null) {
+                announceCharge(previous, slice, false);
             }
-            handed += owner[slice] >= 0 ? 1 : 0;
+            ownerChanges += owner[slice] >= 0 ? 1 : 0;
             owner[slice] = to;
-            charge(holders.get(to), slice, true);
-            tellProxies(slice);
+            announceCharge(streams.get(to), slice, true);
+            notifyProxies(slice);
         }
     }
 
-    private void charge(Stream to, int slice, boolean given) {
-        fleet.seen(new Seen.ChargeTold(world.now(), to.host.number, slice, given));
-        to.tell(new Frame.Charge(slice, given));
+    /** Tells a coordinator that a slice is given to it or taken from it, with the stored table if given. */
+    private void announceCharge(Stream to, int slice, boolean given) {
+        fleet.observe(new Seen.ChargeTold(simulation.now(), to.coordinator.number, slice, given));
+        to.deliver(new Frame.Charge(slice, given));
         if (given) {
-            to.tell(stored(slice));
+            to.deliver(stored(slice));
         }
     }
 
+    /** Returns the frame with the table of a slice. */
     private Frame.Stored stored(int slice) {
         List<Frame.Line> lines = new ArrayList<>();
         Table table = tables[slice];
@@ -222,56 +237,58 @@
         return new Frame.Stored(slice, lines);
     }
 
+    /** Returns the term of a slice, or 0 if it never had an owner record. */
     private long term(int slice) {
-        Frame.VoiceRecord voice = voices.get(slice);
-        return voice == null ? 0 : voice.term();
+        Frame.VoiceRecord ownerRecord = ownerRecords.get(slice);
+        return ownerRecord == null ? 0 : ownerRecord.term();
     }
 
-    private void tellProxies(int slice) {
+    /** Sends the owner and the table of a slice to all proxies. */
+    private void notifyProxies(int slice) {
         int now = owner[slice];
         long term = term(slice);
         Table table = tables[slice];
-        world.after(fleet.model.networkNs + slowNs, () -> {
-            if (!away) {
+        simulation.after(fleet.model.networkDelayNs + extraDelayNs, () -> {
+            if (!unavailable) {
                 fleet.proxies.forEach(p -> p.read(slice, now, term, table));
             }
         });
     }
 
-    /** A proxy asks for all; one asking under way is enough. */
-    void ask(Proxy proxy) {
-        if (proxy.asking || away) {
+    /** Lets a proxy read everything; a read that is already pending is enough. */
+    void readAll(Proxy proxy) {
+        if (proxy.storeReadPending || unavailable) {
             return;
         }
-        proxy.asking = true;
-        world.after(fleet.model.networkNs, () -> {
-            if (away) {
-                proxy.asking = false;
+        proxy.storeReadPending = true;
+        simulation.after(fleet.model.networkDelayNs, () -> {
+            if (unavailable) {
+                proxy.storeReadPending = false;
                 return;
             }
             long[] terms = new long[slices];
-            voices.forEach((slice, voice) -> terms[slice] = voice.term());
+            ownerRecords.forEach((slice, ownerRecord) -> terms[slice] = ownerRecord.term());
             int[] owners = owner.clone();
             Table[] all = tables.clone();
-            world.after(fleet.model.networkNs + slowNs, () -> proxy.read(owners, terms, all));
+            simulation.after(fleet.model.networkDelayNs + extraDelayNs, () -> proxy.read(owners, terms, all));
         });
     }
 
-    private void heard(Stream from, Frame frame) {
+    private void handle(Stream from, Frame frame) {
         if (frame instanceof Frame.ReadSlice read) {
             if (read.slice() >= 0 && read.slice() < slices) {
-                from.tell(stored(read.slice()));
+                from.deliver(stored(read.slice()));
             }
         } else if (frame instanceof Frame.Orders orders) {
             write(from, orders);
         } else if (frame instanceof Frame.Watch) {
-            from.watches = true;
-            members.values().forEach(from::tell);
-            voices.values().forEach(from::tell);
-            from.tell(new Frame.Synced());
+            from.watching = true;
+            memberRecords.values().forEach(from::deliver);
+            ownerRecords.values().forEach(from::deliver);
+            from.deliver(new Frame.Synced());
         } else if (frame instanceof Frame.MemberRecord m) {
-            Frame.MemberRecord before = members.get(m.number());
-            if (m.revision() == (before == null ? 0 : before.revision())) {
+            Frame.MemberRecord previous = memberRecords.get(m.number());
+            if (m.revision() == (previous == null ? 0 : previous.revision())) {
                 Frame.MemberRecord next = new Frame.MemberRecord(
                         0,
                         ++revisions,
@@ -282,60 +299,66 @@
                         m.leaving(),
                         m.dead(),
                         m.flaps());
-                members.put(m.number(), next);
-                watchers(next);
-                written(from, m.id(), true);
+                memberRecords.put(m.number(), next);
+                notifyWatchers(next);
+                answerWrite(from, m.id(), true);
             } else {
-                refuse(from, before, m.id());
+                refuseWrite(from, previous, m.id());
             }
         } else if (frame instanceof Frame.VoiceRecord v && v.slice() >= 0 && v.slice() < slices) {
-            Frame.VoiceRecord before = voices.get(v.slice());
-            if (v.revision() == (before == null ? 0 : before.revision())) {
+            Frame.VoiceRecord previous = ownerRecords.get(v.slice());
+            if (v.revision() == (previous == null ? 0 : previous.revision())) {
                 Frame.VoiceRecord next =
                         new Frame.VoiceRecord(0, ++revisions, v.slice(), v.owner(), v.incarnation(), v.term());
-                voices.put(v.slice(), next);
-                voiceChanged(next);
-                watchers(next);
-                written(from, v.id(), true);
+                ownerRecords.put(v.slice(), next);
+                ownerChanged(next);
+                notifyWatchers(next);
+                answerWrite(from, v.id(), true);
             } else {
-                refuse(from, before, v.id());
+                refuseWrite(from, previous, v.id());
             }
         }
     }
 
-    private void watchers(Frame record) {
-        for (Stream stream : holders.values()) {
-            if (stream.watches) {
-                stream.tell(record);
+    private void notifyWatchers(Frame record) {
+        for (Stream stream : streams.values()) {
+            if (stream.watching) {
+                stream.deliver(record);
             }
         }
     }
 
-    private void refuse(Stream from, Frame before, long id) {
-        if (before != null) {
-            from.tell(before);
+    /** Refuses a write and sends the record as it stands, if there is one. */
+    private void refuseWrite(Stream from, Frame previous, long id) {
+        if (previous != null) {
+            from.deliver(previous);
         }
-        written(from, id, false);
+        answerWrite(from, id, false);
     }
 
-    /** With {@code store loses} the answer is lost after the write took effect. */
-    private void written(Stream from, long id, boolean applied) {
-        if (loseShare == 0 || chance.nextDouble() >= loseShare) {
-            from.tell(new Frame.Written(id, applied));
+    /** Answers a write. With {@code store loses} the answer may be lost after the write took effect. */
+    private void answerWrite(Stream from, long id, boolean applied) {
+        if (lostAnswerShare == 0 || random.nextDouble() >= lostAnswerShare) {
+            from.deliver(new Frame.Written(id, applied));
         }
     }
 
-    private void voiceChanged(Frame.VoiceRecord voice) {
-        int slice = voice.slice();
+    /** Takes over the owner of a slice from a new record and tells the proxies. */
+    private void ownerChanged(Frame.VoiceRecord ownerRecord) {
+        int slice = ownerRecord.slice();
         if (owner[slice] >= 0) {
-            fleet.seen(new Seen.ChargeTold(world.now(), owner[slice], slice, false));
-            handed += owner[slice] == voice.owner() ? 0 : 1;
+            fleet.observe(new Seen.ChargeTold(simulation.now(), owner[slice], slice, false));
+            ownerChanges += owner[slice] == ownerRecord.owner() ? 0 : 1;
         }
-        owner[slice] = voice.owner();
-        fleet.seen(new Seen.ChargeTold(world.now(), voice.owner(), slice, true));
-        tellProxies(slice);
+        owner[slice] = ownerRecord.owner();
+        fleet.observe(new Seen.ChargeTold(simulation.now(), ownerRecord.owner(), slice, true));
+        notifyProxies(slice);
     }
 
+    /**
+     * Writes order lines to the tables; refuses those from a coordinator that does not own the slice, or under an
+     * older term.
+     */
     private void write(Stream from, Frame.Orders orders) {
         Map<Integer, Long> terms = new TreeMap<>();
         orders.terms().forEach(t -> terms.put(t.slice(), t.term()));
@@ -345,15 +368,15 @@
             if (slice < 0 || slice >= slices) {
                 continue;
             }
-            if (owner[slice] != from.host.number || leases && terms.getOrDefault(slice, 0L) < term(slice)) {
-                refused++;
+            if (owner[slice] != from.coordinator.number || leases && terms.getOrDefault(slice, 0L) < term(slice)) {
+                refusedWrites++;
                 if (leases) {
-                    from.tell(new Frame.Stale(slice, term(slice)));
+                    from.deliver(new Frame.Stale(slice, term(slice)));
                 }
             } else if (order instanceof Order.SetLine o) {
                 Server server = fleet.server(o.server());
                 moves += o.weight() > 0 && !tables[slice].holds(server) ? 1 : 0;
-                tables[slice] = tables[slice].with(o, server, sole);
+                tables[slice] = tables[slice].with(o, server, singleOwner);
             } else {
                 tables[slice] = Table.EMPTY;
             }
--- a/src/main/java/puffinbarrow/emulator/Table.java
+++ b/src/main/java/puffinbarrow/emulator/Table.java
@@ -3,8 +3,9 @@
 import puffinbarrow.control.Order;
 
 /**
- * A slice's lines as a value that proxies share: the order that changes a table gives the same new table to all who hold
- * the old one, so that ten thousand slices at a thousand proxies cost a reference each.
+ * The table of a slice: servers with weights, as an immutable value shared between proxies. An order applied to the
+ * same table gives the same new table to all holders, so that a table costs each proxy only a reference: ten thousand
+ * slices at a thousand proxies stay affordable.
  */
 final class Table {
     static final Table EMPTY = new Table(new Server[0], new double[0]);
@@ -19,6 +20,7 @@
         this.weights = weights;
     }
 
+    /** Returns a table of one server with weight 1. */
     static Table of(Server server) {
         return new Table(new Server[] {server}, new double[] {1});
     }
@@ -36,12 +38,15 @@
         return false;
     }
 
-    /** Lines stand in the order of their servers' ids. */
-    Table with(Order.SetLine order, Server server, boolean sole) {
+    /**
+     * Returns the table after the order; lines are sorted by server id. The last result is cached, except in {@link
+     * #EMPTY}, which runs on several threads share.
+     */
+    Table with(Order.SetLine order, Server server, boolean singleOwner) {
         if (order == lastOrder) {
             return lastResult;
         }
-        Table result = sole && order.weight() > 0
+        Table result = singleOwner && order.weight() > 0
                 ? new Table(new Server[] {server}, new double[] {order.weight()})
                 : changed(server, order.weight());
         if (this != EMPTY) {
@@ -51,31 +56,32 @@
         return result;
     }
 
+    /** Returns a table with the weight of the server set, or its line removed if the weight is 0. */
     private Table changed(Server server, double weight) {
-        int at = 0;
-        while (at < servers.length && servers[at].id().compareTo(server.id()) < 0) {
-            at++;
+        int index = 0;
+        while (index < servers.length && servers[index].id().compareTo(server.id()) < 0) {
+            index++;
         }
-        boolean there = at < servers.length && servers[at] == server;
-        int grows = weight > 0 ? there ? 0 : 1 : there ? -1 : 0;
-        if (grows == 0 && !there) {
+        boolean present = index < servers.length && servers[index] == server;
+        int growth = weight > 0 ? present ? 0 : 1 : present ? -1 : 0;
+        if (growth == 0 && !present) {
             return this;
         }
-        if (servers.length + grows == 0) {
+        if (servers.length + growth == 0) {
             return EMPTY;
         }
-        Server[] to = new Server[servers.length + grows];
-        double[] parts = new double[to.length];
-        int tail = there ? at + 1 : at;
-        int toTail = weight > 0 ? at + 1 : at;
-        System.arraycopy(servers, 0, to, 0, at);
-        System.arraycopy(weights, 0, parts, 0, at);
-        System.arraycopy(servers, tail, to, toTail, servers.length - tail);
-        System.arraycopy(weights, tail, parts, toTail, servers.length - tail);
+        Server[] newServers = new Server[servers.length + growth];
+        double[] newWeights = new double[newServers.length];
+        int tail = present ? index + 1 : index;
+        int newTail = weight > 0 ? index + 1 : index;
+        System.arraycopy(servers, 0, newServers, 0, index);
+        System.arraycopy(weights, 0, newWeights, 0, index);
+        System.arraycopy(servers, tail, newServers, newTail, servers.length - tail);
+        System.arraycopy(weights, tail, newWeights, newTail, servers.length - tail);
         if (weight > 0) {
-            to[at] = server;
-            parts[at] = weight;
+            newServers[index] = server;
+            newWeights[index] = weight;
         }
-        return new Table(to, parts);
+        return new Table(newServers, newWeights);
     }
 }
--- a/src/test/java/puffinbarrow/emulator/EmulatorTest.java
+++ b/src/test/java/puffinbarrow/emulator/EmulatorTest.java
@@ -21,9 +21,9 @@
 import puffinbarrow.control.Controller;
 import puffinbarrow.control.Order;
 
-/** The emulator's engine, its days and its experiments. */
+/** Tests the event queues, the days and the experiments of the emulator. */
 class EmulatorTest {
-    private static final String SMALL =
+    private static final String SMALL_DAY =
             """
             coordinators 2
             proxies 6
@@ -34,7 +34,7 @@
             seed 5
             set probes on
             """;
-    private static final String ROUGH =
+    private static final String FAULTS =
             """
             at 2s backends 25% die for 4s
             at 7s coordinator 1 killed for 3s
@@ -51,68 +51,72 @@
         return setup;
     }
 
-    private static Outcome play(String text, String policy) {
+    private static Outcome run(String text, String policy) {
         return new Fleet(setup(text), Policy.named(policy), new Heap(), 50_000_000).run();
     }
 
-    private static Outcome play(String text, Controller.Factory decisions, long mostEvents) {
-        return new Fleet(setup(text), new Policy("test", truth -> decisions), new Heap(), mostEvents).run();
+    private static Outcome run(String text, Controller.Factory controllerFactory, long maxEvents) {
+        return new Fleet(setup(text), new Policy("test", trueState -> controllerFactory), new Heap(), maxEvents).run();
     }
 
-    /** All that a seed decides, in one text. */
-    private static String told(Outcome o) {
-        return o.text() + o.events + " " + o.turns + " " + o.decisionEvents + " " + o.mostOpen;
+    /** Returns a text of everything that a seed determines. */
+    private static String fingerprint(Outcome outcome) {
+        return outcome.text() + outcome.events + " " + outcome.decisionTurns + " " + outcome.decisionEvents + " "
+                + outcome.mostOpen;
     }
 
-    // ---- The engine.
+    // ---- Event queues and simulation.
 
     @Test
-    void whatComesOutIsInOrderOfTimeAndThoseOfOneTimeAsTheyWereAdded() {
-        for (Agenda agenda : List.of(new Heap(), new Calendar())) {
-            UniformRandomProvider chance = RandomSource.XO_RO_SHI_RO_128_PP.create(3);
-            List<long[]> out = new ArrayList<>();
+    void queuesReturnEventsByTimeThenByInsertion() {
+        for (Agenda queue : List.of(new Heap(), new Calendar())) {
+            UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(3);
+            List<long[]> processed = new ArrayList<>();
             long now = 1_000_000;
             long added = 0;
             for (int i = 0; i < 40_000; i++) {
-                // Few different times, so that many are alike; grows, then shrinks; now and then far ahead.
-                if (agenda.size() == 0 || chance.nextInt(20_000) > i / 2) {
-                    long at = now + chance.nextInt(50) * 1000L + (chance.nextInt(100) == 0 ? 5_000_000_000L : 0);
+                // Few distinct times, so that many are equal; the queue grows, then shrinks; now and then a time is
+                // far ahead.
+                if (queue.size() == 0 || random.nextInt(20_000) > i / 2) {
+                    long at = now + random.nextInt(50) * 1000L + (random.nextInt(100) == 0 ? 5_000_000_000L : 0);
                     long number = added++;
-                    agenda.add(at, () -> out.add(new long[] {at, number}));
+                    queue.add(at, () -> processed.add(new long[] {at, number}));
                 } else {
-                    now = agenda.nextNs();
-                    agenda.take().run();
-                    assertEquals(now, out.get(out.size() - 1)[0]);
+                    now = queue.nextNs();
+                    queue.take().run();
+                    assertEquals(now, processed.get(processed.size() - 1)[0]);
                 }
             }
-            while (agenda.size() > 0) {
-                agenda.take().run();
+            while (queue.size() > 0) {
+                queue.take().run();
             }
-            assertEquals(added, out.size());
-            for (int i = 1; i < out.size(); i++) {
-                long[] before = out.get(i - 1);
-                long[] after = out.get(i);
+            assertEquals(added, processed.size());
+            for (int i = 1; i < processed.size(); i++) {
+                long[] before = processed.get(i - 1);
+                long[] after = processed.get(i);
                 assertTrue(
                         before[0] < after[0] || before[0] == after[0] && before[1] < after[1],
-                        agenda.getClass() + " at " + i);
+                        queue.getClass() + " at " + i);
             }
         }
     }
 
     @Test
-    void oneMorePartDoesNotChangeTheChanceOfOthers() {
-        World one = new World(new Heap(), 9, 10);
-        World other = new World(new Heap(), 9, 10);
-        other.chance("server", 7).nextLong();
-        assertEquals(one.chance("proxy", 1).nextLong(), other.chance("proxy", 1).nextLong());
+    void randomGeneratorsOfPartsAreIndependent() {
+        Simulation first = new Simulation(new Heap(), 9, 10);
+        Simulation second = new Simulation(new Heap(), 9, 10);
+        second.random("server", 7).nextLong();
+        assertEquals(
+                first.random("proxy", 1).nextLong(), second.random("proxy", 1).nextLong());
         assertNotEquals(
-                one.chance("proxy", 1).nextLong(), one.chance("proxy", 2).nextLong());
+                first.random("proxy", 1).nextLong(), first.random("proxy", 2).nextLong());
     }
 
     @Test
-    void queueingTheoryHolds() {
+    void sojournTimesMatchQueueingTheory() {
         for (Queueing.Check check : Queueing.all(1, 900)) {
-            // Sojourn times at load 0.8 hang together for long: the mean of some ten thousand is off by some percent.
+            // Sojourn times at load 0.8 are strongly correlated: the mean of some ten thousand is off by several
+            // percent.
             assertTrue(check.off() < 0.07, check.toString());
         }
     }
@@ -120,24 +124,26 @@
     // ---- Days.
 
     @Test
-    void theSameSeedIsTheSameDayAndAnotherIsNot() {
-        String first = told(play(SMALL + ROUGH, "ours"));
-        assertEquals(first, told(play(SMALL + ROUGH, "ours")));
-        assertNotEquals(first, told(play(SMALL + ROUGH + "seed 6\n", "ours")));
+    void dayIsReproducibleFromItsSeed() {
+        String first = fingerprint(run(SMALL_DAY + FAULTS, "ours"));
+        assertEquals(first, fingerprint(run(SMALL_DAY + FAULTS, "ours")));
+        assertNotEquals(first, fingerprint(run(SMALL_DAY + FAULTS + "seed 6\n", "ours")));
         assertEquals(
-                first, told(new Fleet(setup(SMALL + ROUGH), Policy.named("ours"), new Calendar(), 50_000_000).run()));
+                first,
+                fingerprint(
+                        new Fleet(setup(SMALL_DAY + FAULTS), Policy.named("ours"), new Calendar(), 50_000_000).run()));
     }
 
     @Test
-    void everyFlowHasOneEndUnderEveryPolicyAndModel() {
+    void everyFlowEndsOnceUnderEveryPolicyAndModel() {
         for (Policy policy : Policy.ALL) {
-            Outcome outcome = play(SMALL + ROUGH, policy.name());
+            Outcome outcome = run(SMALL_DAY + FAULTS, policy.name());
             assertTrue(outcome.whole() && outcome.intended > 1500, policy.name() + outcome.text());
             assertEquals(
                     outcome.inBudget + outcome.late,
-                    outcome.latency[0].getTotalCount()
-                            + outcome.latency[1].getTotalCount()
-                            + outcome.latency[2].getTotalCount());
+                    outcome.latencyUs[0].getTotalCount()
+                            + outcome.latencyUs[1].getTotalCount()
+                            + outcome.latencyUs[2].getTotalCount());
         }
         for (String model : List.of(
                 "pick two-choices",
@@ -150,61 +156,62 @@
                 "connections 2 kept 1s",
                 "avoid 0",
                 "network 20ms")) {
-            Outcome outcome = play(SMALL + ROUGH + "model " + model + "\n", "ours");
+            Outcome outcome = run(SMALL_DAY + FAULTS + "model " + model + "\n", "ours");
             assertTrue(outcome.whole() && outcome.service > 0.5, model + outcome.text());
         }
-        Outcome processors = play(
-                SMALL + ROUGH + "model work processor\nmodel overdue stops\nat 3s backends 3 pause 1s every 2s for 8s\n"
+        Outcome sharedCores = run(
+                SMALL_DAY + FAULTS
+                        + "model work processor\nmodel overdue stops\nat 3s backends 3 pause 1s every 2s for 8s\n"
                         + "at 4s backends cells 1 vanish for 5s\n",
                 "ours");
-        assertTrue(processors.whole(), processors.text());
+        assertTrue(sharedCores.whole(), sharedCores.text());
     }
 
     @Test
-    void theModuleKeepsTheRulesOnARoughDayAndTheAuditSeesThoseThatDoNot() {
-        Outcome ours = play(SMALL + ROUGH, "ours");
+    void productKeepsTheRulesAndAuditDetectsAPolicyThatDoesNot() {
+        Outcome ours = run(SMALL_DAY + FAULTS, "ours");
         assertTrue(ours.verdict.kept(), ours.text());
-        // Never told to stop: servers that drain are sent to for as long as they are there.
-        Outcome deaf = play(
-                SMALL + "at 4s backends 3 preempt for 8s\nset grace 2s\n",
+        // Without masks and lines, proxies keep sending to draining servers for as long as they are there.
+        Outcome ignoringDrains = run(
+                SMALL_DAY + "at 4s backends 3 preempt for 8s\nset grace 2s\n",
                 (settings, seed) -> {
                     Logic logic = new Logic(settings, seed);
                     return (now, events) -> logic.handle(now, events).stream()
-                            .filter(o -> !(o instanceof Order.Mask) && !(o instanceof Order.SetLine))
+                            .filter(order -> !(order instanceof Order.Mask) && !(order instanceof Order.SetLine))
                             .toList();
                 },
                 50_000_000);
-        assertTrue(deaf.verdict.broke(Audit.Rule.DRAIN), deaf.text());
+        assertTrue(ignoringDrains.verdict.broke(Audit.Rule.DRAIN), ignoringDrains.text());
     }
 
     @Test
-    void morePolicyKnowsMoreServes() {
-        // Half the servers four times slower than listed: only who sees it can place well.
-        String day = SMALL + "rate 120\nat 2s backends 50% slow x 4 for 15s\n";
-        assertTrue(play(day, "oracle").service > play(day, "random").service + 0.02);
+    void oracleServesMoreThanRandom() {
+        // Half of the servers are four times slower than listed: only a policy that sees this can place well.
+        String day = SMALL_DAY + "rate 120\nat 2s backends 50% slow x 4 for 15s\n";
+        assertTrue(run(day, "oracle").service > run(day, "random").service + 0.02);
     }
 
     @Test
-    void aFrozenCoordinatorIsTakenOverAndItsOldOrdersChangeNothing() {
-        Outcome outcome = play(
-                SMALL + "at 3s coordinator 0 frozen for 8s\nat 5s backends 3 die for 4s\nset messages 40 per 10s\n",
+    void frozenCoordinatorLosesItsSlicesAndItsOldOrdersAreRefused() {
+        Outcome outcome = run(
+                SMALL_DAY + "at 3s coordinator 0 frozen for 8s\nat 5s backends 3 die for 4s\nset messages 40 per 10s\n",
                 "ours");
-        assertTrue(outcome.verdict.kept() && outcome.handed >= 18, outcome.text());
+        assertTrue(outcome.verdict.kept() && outcome.ownerChanges >= 18, outcome.text());
     }
 
     @Test
-    void memoryIsHeardAfterARestartInSimulatedTimeToo() {
-        String day = SMALL + "at 2s backends 2 flap 500ms every 2s for 12s\nat 9s coordinator 0 killed for 1s\n";
-        assertNotEquals(told(play(day, "ours")), told(play(day + "memory on\n", "ours")));
+    void rememberedFactsInfluenceDecisionsAfterARestart() {
+        String day = SMALL_DAY + "at 2s backends 2 flap 500ms every 2s for 12s\nat 9s coordinator 0 killed for 1s\n";
+        assertNotEquals(fingerprint(run(day, "ours")), fingerprint(run(day + "memory on\n", "ours")));
     }
 
-    // ---- What goes wrong.
+    // ---- Failing policies and invalid input.
 
     @Test
-    void aPolicyThatThrowsOrFloodsEndsItsRunAsFailed() {
+    void policyThatThrowsFloodsOrNeverEndsFailsTheRun() {
         int[] calls = new int[1];
-        Outcome thrown = play(
-                SMALL,
+        Outcome thrown = run(
+                SMALL_DAY,
                 (settings, seed) -> (now, events) -> {
                     if (calls[0]++ > 50) {
                         throw new ArithmeticException("on purpose");
@@ -213,22 +220,22 @@
                 },
                 50_000_000);
         assertTrue(thrown.failed.contains("on purpose"), thrown.failed);
-        Outcome flooding = play(
-                SMALL,
+        Outcome flooding = run(
+                SMALL_DAY,
                 (settings, seed) -> (now, events) -> {
-                    List<Order> all = new ArrayList<>();
-                    IntStream.range(0, 2000).forEach(i -> all.add(new Order.Mask("nobody" + i, false)));
-                    all.add(new Order.WakeAt(now + 100_000_000, 1));
-                    return all;
+                    List<Order> orders = new ArrayList<>();
+                    IntStream.range(0, 2000).forEach(i -> orders.add(new Order.Mask("nobody" + i, false)));
+                    orders.add(new Order.WakeAt(now + 100_000_000, 1));
+                    return orders;
                 },
                 50_000_000);
         assertTrue(flooding.failed.contains("floods"), flooding.failed);
-        Outcome endless = play(SMALL, (settings, seed) -> new Logic(settings, seed), 10_000);
+        Outcome endless = run(SMALL_DAY, (settings, seed) -> new Logic(settings, seed), 10_000);
         assertTrue(endless.failed.contains("events"), endless.failed);
     }
 
     @Test
-    void settingsThatMakeNoSenseAreRefusedWithTheirLine() {
+    void invalidSettingsAreReportedWithTheirLine() {
         List<Problem> problems = new ArrayList<>();
         Setup.parse(
                 "d",
@@ -275,40 +282,40 @@
     }
 
     @Test
-    void anExperimentCutOffGoesOnToTheSameResultsOnAnyNumberOfThreads(@TempDir Path folder) throws Exception {
-        Path whole = folder.resolve("whole");
-        assertTrue(new Runs(experiment(EXPERIMENT), whole, 1, t -> {}).play());
-        String results = Files.readString(whole.resolve("results.csv"));
+    void interruptedExperimentContinuesToTheSameResultsOnAnyNumberOfThreads(@TempDir Path folder) throws Exception {
+        Path complete = folder.resolve("whole");
+        assertTrue(new Runs(experiment(EXPERIMENT), complete, 1, t -> {}).play());
+        String results = Files.readString(complete.resolve("results.csv"));
         assertEquals(13, results.lines().count(), results);
-        Path cut = folder.resolve("cut");
-        Files.createDirectories(cut);
-        // As a kill leaves it: some rows, the last one torn.
-        List<String> rows = new ArrayList<>();
-        Runs first = new Runs(experiment(EXPERIMENT), cut, 8, t -> {});
-        assertTrue(first.play());
-        assertEquals(results, Files.readString(cut.resolve("results.csv")));
+        Path interrupted = folder.resolve("cut");
+        Files.createDirectories(interrupted);
+        // As a killed process leaves the file: some rows, the last one incomplete.
+        List<String> partRows = new ArrayList<>();
+        Runs firstRun = new Runs(experiment(EXPERIMENT), interrupted, 8, t -> {});
+        assertTrue(firstRun.play());
+        assertEquals(results, Files.readString(interrupted.resolve("results.csv")));
         List<String> lines = results.lines().toList();
         for (int i = 1; i < 6; i++) {
-            rows.add(lines.get(i) + ",1.0,1.0,0.1");
+            partRows.add(lines.get(i) + ",1.0,1.0,0.1");
         }
-        Files.delete(cut.resolve("results.csv"));
+        Files.delete(interrupted.resolve("results.csv"));
         Files.writeString(
-                cut.resolve("runs.part.csv"),
-                String.join("\n", rows) + "\n" + lines.get(7).substring(0, 30));
-        List<String> said = new ArrayList<>();
-        assertTrue(new Runs(experiment(EXPERIMENT), cut, 3, said::add).play());
-        assertTrue(said.get(0).startsWith("5 of 12 runs are there"), said.toString());
-        assertEquals(8, said.size(), said.toString());
-        assertEquals(results, Files.readString(cut.resolve("results.csv")));
-        assertFalse(new Runs(experiment(EXPERIMENT + "draw slices {16..20}\n"), cut, 3, t -> {}).play());
-        Report report = new Report(Sheet.read(cut.resolve("results.csv")));
+                interrupted.resolve("runs.part.csv"),
+                String.join("\n", partRows) + "\n" + lines.get(7).substring(0, 30));
+        List<String> progressLines = new ArrayList<>();
+        assertTrue(new Runs(experiment(EXPERIMENT), interrupted, 3, progressLines::add).play());
+        assertTrue(progressLines.get(0).startsWith("5 of 12 runs are there"), progressLines.toString());
+        assertEquals(8, progressLines.size(), progressLines.toString());
+        assertEquals(results, Files.readString(interrupted.resolve("results.csv")));
+        assertFalse(new Runs(experiment(EXPERIMENT + "draw slices {16..20}\n"), interrupted, 3, t -> {}).play());
+        Report report = new Report(Sheet.read(interrupted.resolve("results.csv")));
         assertEquals(4, report.table().size());
         report.html(folder.resolve("r.html"), "test");
         assertTrue(Files.size(folder.resolve("r.html")) > 10_000);
     }
 
     @Test
-    void aSearchFindsTheLineThatHurtsAndCutsTheRestAway() throws Exception {
+    void searchFindsTheHarmfulLineAndDropsTheRest() throws Exception {
         Experiment experiment = experiment(
                 """
                 line coordinators 1
