--- a/src/main/java/puffinbarrow/emulator/Baseline.java
+++ b/src/main/java/puffinbarrow/emulator/Baseline.java
@@ -282,7 +282,8 @@
     }
 
     /**
-     * Rendezvous hashing of slices onto ready servers; no server gets more than {@link #CAPACITY_FACTOR} times its even share.
+     * Rendezvous hashing of slices onto ready servers; no server gets more than {@link #CAPACITY_FACTOR} times its even
+     * share.
      */
     static final class BoundedHash extends Baseline {
         /** Bound on the slices of a server, relative to its even share. */
@@ -305,6 +306,7 @@
                     .orElse(null);
         }
 
+        /** Returns the rank of a server for a slice; the highest rank wins. */
         private static long rank(int slice, String server) {
             return HASH.hashStream().putInt(slice).putString(server).getAsLong();
         }
--- a/src/main/java/puffinbarrow/emulator/Calendar.java
+++ b/src/main/java/puffinbarrow/emulator/Calendar.java
@@ -49,10 +49,12 @@
         }
     }
 
+    /** Returns the bucket of the day that a time belongs to. */
     private int bucket(long atNs) {
         return (int) (atNs / dayNs & buckets.length - 1);
     }
 
+    /** Inserts an event into the sorted list of its bucket. */
     private void insert(Entry entry) {
         int bucket = bucket(entry.atNs);
         Entry before = null;
--- a/src/main/java/puffinbarrow/emulator/Clients.java
+++ b/src/main/java/puffinbarrow/emulator/Clients.java
@@ -29,6 +29,7 @@
             this.startNs = beganAtNs + flow.startNs();
         }
 
+        /** Sends an attempt to the proxy of the flow. */
         void send() {
             int sentAttempt = attempt;
             // An answer to an earlier attempt is ignored: a later one has begun, or the flow has ended.
@@ -79,6 +80,7 @@
             }
         }
 
+        /** Ends the flow with an outcome. */
         void finish(Result.Outcome outcome) {
             finished = true;
             openFlows--;
--- a/src/main/java/puffinbarrow/emulator/CoordinatorModel.java
+++ b/src/main/java/puffinbarrow/emulator/CoordinatorModel.java
@@ -77,7 +77,9 @@
     private final Facts.Image savedFacts = new Facts.Image();
 
     private final Set<Proxy.CoordinatorStream> proxyStreams = new LinkedHashSet<>();
+    /** Peers that this coordinator is cut off from, by number. */
     private final boolean[] peerCut;
+
     private CoordinatorConfig config;
     private Core core;
     private Holder holder;
@@ -95,14 +97,16 @@
     private final List<Runnable> deferred = new ArrayList<>();
 
     private String failure;
-    /** Real time spent in decisions, the events they were given, and their calls. */
+    /** Real time spent in decisions. */
     long decisionNs;
-
+    /** Events that the controllers were given. */
     long decisionEvents;
+    /** Calls of the controllers. */
     long turns;
     /** Proxies cut off by a full channel in earlier incarnations; the metrics count the present one. */
     long cutOffs;
 
+    /** Facts recalled after restarts. */
     long recalledFacts;
 
     CoordinatorModel(Fleet fleet, int number, Controller.Factory controllerFactory) {
@@ -142,7 +146,6 @@
                 new Core.Tempo(config.linesPerS, config.intakePerS, config.roundNs));
         holder = null;
         if (config.leaseNs > 0) {
-            int expectedIncarnation = incarnation;
             holder = new Holder(
                     config,
                     (long) number << 32 | incarnation,
@@ -153,7 +156,7 @@
                     },
                     meters);
             core.fence(holder);
-            // The timer of an earlier incarnation checks the incarnation and does nothing.
+            // Timers of an earlier holder have no effect, see after().
             holder.start();
         }
         storeRedialPauseNs = registryRedialPauseNs = MIN_REDIAL_PAUSE_NS;
@@ -254,6 +257,7 @@
 
     // ---- The decision thread.
 
+    /** Puts an input into the inbox of the core. */
     private void offer(Input input) {
         if (up) {
             core.offer(input);
@@ -323,6 +327,7 @@
 
     // ---- Proxies.
 
+    /** A proxy has connected. */
     void join(Proxy.CoordinatorStream stream, Frame.Hello hello) {
         proxyStreams.add(stream);
         offer(new Input.Joined(
@@ -352,6 +357,7 @@
 
     // ---- Store and registry: connected to again after a pause, as by the product's dialler.
 
+    /** Connects to the store, again and again until it succeeds. */
     private void dialStore(int expectedIncarnation) {
         simulation.after(2 * fleet.model.networkDelayNs, () -> {
             if (expectedIncarnation != incarnation) {
@@ -411,6 +417,7 @@
         });
     }
 
+    /** Connects to the registry, again and again until it succeeds. */
     private void dialRegistry(int expectedIncarnation) {
         simulation.after(2 * fleet.model.networkDelayNs, () -> {
             if (expectedIncarnation != incarnation) {
@@ -475,12 +482,14 @@
         })));
     }
 
+    /** The stream to a peer has ended. */
     private void peerLost(int peer) {
         if (up && peer != number) {
             runWhenAwake(() -> offer(new Input.PeerUp(peer, null)));
         }
     }
 
+    /** Cuts this coordinator off from all peers, or connects it again. */
     void cutPeers(boolean on) {
         for (CoordinatorModel peer : fleet.coordinators) {
             if (peer != this) {
@@ -496,6 +505,7 @@
         }
     }
 
+    /** Cuts this coordinator off from the registry, or lets it connect again. */
     void cutRegistry(boolean on) {
         registryCut = on;
         if (on) {
--- a/src/main/java/puffinbarrow/emulator/Experiment.java
+++ b/src/main/java/puffinbarrow/emulator/Experiment.java
@@ -47,12 +47,14 @@
      */
     private static final Pattern RANGE = Pattern.compile("\\{(-?[0-9.]+?)\\.\\.(-?[0-9.]+?)}");
 
+    /** Title of the report. */
     public String name = "experiment";
     /** Factors by name, each with its levels, each of those with its lines. */
     public final Map<String, Map<String, List<String>>> factors = new LinkedHashMap<>();
     /** Lines drawn anew for each seed. */
     public final List<Drawn> drawnLines = new ArrayList<>();
 
+    /** Names of the policies to compare; the first is the one that reports compare with the others. */
     public final List<String> policies = new ArrayList<>();
     /** Seeds of the runs: from the first to the last, both included. */
     public long firstSeed = 1;
@@ -98,23 +100,24 @@
         return experiment;
     }
 
+    /** Reads a line of the file. */
     private void readStatement(Statement statement, Words words, Path file, Function<String, String> builtIn) {
         switch (statement.keyword()) {
             case "name" -> name = words.text("the experiment's name");
             case "day" -> {
-                String day = words.text("a day's file, or default or monday");
+                String day = words.text("the file of a day, or default or monday");
                 Path besideFile = file.toAbsolutePath().resolveSibling(day);
                 try {
                     String dayText = Files.exists(besideFile)
                             ? Files.readString(besideFile, StandardCharsets.UTF_8)
                             : builtIn.apply(day);
                     if (dayText == null) {
-                        words.wrong("'" + day + "'", "a day's file beside this one, or default or monday");
+                        words.wrong("'" + day + "'", "the file of a day beside this one, or default or monday");
                     } else {
                         baseDay = dayText;
                     }
                 } catch (IOException unreadable) {
-                    words.wrong("'" + day + "', which cannot be read", "a day's file");
+                    words.wrong("'" + day + "', which cannot be read", "the file of a day");
                 }
             }
             case "line" -> fixedLines.add(restOfLine(words));
@@ -123,16 +126,16 @@
                 String level = words.text("the level's name");
                 List<String> levelLines = new ArrayList<>();
                 while (words.more()) {
-                    levelLines.add(words.text("a day's line in quotes"));
+                    levelLines.add(words.text("a line of a day in quotes"));
                 }
                 if (factors.computeIfAbsent(factor, f -> new LinkedHashMap<>()).put(level, levelLines) != null) {
-                    words.wrong("level " + level + " of " + factor + " again", "each level once");
+                    words.wrong("level " + level + " of " + factor + " a second time", "each level once");
                 }
             }
             case "draw" -> drawnLines.add(new Drawn(1, "", restOfLine(words)));
             case "maybe" -> {
-                double share = words.share("how often it stands");
-                String reportName = words.text("its name in reports");
+                double share = words.share("the probability that the line is included");
+                String reportName = words.text("the name of the line in reports");
                 drawnLines.add(new Drawn(share, reportName, restOfLine(words)));
             }
             case "policy" -> {
@@ -165,7 +168,7 @@
     private static String restOfLine(Words words) {
         StringBuilder line = new StringBuilder();
         do {
-            line.append(line.length() > 0 ? " " : "").append(words.text("a day's line"));
+            line.append(line.length() > 0 ? " " : "").append(words.text("a line of a day"));
         } while (words.more());
         return line.toString();
     }
@@ -278,6 +281,7 @@
         return text.append("seed ").append(seed).append('\n').toString();
     }
 
+    /** Returns the text of the day of a run. */
     String dayText(Run run) {
         return dayText(draws(run.seed), run.levels, run.seed);
     }
--- a/src/main/java/puffinbarrow/emulator/Fleet.java
+++ b/src/main/java/puffinbarrow/emulator/Fleet.java
@@ -92,7 +92,7 @@
         }
     }
 
-    /** Adds a server, not listed yet and at its full speed. */
+    /** Adds a server that is warm and not listed yet. */
     private Server addServer() {
         int number = servers.size();
         Server server = new Server(
@@ -112,14 +112,17 @@
         return server;
     }
 
+    /** Returns a server by id, or null. */
     Server server(String id) {
         return servers.get(id);
     }
 
+    /** Returns all servers in the order of their creation. */
     Collection<Server> servers() {
         return servers.values();
     }
 
+    /** Returns the clients, or null before traffic begins. */
     Clients clients() {
         return clients;
     }
@@ -238,6 +241,7 @@
         return proxies.stream().allMatch(Proxy::ready);
     }
 
+    /** Collects the result. */
     private Outcome outcome(String failed) {
         Outcome outcome = new Outcome();
         outcome.failed = failed;
--- a/src/main/java/puffinbarrow/emulator/ModelParameters.java
+++ b/src/main/java/puffinbarrow/emulator/ModelParameters.java
@@ -41,8 +41,11 @@
      */
     long networkDelayNs = 100_000;
 
+    /** How proxies pick servers. */
     Pick pick = Pick.WEIGHTED;
+    /** How servers divide their cores. */
     Sharing sharing = Sharing.SLOTS;
+    /** What servers do with flows that nobody waits for. */
     Overdue overdue = Overdue.DROPPED;
     /** Share of its capacity that a server loses when it is full, 0 to 0.95; proportionally less when partly full. */
     double lossWhenFull;
@@ -63,7 +66,7 @@
     long reportIntervalNs = 500_000_000L;
     /** Largest relative error of the busy share in a report. */
     double reportNoise = 0.05;
-    /** Time for which a proxy stands still for each line that it applies. */
+    /** Time that a proxy takes to apply a line; lines are applied one after the other. */
     long applyNsPerLine = 30_000;
     /** Failures in a row after which a proxy avoids a server; 0: never. */
     int failuresToAvoid = 8;
@@ -98,50 +101,52 @@
             "audited");
 
     /** Reads the words after {@code model}. */
-    void readLine(Words w) {
-        switch (w.oneOf(KEYS.toArray(String[]::new))) {
-            case "network" -> networkDelayNs = w.time("one way");
-            case "pick" -> pick = Pick.valueOf(constantName(w.oneOf("weighted", "rotate", "two-choices")));
-            case "work" -> sharing = Sharing.valueOf(constantName(w.oneOf("slots", "processor")));
-            case "overdue" -> overdue = Overdue.valueOf(constantName(w.oneOf("dropped", "goes-on", "stops")));
+    void readLine(Words words) {
+        switch (words.oneOf(KEYS.toArray(String[]::new))) {
+            case "network" -> networkDelayNs = words.time("the network delay in one direction");
+            case "pick" -> pick = Pick.valueOf(constantName(words.oneOf("weighted", "rotate", "two-choices")));
+            case "work" -> sharing = Sharing.valueOf(constantName(words.oneOf("slots", "processor")));
+            case "overdue" -> overdue = Overdue.valueOf(constantName(words.oneOf("dropped", "goes-on", "stops")));
             case "loss-when-full" -> {
-                lossWhenFull = w.share("the part of its capacity that a full server loses");
-                if (w.sound() && lossWhenFull > 0.95) {
-                    w.wrong("a server that does no work when full", "0.95 at most");
+                lossWhenFull = words.share("the share of its capacity that a full server loses");
+                if (words.sound() && lossWhenFull > 0.95) {
+                    words.wrong("a server that does no work when full", "0.95 at most");
                 }
             }
-            case "handshake" -> handshakeNs = w.time("a handshake's work at the server");
+            case "handshake" -> handshakeNs = words.time("the work of a handshake at the server");
             case "connections" -> {
-                connectionsPerCore = (int) w.whole("connections accepted for each core", 1, 1_000_000);
-                if (w.take("kept")) {
-                    idleConnectionNs = w.time("how long an idle one is kept");
+                connectionsPerCore = (int) words.whole("connections accepted per core", 1, 1_000_000);
+                if (words.take("kept")) {
+                    idleConnectionNs = words.time("the time for which an idle connection is kept");
                 }
             }
-            case "waiting-room" -> waitingPerCore = (int) w.whole("flows that may wait for each core", 0, 1_000_000);
+            case "waiting-room" -> waitingPerCore = (int) words.whole("flows that may wait per core", 0, 1_000_000);
             case "warm-keys" -> {
-                warmKeysPerCore = (int) w.whole("keys remembered for each core", 0, 1_000_000);
-                if (w.take("gain")) {
-                    warmKeyGain = w.share("the work that a warm key saves");
+                warmKeysPerCore = (int) words.whole("keys remembered per core", 0, 1_000_000);
+                if (words.take("gain")) {
+                    warmKeyGain = words.share("the share of the work that a warm key saves");
                 }
             }
             case "reports" -> {
-                w.expect("every");
-                reportIntervalNs = Math.max(1, w.time("how often they are refreshed"));
-                if (w.take("noise")) {
-                    reportNoise = w.share("how far off at most");
+                words.expect("every");
+                reportIntervalNs = Math.max(1, words.time("the interval between load reports"));
+                if (words.take("noise")) {
+                    reportNoise = words.share("the largest relative error of the busy share");
                 }
             }
-            case "apply" -> applyNsPerLine = w.time("a proxy's standstill for each line");
+            case "apply" -> applyNsPerLine = words.time("the time that a proxy takes to apply a line");
             case "avoid" -> {
-                failuresToAvoid = (int) w.whole("failures in a row before a proxy avoids (0: never)", 0, 1000);
-                if (w.take("for")) {
-                    avoidNs = w.time("how long");
+                failuresToAvoid =
+                        (int) words.whole("failures in a row before a proxy avoids a server (0: never)", 0, 1000);
+                if (words.take("for")) {
+                    avoidNs = words.time("the time for which the server is avoided");
                 }
             }
-            case "hold" -> holdNs = w.time("how long a flow without a server is held");
-            case "try" -> attemptBudgets = w.number("budgets that a try takes that may be followed", 0.01, 100);
-            case "cell" -> cellSize = (int) w.whole("backends of a cell", 1, 10_000);
-            default -> auditedProxies = (int) w.whole("proxies whose tables are audited", 0, 10_000);
+            case "hold" -> holdNs = words.time("the time for which a flow without a server is held");
+            case "try" -> attemptBudgets =
+                    words.number("the time-out of an attempt that may be retried, in latency budgets", 0.01, 100);
+            case "cell" -> cellSize = (int) words.whole("backends per cell", 1, 10_000);
+            default -> auditedProxies = (int) words.whole("proxies whose tables are audited", 0, 10_000);
         }
     }
 
--- a/src/main/java/puffinbarrow/emulator/Outcome.java
+++ b/src/main/java/puffinbarrow/emulator/Outcome.java
@@ -29,11 +29,11 @@
     public long late;
     public long blocked;
     public long dropped;
-    /** Retries by clients, and by proxies. */
+    /** Retries by clients. */
     public long clientRetries;
-
+    /** Retries by proxies. */
     public long proxyRetries;
-    /** Percentiles of the latency of answered flows. */
+    /** Median time from the intended start of a flow to its good answer; the next three are other percentiles. */
     public double p50Ms;
 
     public double p90Ms;
@@ -70,24 +70,19 @@
     public List<String> fellOver = List.of();
     /** Simulated time until the fleet was up and traffic began. */
     public long beganAtNs;
-    /**
-     * Names of the traffic groups; {@link #outcomeCounts} holds the flows by group and {@link Result.Outcome}, {@link
-     * #latencyUs} the microseconds to a good answer by group.
-     */
+    /** Names of the traffic groups. */
     public List<String> groupNames = List.of();
-
+    /** Flows by group and {@link Result.Outcome}. */
     public long[][] outcomeCounts = new long[0][];
+    /** Time from the intended start to a good answer in microseconds, by group. */
     public Histogram[] latencyUs = new Histogram[0];
-    /** Utility offered and earned, by second of the intended start. */
+    /** Utility offered, by second of the intended start. */
     public double[] offeredUtility = new double[0];
-
+    /** Utility earned, by second of the intended start. */
     public double[] earnedUtility = new double[0];
-    /**
-     * Real time that decisions took on this machine and the events they were given; the time is not reproducible by a
-     * seed.
-     */
+    /** Real time that decisions took on this machine; the only figure that does not follow from the seed. */
     public long decisionNs;
-
+    /** Events that the controllers were given. */
     public long decisionEvents;
 
     /** Takes over the counts and latencies of the clients. */
--- a/src/main/java/puffinbarrow/emulator/Proxy.java
+++ b/src/main/java/puffinbarrow/emulator/Proxy.java
@@ -120,6 +120,7 @@
             }
         }
 
+        /** Ends the attempt without an answer. */
         void timeOut() {
             if (!finished) {
                 finished = true;
@@ -132,6 +133,7 @@
 
     /** Idle connections to one server, kept for reuse. */
     private static final class ConnectionPool {
+        /** Number of idle connections. */
         int idle;
         /** Incarnation of the server that the idle connections lead to. */
         int poolIncarnation;
@@ -178,7 +180,7 @@
     }
 
     /** Orders that take effect at a stated time. */
-    private record PendingOrders(Frame.Orders orders, long atNs) {}
+    private record ScheduledOrders(Frame.Orders orders, long atNs) {}
 
     /** The stream to one coordinator, and the masks and levels that it ordered. */
     final class CoordinatorStream implements Outlet {
@@ -186,8 +188,9 @@
         final Set<String> masks = new HashSet<>();
         final Order.SetLevel[] levels = new Order.SetLevel[config.groups.size()];
         /** Orders that have arrived but not taken effect, in order. */
-        final ArrayDeque<PendingOrders> pendingOrders = new ArrayDeque<>();
+        final ArrayDeque<ScheduledOrders> pendingOrders = new ArrayDeque<>();
 
+        /** When the last of the pending orders takes effect; later ones do not overtake it. */
         long lastApplyAtNs;
         /** When the stream last ended, as seen by the proxy; the start of the proxy before the first stream. */
         long lostAtNs = simulation.now();
@@ -201,6 +204,7 @@
          */
         Map<Long, long[]> demand = new TreeMap<>();
 
+        /** Whether the first of the pending orders is scheduled to take effect. */
         boolean applying;
         /** Whether this coordinator has welcomed the proxy before. */
         boolean welcomedBefore;
@@ -248,6 +252,7 @@
             });
         }
 
+        /** Connects again after a pause that doubles with each attempt. */
         private void redial() {
             int expectedDial = dialCount;
             simulation.after(redialPauseNs, () -> {
@@ -262,6 +267,7 @@
             return number;
         }
 
+        /** Cuts the proxy off from the coordinator, or lets it connect again. */
         void cut(boolean on) {
             cut = on;
             if (on) {
@@ -284,6 +290,7 @@
             }
         }
 
+        /** The proxy notices the end of the stream. */
         private void markDown() {
             if (up) {
                 up = false;
@@ -329,13 +336,14 @@
                 long applyAtNs = Math.max(lastApplyAtNs, simulation.now() + delayNs)
                         + orders.orders().size() * model.applyNsPerLine;
                 lastApplyAtNs = applyAtNs;
-                pendingOrders.addLast(new PendingOrders(orders, applyAtNs));
+                pendingOrders.addLast(new ScheduledOrders(orders, applyAtNs));
                 applyNext();
             } else if (frame instanceof Frame.Bye) {
                 end();
             }
         }
 
+        /** The coordinator has accepted the stream. */
         private void welcomed(long incarnation) {
             if (incarnation != coordinatorIncarnation) {
                 // Masks and levels die with the coordinator's incarnation: the next one knows nothing of them.
@@ -358,12 +366,13 @@
             simulation.after(STORE_REREAD_DELAY_NS, () -> fleet.store.readAll(Proxy.this));
         }
 
+        /** Schedules the first pending orders, one frame at a time. */
         private void applyNext() {
             if (applying || pendingOrders.isEmpty()) {
                 return;
             }
             applying = true;
-            PendingOrders next = pendingOrders.peekFirst();
+            ScheduledOrders next = pendingOrders.peekFirst();
             simulation.at(next.atNs, () -> {
                 if (pendingOrders.peekFirst() == next) {
                     applying = false;
@@ -617,18 +626,20 @@
         return flow;
     }
 
+    /** Returns the stream of the coordinator that owns the slice, or null. */
     private CoordinatorStream ownerStream(Flow flow) {
         int owner = owners[flow.slice];
         return owner < 0 ? null : streams[owner];
     }
 
+    /** Returns what retries the owner allows for the group of the flow. */
     private Order.Retry retryMode(Flow flow) {
         CoordinatorStream stream = ownerStream(flow);
         Order.SetLevel level = stream == null ? null : stream.levels[flow.group];
         return level == null ? Order.Retry.NEVER : level.retry();
     }
 
-    /** Returns whether another attempt is allowed after any failure, proven not to have run or not. */
+    /** Returns whether another attempt is allowed even if the last one may have run. */
     private static boolean retryAllowed(Flow flow, Order.Retry retry) {
         return (retry == Order.Retry.ONCE || retry == Order.Retry.TWICE)
                 && flow.attempt < (retry == Order.Retry.TWICE ? 3 : 2);
--- a/src/main/java/puffinbarrow/emulator/RegistryModel.java
+++ b/src/main/java/puffinbarrow/emulator/RegistryModel.java
@@ -54,6 +54,7 @@
             disconnect(coordinator);
         }
 
+        /** Handles a frame from the coordinator. */
         private void handle(Frame frame) {
             if (frame instanceof Frame.Follow follow) {
                 follows = follow.on();
@@ -88,6 +89,7 @@
             }
         }
 
+        /** Sends a list, or breaks the stream if the script asked for it. */
         private void sendList(Event.ListKind kind, List<Event.Entry> list) {
             if (breakNext) {
                 breakNext = false;
--- a/src/main/java/puffinbarrow/emulator/Report.java
+++ b/src/main/java/puffinbarrow/emulator/Report.java
@@ -45,6 +45,7 @@
         return r -> r.get(column).equals(value);
     }
 
+    /** Returns a mean with its interval as text. */
     private static String formatMean(Sheet.Mean mean) {
         return mean.runs() == 0
                 ? "-"
--- a/src/main/java/puffinbarrow/emulator/Runs.java
+++ b/src/main/java/puffinbarrow/emulator/Runs.java
@@ -63,7 +63,7 @@
      * Creates the runner of an experiment.
      *
      * @param folder holds the result files; created if missing
-     * @param progress takes a line of text after each run
+     * @param progress takes a line of text after each run; called by the threads of the runs, one at a time
      */
     public Runs(Experiment experiment, Path folder, int threads, Consumer<String> progress) {
         this.experiment = experiment;
@@ -154,7 +154,7 @@
                 .toList();
         int runCount = experiment.runs().size();
         if (!rows.isEmpty()) {
-            progress.accept(rows.size() + " of " + runCount + " runs are there from an earlier try");
+            progress.accept(rows.size() + " of " + runCount + " runs were completed by an earlier call");
         }
         long beganNs = System.nanoTime();
         ExecutorService pool = Executors.newFixedThreadPool(threads);
@@ -193,7 +193,7 @@
             pool.shutdownNow();
         }
         if (rows.size() < runCount) {
-            throw new IOException((runCount - rows.size()) + " runs could not be kept");
+            throw new IOException((runCount - rows.size()) + " runs could not be recorded");
         }
         writeResults(rows);
         Files.delete(partFile);
--- a/src/main/java/puffinbarrow/emulator/Search.java
+++ b/src/main/java/puffinbarrow/emulator/Search.java
@@ -214,7 +214,7 @@
                 if (stillAsBad(reduced.find, worstDay.find)) {
                     best = reduced;
                     improved = true;
-                    progress.accept("cut to " + best.lines.size() + " drawn lines; " + best.find.told());
+                    progress.accept("reduced to " + best.lines.size() + " drawn lines; " + best.find.told());
                     break;
                 }
             }
--- a/src/main/java/puffinbarrow/emulator/Server.java
+++ b/src/main/java/puffinbarrow/emulator/Server.java
@@ -86,7 +86,10 @@
     /** Time and work of the requests within the time of the overload rule. */
     private final ArrayDeque<long[]> recentRequests = new ArrayDeque<>();
 
+    /** Attempts that have arrived and are not answered, in no order. */
     private final List<Proxy.Attempt> openAttempts = new ArrayList<>();
+
+    /** Sum of the work in {@link #recentRequests}. */
     private double recentWorkNs;
     /** Jobs in work. */
     private int working;
@@ -109,10 +112,15 @@
     private long pausedUntilNs;
     private long reportedAtNs;
     private long jobsCreated;
+    /** Core time of all jobs begun so far; with shared cores: worked so far. */
     private double busyNs;
+    /** {@link #busyNs} at the last report. */
     private double reportedBusyNs;
+
     private int completedSinceReport;
+    /** Busy share of the cores in the last report, 0 to 1. */
     private double lastBusy;
+    /** Completed flows per second in the last report. */
     private double lastDeliveredPerS;
     /**
      * With shared cores: work that a job in service since the start would have received, in nanoseconds of one core
@@ -138,10 +146,12 @@
         return spec;
     }
 
+    /** Returns a number that changes with each death. */
     int incarnation() {
         return incarnation;
     }
 
+    /** Returns whether an overload during the cold start ended the server for good. */
     boolean fellOver() {
         return fellOver;
     }
@@ -260,6 +270,7 @@
         return true;
     }
 
+    /** Proxies have closed connections; ignored if they led to an earlier incarnation. */
     void connectionsClosed(int count, int expectedIncarnation) {
         if (expectedIncarnation == incarnation) {
             connections -= count;
@@ -356,6 +367,7 @@
         }
     }
 
+    /** Sends the answer with a load report. */
     private void answer(Proxy.Attempt attempt, int code) {
         untrackOpen(attempt);
         Map<Event.Measure, Double> report = report();
@@ -413,6 +425,7 @@
         simulation.after(tookNs, () -> finish(job, expectedIncarnation));
     }
 
+    /** The work of a job is done, or is interrupted by a pause. */
     private void finish(Job job, int expectedIncarnation) {
         if (expectedIncarnation != incarnation || job.attempt.cancelled) {
             return;
@@ -426,7 +439,7 @@
         freeCore();
     }
 
-    /** Frees a slot: the next waiting job whose proxy still waits goes into work. */
+    /** Frees a core and takes the next waiting job; jobs that no proxy waits for are skipped, unless they go on. */
     private void freeCore() {
         working--;
         Job next = waiting.pollFirst();
--- a/src/main/java/puffinbarrow/emulator/Sheet.java
+++ b/src/main/java/puffinbarrow/emulator/Sheet.java
@@ -23,14 +23,17 @@
 public final class Sheet {
     /** The row of one run: its cells by column. */
     public record Row(Map<String, String> cells) {
+        /** Returns the text of a cell. */
         public String get(String column) {
             return cells.get(column);
         }
 
+        /** Returns the number in a cell. */
         public double number(String column) {
             return Double.parseDouble(cells.get(column));
         }
 
+        /** Returns whether the run failed; its measures are of no use then. */
         public boolean failed() {
             return !get("failed").isEmpty();
         }
--- a/src/main/java/puffinbarrow/emulator/StoreModel.java
+++ b/src/main/java/puffinbarrow/emulator/StoreModel.java
@@ -119,6 +119,7 @@
 
     // ---- Faults.
 
+    /** Makes the store unavailable to everybody, or available again. */
     void setUnavailable(boolean on) {
         unavailable = on;
         if (on) {
@@ -130,14 +131,17 @@
         }
     }
 
+    /** Sets a delay of all answers, in addition to the network. */
     void setExtraDelay(long ns) {
         extraDelayNs = ns;
     }
 
+    /** Sets the share of answers to writes that are lost, 0 to 1. */
     void setLostAnswerShare(double share) {
         lostAnswerShare = share;
     }
 
+    /** Cuts one coordinator off from the store, or lets it connect again. */
     void cut(CoordinatorModel coordinator, boolean on) {
         if (on) {
             cut.add(coordinator.number);
@@ -178,6 +182,7 @@
         dealSlices();
     }
 
+    /** Ends a stream; without leases, deals its slices anew after the takeover time. */
     private void disconnect(Stream stream) {
         if (streams.remove(stream.coordinator.number, stream)) {
             stream.coordinator.storeDown();
@@ -274,6 +279,7 @@
         });
     }
 
+    /** Handles a frame from a coordinator. */
     private void handle(Stream from, Frame frame) {
         if (frame instanceof Frame.ReadSlice read) {
             if (read.slice() >= 0 && read.slice() < slices) {
@@ -320,6 +326,7 @@
         }
     }
 
+    /** Sends a new record to all coordinators that watch. */
     private void notifyWatchers(Frame record) {
         for (Stream stream : streams.values()) {
             if (stream.watching) {
--- a/src/test/java/puffinbarrow/emulator/EmulatorTest.java
+++ b/src/test/java/puffinbarrow/emulator/EmulatorTest.java
@@ -192,7 +192,7 @@
     }
 
     @Test
-    void frozenCoordinatorLosesItsSlicesAndItsOldOrdersAreRefused() {
+    void frozenCoordinatorIsReplacedAndItsOldOrdersHaveNoEffect() {
         Outcome outcome = run(
                 SMALL_DAY + "at 3s coordinator 0 frozen for 8s\nat 5s backends 3 die for 4s\nset messages 40 per 10s\n",
                 "ours");
@@ -243,7 +243,9 @@
                 problems);
         assertEquals(4, problems.size(), problems.toString());
         assertTrue(
-                problems.get(0).toString().startsWith("d:2: model: found 'fast', expected one way, a time"),
+                problems.get(0)
+                        .toString()
+                        .startsWith("d:2: model: found 'fast', expected the network delay in one direction, a time"),
                 problems.toString());
         problems.clear();
         Experiment.parse("e", "seeds 5 to 2\npolicy best\nlevel a x \"proxies 0\"\nfoo\n", n -> null, problems);
@@ -304,7 +306,7 @@
                 String.join("\n", partRows) + "\n" + lines.get(7).substring(0, 30));
         List<String> progressLines = new ArrayList<>();
         assertTrue(new Runs(experiment(EXPERIMENT), interrupted, 3, progressLines::add).play());
-        assertTrue(progressLines.get(0).startsWith("5 of 12 runs are there"), progressLines.toString());
+        assertTrue(progressLines.get(0).startsWith("5 of 12 runs were completed"), progressLines.toString());
         assertEquals(8, progressLines.size(), progressLines.toString());
         assertEquals(results, Files.readString(interrupted.resolve("results.csv")));
         assertFalse(new Runs(experiment(EXPERIMENT + "draw slices {16..20}\n"), interrupted, 3, t -> {}).play());
