--- a/src/main/java/puffinbarrow/emulator/Baseline.java
+++ b/src/main/java/puffinbarrow/emulator/Baseline.java
@@ -222,11 +222,11 @@
         }
 
         /** Returns the most or the least busy ready server. */
-        private String extremeByBusy(boolean most) {
+        private String extremeByBusy(boolean mostBusy) {
             String best = null;
             for (String server : readyServers.keySet()) {
                 if (best == null
-                        || (busyByServer.getOrDefault(server, 0.0) > busyByServer.getOrDefault(best, 0.0)) == most
+                        || (busyByServer.getOrDefault(server, 0.0) > busyByServer.getOrDefault(best, 0.0)) == mostBusy
                                 && !busyByServer
                                         .getOrDefault(server, 0.0)
                                         .equals(busyByServer.getOrDefault(best, 0.0))) {
--- a/src/main/java/puffinbarrow/emulator/Fleet.java
+++ b/src/main/java/puffinbarrow/emulator/Fleet.java
@@ -44,22 +44,31 @@
     final Script script;
     final ModelParameters model;
     final Plan plan;
+    /** Configuration of coordinator 0, by which proxies, servers and store act. */
     final CoordinatorConfig config;
+
     final Simulation simulation;
     final StoreModel store;
     final RegistryModel registry;
     final List<Proxy> proxies = new ArrayList<>();
     final List<CoordinatorModel> coordinators = new ArrayList<>();
+    /** Servers by id, in the order of their creation. */
     private final Map<String, Server> servers = new LinkedHashMap<>();
+
     private final Strikes strikes;
     private final Audit audit;
     private final List<String> log = new ArrayList<>();
     private final FrameReader reader = new FrameReader(1 << 28, this::keepDecoded);
+    /** The buffer that was decoded last, and its frame. */
     private byte[] lastDecodedBytes;
+
     private Frame lastFrame;
     private Scenario scenario;
     private Clients clients;
+    /** When traffic began, in simulated time. */
     private long beganAtNs;
+
+    /** Why the run failed if the policy flooded its channel, else null. */
     private String floodFailure;
 
     /**
--- a/src/main/java/puffinbarrow/emulator/Proxy.java
+++ b/src/main/java/puffinbarrow/emulator/Proxy.java
@@ -869,22 +869,22 @@
     private void reportRound() {
         long round = simulation.now() / config.roundNs;
         for (CoordinatorStream stream : streams) {
-            List<Frame.Met> met = new ArrayList<>(stream.serverCounts.size());
-            stream.serverCounts.forEach((server, counts) -> met.add(
+            List<Frame.Met> serverSums = new ArrayList<>(stream.serverCounts.size());
+            stream.serverCounts.forEach((server, counts) -> serverSums.add(
                     new Frame.Met(server.id(), counts.attempts, counts.dropped, counts.latencySumNs, counts.report)));
-            met.sort((a, b) -> a.server().compareTo(b.server()));
-            List<Frame.Came> came = new ArrayList<>(stream.demand.size());
+            serverSums.sort((a, b) -> a.server().compareTo(b.server()));
+            List<Frame.Came> arrivals = new ArrayList<>(stream.demand.size());
             stream.demand.forEach((key, counts) -> {
                 if (counts[0] > 0) {
-                    came.add(new Frame.Came(
+                    arrivals.add(new Frame.Came(
                             (int) (key >> 8), (int) (key & 0xff), counts[0], Math.min(counts[0], counts[1])));
                 }
             });
             stream.serverCounts = new LinkedHashMap<>();
             stream.demand = new TreeMap<>();
             if (stream.up) {
-                Frame sums = new Frame.Sums(zone, round, config.roundNs, met);
-                Frame demand = new Frame.Demand(round, config.roundNs, came);
+                Frame sums = new Frame.Sums(zone, round, config.roundNs, serverSums);
+                Frame demand = new Frame.Demand(round, config.roundNs, arrivals);
                 simulation.after(sumsLateNs, () -> {
                     if (stream.up) {
                         stream.toCoordinator(sums);
