--- a/src/main/java/puffinbarrow/load/Charts.java
+++ b/src/main/java/puffinbarrow/load/Charts.java
@@ -18,15 +18,19 @@
 import org.knowm.xchart.style.Styler;
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
-/** A run's charts as PNG, each in a data address so that a page is one file. */
+/**
+ * Draws a run's charts as PNG images in data URIs, so that a page is one file. Used by Html and by the emulator's
+ * report.
+ */
 public final class Charts {
     public static final int WIDTH = 900;
     public static final int HEIGHT = 300;
-    private static final double[] SHOWN = {50, 90, 99, 100};
-    /** Up to five nines: more would be a few flows of a run. */
-    private static final double MOST_NINES = 1e5;
-    /** Good is green, late amber, turned away blue, lost reds, never sent grey. */
-    private static final Color[] OUTCOMES = {
+    /** Percentiles that the chart over time shows. */
+    private static final double[] PERCENTILES = {50, 90, 99, 100};
+    /** Right end of the percentile axis, as 1 / (1 - quantile): p99.999. More would show a few flows of a run. */
+    private static final double MAX_INVERSE_TAIL = 1e5;
+    /** Colours by the ordinal of the outcome: in budget green, late amber, blocked blue, lost reds, never sent grey. */
+    private static final Color[] OUTCOME_COLORS = {
         new Color(0x4c, 0x9f, 0x70),
         new Color(0xe0, 0xb1, 0x3c),
         new Color(0x4f, 0x81, 0xbd),
@@ -44,35 +48,37 @@
 
     private Charts() {}
 
-    /** Title to picture, in the order of a page. */
+    /** Returns the charts of a run as data URIs by title, in the order of the page. */
     public static Map<String, String> all(Result result) throws IOException {
         Map<String, String> charts = new LinkedHashMap<>();
-        charts.put("Flows a second, intended and ended", picture(rate(result)));
+        charts.put("Flows a second, intended and ended", picture(rates(result)));
         charts.put("Outcomes by the second of the intended start", picture(outcomes(result)));
         charts.put("Latency from the intended start, by second", picture(overTime(result)));
         charts.put("Latency by percentile", picture(byPercentile(result)));
-        charts.put("How late this host itself was, worst of each second", picture(host(result)));
+        charts.put("How late this host itself was, worst of each second", picture(hostLateness(result)));
         return charts;
     }
 
-    /** As a data address. */
+    /** Returns a chart as a PNG image in a data URI. */
     public static String picture(Chart<?, ?> chart) throws IOException {
         return "data:image/png;base64,"
                 + Base64.getEncoder()
                         .encodeToString(BitmapEncoder.getBitmapBytes(chart, BitmapEncoder.BitmapFormat.PNG));
     }
 
-    public static XYChart chart(String x, String y) {
+    /** Creates an empty line chart with the given axis titles in the common style. */
+    public static XYChart chart(String xTitle, String yTitle) {
         XYChart chart = new XYChartBuilder()
                 .width(WIDTH)
                 .height(HEIGHT)
-                .xAxisTitle(x)
-                .yAxisTitle(y)
+                .xAxisTitle(xTitle)
+                .yAxisTitle(yTitle)
                 .build();
         style(chart.getStyler());
         return chart;
     }
 
+    /** Sets the style that all charts share. */
     public static void style(Styler styler) {
         styler.setLegendPosition(Styler.LegendPosition.OutsideE);
         styler.setChartBackgroundColor(Color.WHITE);
@@ -80,27 +86,31 @@
         styler.setLegendBorderColor(Color.WHITE);
     }
 
-    /** Steps in which flows were meant to start: the wait for the last answers is none. */
-    private static List<Result.Step> steps(Result result) {
-        int size = result.steps.size();
-        while (size > 1 && result.steps.get(size - 1).intended == 0) {
+    /**
+     * Returns the intervals in which flows were meant to start, without those that only waited for the last answers.
+     */
+    private static List<Result.Interval> intervals(Result result) {
+        int size = result.intervals.size();
+        while (size > 1 && result.intervals.get(size - 1).intended == 0) {
             size--;
         }
-        return result.steps.subList(0, size);
+        return result.intervals.subList(0, size);
     }
 
-    private interface Read {
-        double of(Result.Step step);
+    /** Reads the value of an interval that a line shows. */
+    private interface IntervalValue {
+        double of(Result.Interval interval);
     }
 
-    private static void line(XYChart chart, String name, Result result, Read read) {
-        List<Result.Step> steps = steps(result);
+    /** Adds a line with a value per interval; leaves out NaN. */
+    private static void line(XYChart chart, String name, Result result, IntervalValue valueOf) {
+        List<Result.Interval> intervals = intervals(result);
         List<Double> x = new ArrayList<>();
         List<Double> y = new ArrayList<>();
-        for (int i = 0; i < steps.size(); i++) {
-            double value = read.of(steps.get(i));
+        for (int i = 0; i < intervals.size(); i++) {
+            double value = valueOf.of(intervals.get(i));
             if (!Double.isNaN(value)) {
-                x.add(i * (double) result.stepNs / 1e9);
+                x.add(i * (double) result.intervalNs / 1e9);
                 y.add(value);
             }
         }
@@ -112,28 +122,28 @@
         series.setLineWidth(1.6f);
     }
 
-    private static XYChart rate(Result result) {
+    private static XYChart rates(Result result) {
         XYChart chart = chart("s", "flows/s");
-        double perStep = result.stepNs / 1e9;
-        line(chart, "intended", result, s -> s.intended / perStep);
-        line(chart, "sent", result, s -> s.sent() / perStep);
-        line(chart, "in budget", result, s -> s.count(Result.Outcome.IN_BUDGET) / perStep);
+        double intervalS = result.intervalNs / 1e9;
+        line(chart, "intended", result, interval -> interval.intended / intervalS);
+        line(chart, "sent", result, interval -> interval.sent() / intervalS);
+        line(chart, "in budget", result, interval -> interval.count(Result.Outcome.IN_BUDGET) / intervalS);
         chart.getStyler().setYAxisMin(0.0);
-        // Beneath the others, which lie on it as long as all is well.
+        // The intended rate is drawn thick and first, so that it shows beneath the other lines while they are equal.
         chart.getSeriesMap().values().iterator().next().setLineWidth(5f);
         return chart;
     }
 
     private static XYChart overTime(Result result) {
         XYChart chart = chart("s", "ms");
-        for (double q : SHOWN) {
+        for (double percentile : PERCENTILES) {
             line(
                     chart,
-                    q == 100 ? "max" : "p" + (int) q,
+                    percentile == 100 ? "max" : "p" + (int) percentile,
                     result,
-                    s -> s.latency.getTotalCount() == 0
+                    interval -> interval.latency.getTotalCount() == 0
                             ? Double.NaN
-                            : Math.max(0.01, s.latency.getValueAtPercentile(q) / 1e3));
+                            : Math.max(0.01, interval.latency.getValueAtPercentile(percentile) / 1e3));
         }
         chart.getStyler().setYAxisLogarithmic(true);
         return chart;
@@ -149,22 +159,24 @@
         style(chart.getStyler());
         chart.getStyler().setStacked(true);
         chart.getStyler().setAvailableSpaceFill(0.95);
-        List<Result.Step> steps = steps(result);
-        int size = steps.size();
-        // About a dozen labels, whatever the length.
-        int every = Math.max(1, size / 12);
-        chart.getStyler().setXAxisMaxLabelCount(Math.max(2, (size + every - 1) / every));
+        List<Result.Interval> intervals = intervals(result);
+        int size = intervals.size();
+        // About a dozen labels, whatever the run's length.
+        int intervalsPerLabel = Math.max(1, size / 12);
+        chart.getStyler().setXAxisMaxLabelCount(Math.max(2, (size + intervalsPerLabel - 1) / intervalsPerLabel));
         List<Long> x = new ArrayList<>();
         for (int i = 0; i < size; i++) {
-            x.add(i * result.stepNs / 1_000_000_000L);
+            x.add(i * result.intervalNs / 1_000_000_000L);
         }
         for (Result.Outcome outcome : Result.Outcome.values()) {
             if (result.all.count(outcome) > 0) {
                 chart.addSeries(
-                                Report.word(outcome),
+                                Report.words(outcome),
                                 x,
-                                steps.stream().map(s -> s.count(outcome)).toList())
-                        .setFillColor(OUTCOMES[outcome.ordinal()]);
+                                intervals.stream()
+                                        .map(interval -> interval.count(outcome))
+                                        .toList())
+                        .setFillColor(OUTCOME_COLORS[outcome.ordinal()]);
             }
         }
         if (chart.getSeriesMap().isEmpty()) {
@@ -184,26 +196,27 @@
         return chart;
     }
 
-    private static void curve(XYChart chart, String name, Histogram of) {
+    /** Adds the latencies of a histogram by percentile. */
+    private static void curve(XYChart chart, String name, Histogram histogram) {
         List<Double> x = new ArrayList<>();
         List<Double> y = new ArrayList<>();
-        // Eight points a decade, no further than there are flows to tell.
-        for (double nines = 1;
-                nines <= Math.min(MOST_NINES, Math.max(1, of.getTotalCount()));
-                nines *= Math.pow(10, 0.125)) {
-            x.add(nines);
-            y.add(Math.max(0.001, of.getValueAtPercentile(100 * (1 - 1 / nines)) / 1e3));
+        // Eight points per decade, no further than the number of flows can resolve.
+        for (double inverseTail = 1;
+                inverseTail <= Math.min(MAX_INVERSE_TAIL, Math.max(1, histogram.getTotalCount()));
+                inverseTail *= Math.pow(10, 0.125)) {
+            x.add(inverseTail);
+            y.add(Math.max(0.001, histogram.getValueAtPercentile(100 * (1 - 1 / inverseTail)) / 1e3));
         }
         XYSeries series = chart.addSeries(name, x, y);
         series.setMarker(SeriesMarkers.NONE);
         series.setLineWidth(1.6f);
     }
 
-    private static XYChart host(Result result) {
+    private static XYChart hostLateness(Result result) {
         XYChart chart = chart("s", "ms");
-        line(chart, "senders", result, s -> s.lagMaxUs / 1e3);
-        line(chart, "wake-ups", result, s -> s.hiccupMaxUs / 1e3);
-        line(chart, "busy above", result, s -> Result.HOST_LATE_US / 1e3);
+        line(chart, "senders", result, interval -> interval.lagMaxUs / 1e3);
+        line(chart, "wake-ups", result, interval -> interval.hiccupMaxUs / 1e3);
+        line(chart, "busy above", result, interval -> Result.HOST_BUSY_ABOVE_US / 1e3);
         return chart;
     }
 }
--- a/src/main/java/puffinbarrow/load/Ended.java
+++ b/src/main/java/puffinbarrow/load/Ended.java
@@ -1,8 +1,14 @@
 package puffinbarrow.load;
 
-/** A flow's end: its intended start by the clock of the process, what came of it after how long, in how many tries. */
+/**
+ * The outcome of a flow, handed to the listener of Engine.
+ *
+ * @param startNs intended start, by System.nanoTime
+ * @param tookNs from the intended start to the end
+ * @param tries attempts, retries included
+ */
 public record Ended(long startNs, int group, Result.Outcome outcome, long tookNs, int tries) {
-    /** Answered, in its budget or late. */
+    /** Whether the flow was answered, within its latency budget or late. */
     public boolean answered() {
         return outcome == Result.Outcome.IN_BUDGET || outcome == Result.Outcome.LATE;
     }
--- a/src/main/java/puffinbarrow/load/Engine.java
+++ b/src/main/java/puffinbarrow/load/Engine.java
@@ -1,5 +1,6 @@
 package puffinbarrow.load;
 
+import com.sun.management.UnixOperatingSystemMXBean;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.lang.management.GarbageCollectorMXBean;
@@ -12,163 +13,192 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Sends flows at their intended starts and never waits for answers before the next: one thread draws ahead, each
- * sender has its share of flows, connections and bounds, and one thread does nothing but sleep and look how late it
- * wakes, which is what this host adds to any latency.
+ * The open-loop load generator: sends flows at their intended starts and never waits for answers before the next. A
+ * feeder thread reads flows ahead; each sender thread has its share of the flows, connections and bounds; a monitor
+ * thread sleeps in short intervals and records how late it wakes up, which is what this host adds to any latency.
+ * Created and run by the load commands and by the day's run.
  */
 public final class Engine implements AutoCloseable {
     private static final long SECOND = 1_000_000_000L;
-    /** Long enough for all senders to stand ready. */
-    private static final long BEGIN_AFTER_NS = 20_000_000;
+    /** Highest value of the histograms, in microseconds: one minute. */
+    private static final long MAX_RECORDED_US = 60_000_000;
+    /** Sleep of the monitor thread between two measurements. */
+    private static final long MONITOR_SLEEP_NS = 1_000_000;
 
-    /** A process without a handle cannot even load a class: so many stay free of connections. */
+    /** Delay before the start, long enough for all sender threads to be running. */
+    private static final long START_DELAY_NS = 20_000_000;
+
+    /** File descriptors kept free of connections: a process without one cannot even load a class. */
     private static final int SPARE_HANDLES = 40;
 
     private final Scenario scenario;
-    private final int handles;
+    /** Descriptors that were free for connections when the engine was created. */
+    private final int availableHandles;
+
     private final Feeder feeder;
     private final List<Sender> senders = new ArrayList<>();
+    /** Whether the monitor thread goes on. */
     private volatile boolean running;
-    private long beganAt;
+    /** Worst lateness of the monitor's wake-ups since the last progress line, in microseconds. */
+    private volatile long hostLateUs;
 
-    /** The scenario's own flows: those of its trace, or drawn ones. */
+    /** Start of the run, by System.nanoTime. */
+    private long startedAtNs;
+
+    /** Sends the scenario's flows: those of its trace if it has one, else drawn ones. */
     public Engine(Scenario scenario) throws IOException {
         this(scenario, source(scenario), null);
     }
 
-    /** @param ended hears of each flow's end, on the sender's thread; may be null */
-    public Engine(Scenario scenario, Source source, Consumer<Ended> ended) throws IOException {
+    /**
+     * Sends the flows of a source.
+     *
+     * @param onFlowEnd notified of each flow's end on a sender's thread; may be null
+     */
+    public Engine(Scenario scenario, Source source, Consumer<Ended> onFlowEnd) throws IOException {
         this.scenario = scenario;
         this.feeder = new Feeder(source, scenario.senders);
-        this.handles = handles();
+        this.availableHandles = availableHandles();
         for (int i = 0; i < scenario.senders; i++) {
-            senders.add(new Sender(i, scenario, handles / scenario.senders, feeder.lane(i), ended));
+            senders.add(new Sender(i, scenario, availableHandles / scenario.senders, feeder.queue(i), onFlowEnd));
         }
     }
 
-    /** What the system lets this process still open, less what it needs for itself. */
-    private static int handles() {
-        return ManagementFactory.getOperatingSystemMXBean() instanceof com.sun.management.UnixOperatingSystemMXBean os
+    /** Returns how many descriptors this process may still open, less the spare ones. */
+    private static int availableHandles() {
+        return ManagementFactory.getOperatingSystemMXBean() instanceof UnixOperatingSystemMXBean system
                 ? (int) Math.max(
                         1,
                         Math.min(
                                 Integer.MAX_VALUE,
-                                os.getMaxFileDescriptorCount() - os.getOpenFileDescriptorCount() - SPARE_HANDLES))
+                                system.getMaxFileDescriptorCount()
+                                        - system.getOpenFileDescriptorCount()
+                                        - SPARE_HANDLES))
                 : Integer.MAX_VALUE;
     }
 
+    /** Opens the scenario's flows: those of its trace if it has one, else drawn ones. */
     public static Source source(Scenario scenario) throws IOException {
         return scenario.trace != null ? new TraceFlows(scenario) : new Arrivals(scenario);
     }
 
-    /** Sends it all and waits for every outcome; progress may be null. */
+    /**
+     * Sends all flows and blocks until each has an outcome.
+     *
+     * @param progress where a line per second is printed; may be null
+     */
     public Result run(PrintStream progress) {
         prepare();
-        return run(progress, System.nanoTime() + BEGIN_AFTER_NS);
+        return run(progress, System.nanoTime() + START_DELAY_NS);
     }
 
-    /** The same with the start set by the caller, on {@link System#nanoTime}'s clock; call {@link #prepare} first. */
-    public Result run(PrintStream progress, long beginAtNs) {
-        beganAt = beginAtNs;
+    /**
+     * Does the same with the start set by the caller, on {@link System#nanoTime}'s clock. Call {@link #prepare} first.
+     */
+    public Result run(PrintStream progress, long startAtNs) {
+        startedAtNs = startAtNs;
         running = true;
         Result result = new Result(scenario.groups.size(), scenario.lengthNs);
-        Histogram late = new Histogram(60_000_000, 3);
-        Thread hiccup = new Thread(() -> hiccups(result, late), "load-hiccups");
-        hiccup.setDaemon(true);
-        hiccup.start();
-        long gcBefore = gcMs();
+        Histogram wakeUpLateness = new Histogram(MAX_RECORDED_US, 3);
+        Thread monitor = new Thread(() -> monitorWakeUps(result, wakeUpLateness), "load-hiccups");
+        monitor.setDaemon(true);
+        monitor.start();
+        long gcBeforeMs = gcTimeMs();
         List<Thread> threads = new ArrayList<>();
         for (Sender sender : senders) {
-            Thread thread = new Thread(() -> sender.run(beganAt), "load-sender-" + threads.size());
+            Thread thread = new Thread(() -> sender.run(startedAtNs), "load-sender-" + threads.size());
             thread.setDaemon(true);
             thread.start();
             threads.add(thread);
         }
         try {
-            follow(threads, progress);
+            awaitSenders(threads, progress);
             running = false;
-            hiccup.join();
-        } catch (InterruptedException stop) {
+            monitor.join();
+        } catch (InterruptedException interrupted) {
             running = false;
             Thread.currentThread().interrupt();
             result.cutShort = "interrupted";
             return result;
         }
-        senders.forEach(s -> result.add(s.result));
-        result.hiccups.add(late);
-        result.gcPauseMs = gcMs() - gcBefore;
-        result.handleLimit = handles < (long) scenario.connections * scenario.targets.size() ? handles : 0;
+        senders.forEach(sender -> result.add(sender.result));
+        result.hiccups.add(wakeUpLateness);
+        result.gcPauseMs = gcTimeMs() - gcBeforeMs;
+        result.handleLimit =
+                availableHandles < (long) scenario.connections * scenario.targets.size() ? availableHandles : 0;
         result.cutShort = feeder.failure();
         return result;
     }
 
-    /** Draws the first flows, so that the run can begin on the dot. */
+    /** Reads the first flows ahead, so that the run can start on time. */
     public void prepare() {
         feeder.start();
     }
 
+    /** Returns the flows in progress; may be called from any thread. */
     public long openFlows() {
-        return senders.stream().mapToLong(s -> s.open).sum();
+        return senders.stream().mapToLong(sender -> sender.open).sum();
     }
 
-    private void follow(List<Thread> threads, PrintStream progress) throws InterruptedException {
-        Histogram[] some = new Histogram[senders.size()];
+    /** Waits for the senders and prints the progress line of each second. */
+    private void awaitSenders(List<Thread> threads, PrintStream progress) throws InterruptedException {
+        Histogram[] recentBySender = new Histogram[senders.size()];
         long intended = 0;
         long sent = 0;
         for (int second = 1; threads.stream().anyMatch(Thread::isAlive); second++) {
             for (Thread thread : threads) {
-                long left = beganAt + second * SECOND - System.nanoTime();
-                if (left > 0) {
-                    thread.join(left / 1_000_000 + 1);
+                long remainingNs = startedAtNs + second * SECOND - System.nanoTime();
+                if (remainingNs > 0) {
+                    thread.join(remainingNs / 1_000_000 + 1);
                 }
             }
-            long nowIntended = senders.stream().mapToLong(s -> s.intendedCount).sum();
-            long nowSent = senders.stream().mapToLong(s -> s.sentCount).sum();
-            Histogram all = new Histogram(60_000_000, 3);
-            for (int i = 0; i < some.length; i++) {
-                some[i] = senders.get(i).recent.getIntervalHistogram(some[i]);
-                all.add(some[i]);
+            long intendedNow =
+                    senders.stream().mapToLong(sender -> sender.intendedCount).sum();
+            long sentNow =
+                    senders.stream().mapToLong(sender -> sender.sentCount).sum();
+            Histogram recent = new Histogram(MAX_RECORDED_US, 3);
+            for (int i = 0; i < recentBySender.length; i++) {
+                recentBySender[i] = senders.get(i).recent.getIntervalHistogram(recentBySender[i]);
+                recent.add(recentBySender[i]);
             }
-            if (progress != null && beganAt + second * SECOND <= System.nanoTime()) {
+            if (progress != null && startedAtNs + second * SECOND <= System.nanoTime()) {
                 progress.printf(
                         Locale.ROOT,
                         "%4d s  intended %6d/s  ended %6d/s  open %6d  p50 %8.2f ms  p99 %8.2f ms  "
                                 + "this host late %.1f ms%n",
                         second,
-                        nowIntended - intended,
-                        nowSent - sent,
+                        intendedNow - intended,
+                        sentNow - sent,
                         openFlows(),
-                        all.getValueAtPercentile(50) / 1e3,
-                        all.getValueAtPercentile(99) / 1e3,
+                        recent.getValueAtPercentile(50) / 1e3,
+                        recent.getValueAtPercentile(99) / 1e3,
                         hostLateUs / 1e3);
                 hostLateUs = 0;
             }
-            intended = nowIntended;
-            sent = nowSent;
+            intended = intendedNow;
+            sent = sentNow;
         }
     }
 
-    /** The worst wake-up since the last progress line. */
-    private volatile long hostLateUs;
-
-    /** Wakes up every millisecond and notes by how much it was late: what this host adds to any latency. */
-    private void hiccups(Result result, Histogram own) {
-        long last = System.nanoTime();
+    /** Wakes up every millisecond and records by how much it was late, until the run ends. */
+    private void monitorWakeUps(Result result, Histogram lateness) {
+        long lastNs = System.nanoTime();
         while (running) {
-            LockSupport.parkNanos(1_000_000);
-            long now = System.nanoTime();
-            long late = Result.micros(now - last - 1_000_000);
-            last = now;
-            own.recordValue(late);
-            hostLateUs = Math.max(hostLateUs, late);
-            if (now > beganAt) {
-                Result.Step step = result.step(now - beganAt);
-                step.hiccupMaxUs = Math.max(step.hiccupMaxUs, late);
+            LockSupport.parkNanos(MONITOR_SLEEP_NS);
+            long nowNs = System.nanoTime();
+            long lateUs = Result.micros(nowNs - lastNs - MONITOR_SLEEP_NS);
+            lastNs = nowNs;
+            lateness.recordValue(lateUs);
+            hostLateUs = Math.max(hostLateUs, lateUs);
+            if (nowNs > startedAtNs) {
+                Result.Interval interval = result.interval(nowNs - startedAtNs);
+                interval.hiccupMaxUs = Math.max(interval.hiccupMaxUs, lateUs);
             }
         }
     }
 
-    private static long gcMs() {
+    /** Returns the time spent in garbage collection since the process started. */
+    private static long gcTimeMs() {
         return ManagementFactory.getGarbageCollectorMXBeans().stream()
                 .mapToLong(GarbageCollectorMXBean::getCollectionTime)
                 .sum();
--- a/src/main/java/puffinbarrow/load/Feeder.java
+++ b/src/main/java/puffinbarrow/load/Feeder.java
@@ -4,84 +4,91 @@
 import java.util.concurrent.ArrayBlockingQueue;
 
 /**
- * Draws flows ahead of their time on a thread of its own and deals them out to the senders in turn. Each lane is
- * bounded: a source that never ends costs no more than that.
+ * Reads flows from a source ahead of their start on a thread of its own and deals them out to the senders in turn. Each
+ * sender's queue is bounded, so that an endless source needs no more memory than that.
  */
 final class Feeder implements AutoCloseable {
-    /** A tenth of a second at 40,000 flows a second and sender: longer than a source pauses to read or to collect. */
-    private static final int AHEAD = 4096;
+    /**
+     * Flows read ahead per sender: a tenth of a second at 40,000 flows/s, longer than a source pauses to read a file or
+     * for a garbage collection.
+     */
+    private static final int QUEUE_CAPACITY = 4096;
 
+    /** Marks the end of the flows in each queue. */
     private static final Flow END = new Flow(-1, Long.MAX_VALUE, 0, 0, 0, 0, null);
 
-    /** What one sender takes. */
-    static final class Lane {
-        private final ArrayBlockingQueue<Flow> ahead = new ArrayBlockingQueue<>(AHEAD);
+    /** The flows of one sender, which takes them on its own thread. */
+    static final class SenderQueue {
+        private final ArrayBlockingQueue<Flow> flows = new ArrayBlockingQueue<>(QUEUE_CAPACITY);
         private Flow next;
 
-        /** The next flow, null if none is drawn yet or none will be. */
+        /** Returns the next flow without removing it, or null if none is read yet or none will come. */
         Flow peek() {
             if (next == null) {
-                next = ahead.poll();
+                next = flows.poll();
             }
             return next == END ? null : next;
         }
 
-        void take() {
+        /** Removes the flow that peek returned. */
+        void removeHead() {
             next = null;
         }
 
-        boolean over() {
+        /** Whether all flows were taken and the source has ended. */
+        boolean exhausted() {
             return next == END;
         }
     }
 
     private final Source source;
-    private final Lane[] lanes;
-    private final Thread thread = new Thread(this::draw, "load-feeder");
+    private final SenderQueue[] queues;
+    private final Thread thread = new Thread(this::readSource, "load-feeder");
     private volatile String failure;
-    private volatile boolean done;
+    /** Whether the source has ended. */
+    private volatile boolean sourceEnded;
 
     Feeder(Source source, int senders) {
         this.source = source;
-        this.lanes = new Lane[senders];
+        this.queues = new SenderQueue[senders];
         for (int i = 0; i < senders; i++) {
-            lanes[i] = new Lane();
+            queues[i] = new SenderQueue();
         }
         thread.setDaemon(true);
     }
 
-    Lane lane(int sender) {
-        return lanes[sender];
+    SenderQueue queue(int sender) {
+        return queues[sender];
     }
 
-    /** Begins to draw, and waits until the first lane is full or the source has ended. */
+    /** Starts reading, and waits until the first queue is full or the source has ended. */
     void start() {
         thread.start();
-        while (thread.isAlive() && lanes[0].ahead.remainingCapacity() > 0 && !done) {
+        while (thread.isAlive() && queues[0].flows.remainingCapacity() > 0 && !sourceEnded) {
             Thread.onSpinWait();
         }
     }
 
-    /** Why the source ended early, or null. */
+    /** Returns why the source ended early, or null. */
     String failure() {
         return failure;
     }
 
-    private void draw() {
+    private void readSource() {
         try {
             try {
-                int turn = 0;
+                int nextQueue = 0;
                 for (Flow flow = source.next(); flow != null; flow = source.next()) {
-                    lanes[turn].ahead.put(flow);
-                    turn = turn + 1 == lanes.length ? 0 : turn + 1;
+                    queues[nextQueue].flows.put(flow);
+                    nextQueue = nextQueue + 1 == queues.length ? 0 : nextQueue + 1;
                 }
                 source.close();
-            } catch (IOException | RuntimeException wrong) {
-                failure = wrong.getMessage() == null ? wrong.toString() : wrong.getMessage();
+            } catch (IOException | RuntimeException failed) {
+                failure = failed.getMessage() == null ? failed.toString() : failed.getMessage();
             }
-            done = true;
-            for (Lane lane : lanes) {
-                lane.ahead.put(END);
+            sourceEnded = true;
+            for (SenderQueue queue : queues) {
+                queue.flows.put(END);
             }
         } catch (InterruptedException closed) {
             Thread.currentThread().interrupt();
--- a/src/main/java/puffinbarrow/load/Flow.java
+++ b/src/main/java/puffinbarrow/load/Flow.java
@@ -1,10 +1,15 @@
 package puffinbarrow.load;
 
 /**
- * One flow: when it is meant to start (from the run's start), its group, target, key, and work asked of stand-ins.
- * What a trace says of it stands in ask, else its group's method and path are sent.
+ * One request that a run sends. With a request from a trace its method and path are sent, else those of the group.
+ *
+ * @param startNs intended start, from the run's start
+ * @param group index of the group in the scenario
+ * @param target index of the target in the scenario
+ * @param workNs processing time that stand-in servers are asked for
+ * @param request what a trace says of the request, or null
  */
-public record Flow(long number, long startNs, int group, int target, int key, long workNs, Ask ask) {
-    /** A request as a trace tells it; key is null if it names none. */
-    public record Ask(String method, String path, int bodyBytes, String key) {}
+public record Flow(long number, long startNs, int group, int target, int key, long workNs, Request request) {
+    /** A request as recorded in a trace; key is null if the trace has none, or if it is the flow's numeric key. */
+    public record Request(String method, String path, int bodyBytes, String key) {}
 }
--- a/src/main/java/puffinbarrow/load/Html.java
+++ b/src/main/java/puffinbarrow/load/Html.java
@@ -13,7 +13,10 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** A run as one HTML file: a table of figures and the charts; scripted days add what went wrong and the rules. */
+/**
+ * Writes a run as one HTML file with a table of figures and the charts; runs of a scripted day add what went wrong and
+ * the rules. Called by Report, the day's page and the emulator's report.
+ */
 public final class Html {
     private static final Configuration TEMPLATES = new Configuration(Configuration.VERSION_2_3_33);
 
@@ -31,14 +34,20 @@
         write(
                 file,
                 "Load run, seed " + scenario.seed,
-                "Figures of one machine: sender and target share it.",
+                "Sender and target ran on the same machine.",
                 scenario,
                 result,
                 List.of(),
                 Report.text(scenario, result));
     }
 
-    /** @param rules lines told with the figures, the first word of each being "kept" or "BROKEN"; none for a plain run */
+    /**
+     * Writes the page of a run.
+     *
+     * @param note a line below the title
+     * @param rules lines shown with the figures, each starting with "kept" or "BROKEN"; none for a plain run
+     * @param text the summary, shown as it is
+     */
     public static void write(
             Path file, String title, String note, Scenario scenario, Result result, List<String> rules, String text)
             throws IOException {
@@ -68,12 +77,12 @@
         write(file, "page.ftlh", model);
     }
 
-    /** A template of the program filled with a model. */
+    /** Fills one of the program's templates with a model and writes the result. */
     public static void write(Path file, String template, Map<String, Object> model) throws IOException {
         try (Writer out = Files.newBufferedWriter(file)) {
             TEMPLATES.getTemplate(template).process(model, out);
-        } catch (TemplateException wrong) {
-            throw new IOException(wrong);
+        } catch (TemplateException failed) {
+            throw new IOException(failed);
         }
     }
 
@@ -86,23 +95,23 @@
         return rows;
     }
 
-    private static List<String> row(String name, Result.Part part) {
-        long told = part.count(Result.Outcome.IN_BUDGET)
-                + part.count(Result.Outcome.LATE)
-                + part.count(Result.Outcome.BLOCKED)
-                + part.count(Result.Outcome.NEVER_SENT);
-        List<String> cells = new ArrayList<>(List.of(name, Long.toString(part.ended())));
+    private static List<String> row(String name, Result.FlowStats stats) {
+        long otherOutcomes = stats.count(Result.Outcome.IN_BUDGET)
+                + stats.count(Result.Outcome.LATE)
+                + stats.count(Result.Outcome.BLOCKED)
+                + stats.count(Result.Outcome.NEVER_SENT);
+        List<String> cells = new ArrayList<>(List.of(name, Long.toString(stats.ended())));
         for (long count : new long[] {
-            part.count(Result.Outcome.IN_BUDGET),
-            part.count(Result.Outcome.LATE),
-            part.count(Result.Outcome.BLOCKED),
-            part.ended() - told,
-            part.count(Result.Outcome.NEVER_SENT)
+            stats.count(Result.Outcome.IN_BUDGET),
+            stats.count(Result.Outcome.LATE),
+            stats.count(Result.Outcome.BLOCKED),
+            stats.ended() - otherOutcomes,
+            stats.count(Result.Outcome.NEVER_SENT)
         }) {
             cells.add(Long.toString(count));
         }
-        for (double q : new double[] {50, 99, 99.9, 100}) {
-            cells.add(String.format(Locale.ROOT, "%.2f", part.latency.getValueAtPercentile(q) / 1e3));
+        for (double percentile : new double[] {50, 99, 99.9, 100}) {
+            cells.add(String.format(Locale.ROOT, "%.2f", stats.latency.getValueAtPercentile(percentile) / 1e3));
         }
         return cells;
     }
--- a/src/main/java/puffinbarrow/load/Scenario.java
+++ b/src/main/java/puffinbarrow/load/Scenario.java
@@ -3,87 +3,106 @@
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 import java.util.ArrayList;
+import java.util.HashMap;
 import java.util.List;
+import java.util.Locale;
+import java.util.Map;
 import puffinbarrow.config.Lines;
 import puffinbarrow.config.Problem;
 import puffinbarrow.config.Statement;
 import puffinbarrow.config.Words;
 
-/** What a load run sends: targets, groups, arrivals and shapes; docs/load.md lists the lines. */
+/**
+ * What a load run sends: targets, groups, arrivals and shapes of the rate, parsed from a scenario file whose lines
+ * docs/load.md lists. Parsed once by the load commands, the day's plan and the emulator; read-only during a run.
+ */
 public final class Scenario {
-    public enum Process {
+    /** How intended starts are spaced. Scenario files name the constants in lower case. */
+    public enum ArrivalProcess {
         CONSTANT,
         POISSON,
         BURSTS
     }
 
-    /** A factor on the rate over time; all shapes multiply. */
+    /** A factor on the rate over time; the factors of all shapes are multiplied. */
     public sealed interface Shape {
-        /** The factor at a time since the start. */
-        double at(long ns);
+        /** Returns the factor at a time since the run's start. */
+        double factorAt(long ns);
 
-        /** No less than {@link #at} ever gives. */
-        double most();
+        /** Returns an upper bound of {@link #factorAt}. */
+        double maxFactor();
     }
 
-    /** A hump as a Monday morning: a raised cosine of that width about its peak. */
+    /** A single smooth peak: a raised cosine of the given width about its centre. */
     record Peak(double factor, long atNs, long widthNs) implements Shape {
         @Override
-        public double at(long ns) {
-            double off = Math.abs(ns - atNs) * 2.0 / widthNs;
-            return off >= 1 ? 1 : 1 + (factor - 1) * (1 + StrictMath.cos(Math.PI * off)) / 2;
+        public double factorAt(long ns) {
+            double distance = Math.abs(ns - atNs) * 2.0 / widthNs;
+            return distance >= 1 ? 1 : 1 + (factor - 1) * (1 + StrictMath.cos(Math.PI * distance)) / 2;
         }
 
         @Override
-        public double most() {
+        public double maxFactor() {
             return Math.max(1, factor);
         }
     }
 
-    record Ramp(double from, double to, long overNs) implements Shape {
+    /** A linear change from one factor to another, which then stays. */
+    record Ramp(double from, double to, long durationNs) implements Shape {
         @Override
-        public double at(long ns) {
-            return from + (to - from) * Math.min(1, (double) ns / overNs);
+        public double factorAt(long ns) {
+            return from + (to - from) * Math.min(1, (double) ns / durationNs);
         }
 
         @Override
-        public double most() {
+        public double maxFactor() {
             return Math.max(from, to);
         }
     }
 
-    /** A jump, for good or for a time. */
-    record Jump(double factor, long atNs, long forNs) implements Shape {
+    /** A constant factor from a time on, for a period or until the end. */
+    record Jump(double factor, long atNs, long durationNs) implements Shape {
         @Override
-        public double at(long ns) {
-            return ns >= atNs && ns - atNs < forNs ? factor : 1;
+        public double factorAt(long ns) {
+            return ns >= atNs && ns - atNs < durationNs ? factor : 1;
         }
 
         @Override
-        public double most() {
+        public double maxFactor() {
             return Math.max(1, factor);
         }
     }
 
-    record Sine(double by, long everyNs) implements Shape {
+    /** A sine about 1 with the given amplitude and period. */
+    record Sine(double amplitude, long periodNs) implements Shape {
         @Override
-        public double at(long ns) {
-            return 1 + by * StrictMath.sin(2 * Math.PI * ns / everyNs);
+        public double factorAt(long ns) {
+            return 1 + amplitude * StrictMath.sin(2 * Math.PI * ns / periodNs);
         }
 
         @Override
-        public double most() {
-            return 1 + by;
+        public double maxFactor() {
+            return 1 + amplitude;
         }
     }
 
-    /** A few keys draw a share of the flows for a time, then others do. */
-    record Hot(int keys, double share, long atNs, long forNs) {}
-
-    /** A share of flows asks for many times the usual work for a time. */
-    record Heavy(double share, double factor, long atNs, long forNs) {}
-
-    /** @param match paths of a trace that begin so are of this group */
+    /** A few keys that draw a share of the flows for a period. */
+    record HotKeys(int keys, double share, long atNs, long durationNs) {}
+
+    /** A share of the flows that ask for a multiple of the usual work for a period. */
+    record HeavyWork(double share, double factor, long atNs, long durationNs) {}
+
+    /**
+     * A traffic group.
+     *
+     * @param share its weight among the groups
+     * @param budgetNs latency budget, from the intended start
+     * @param expiryNs when a flow is given up, from the intended start
+     * @param workNs mean processing time asked of stand-in servers
+     * @param workSpread standard deviation of the log-normal work; 0 for exponential work
+     * @param repeats whether clients may retry an attempt that may have reached the target
+     * @param match paths of a trace that start with this belong to the group
+     */
     public record Group(
             String name,
             double share,
@@ -98,44 +117,82 @@
             boolean repeats,
             String match) {}
 
-    /** A recorded trace in place of drawn arrivals. */
+    /** How to send a recorded trace in place of drawn arrivals. */
     public static final class FromTrace {
         public Path file;
+        /** Null to detect it from the file's first bytes. */
         public Trace.Format format;
-        public double speed = 1, rate = 1;
-        public long cutFromNs, cutToNs = Long.MAX_VALUE;
+        /** Times as fast as recorded. */
+        public double speed = 1;
+
+        /** Flows sent per recorded request. */
+        public double rate = 1;
+
+        /** The part of the trace that is sent, from its first request on. */
+        public long cutFromNs;
+
+        public long cutToNs = Long.MAX_VALUE;
+
+        /** How many times the trace is sent. */
         public int loops = 1;
+        /** Share of lines that may be malformed. */
         public double malformedShare = 0.01;
-        public final java.util.Map<String, String> columns = new java.util.HashMap<>();
+        /** Column names that differ from the names of their fields, by field. */
+        public final Map<String, String> columns = new HashMap<>();
+        /** Unit of the time column; empty for seconds or ISO dates. */
         public String unit = "";
     }
 
     public final List<InetSocketAddress> targets = new ArrayList<>();
     public final List<Group> groups = new ArrayList<>();
     final List<Shape> shapes = new ArrayList<>();
-    final List<Hot> hot = new ArrayList<>();
-    final List<Heavy> heavy = new ArrayList<>();
-    public final List<Double> targetParts = new ArrayList<>();
+    final List<HotKeys> hotKeys = new ArrayList<>();
+    final List<HeavyWork> heavyWork = new ArrayList<>();
+    /** Weight of each target, in the order of targets. */
+    public final List<Double> targetWeights = new ArrayList<>();
+    /** Null for drawn arrivals. */
     public FromTrace trace;
+    /** Number of sending threads. */
     public int senders = 1;
-    /** Slices of uneven size in place of single keys; 0 for none. */
+    /** Number of slices that flows are drawn from, each with its own keys; 0 to draw keys directly. */
     public int slices;
 
-    double sliceLow = 1, sliceHigh = 1;
-    int keysEach = 1;
-    boolean lengthTold;
+    /** Range from which the weights of the slices are drawn. */
+    double minSliceWeight = 1;
+
+    double maxSliceWeight = 1;
+    /** Number of keys in each slice. */
+    int keysPerSlice = 1;
+
+    private boolean lengthGiven;
+    /** Whether retries wait at least as long as the response's Retry-After asks for. */
     boolean obeysRetryAfter;
+
     public long seed = 1;
+    /** Length of the run; no flow starts later. */
     public long lengthNs = 10_000_000_000L;
+    /** Flows per second before shapes and bursts. */
     public double rate = 100;
-    Process process = Process.POISSON;
+
+    ArrivalProcess arrivalProcess = ArrivalProcess.POISSON;
+    /** Factor on the rate during a burst. */
     double burstFactor = 4;
-    long burstForNs = 500_000_000L, burstEveryNs = 5_000_000_000L;
+
+    long meanBurstNs = 500_000_000L;
+    /** Mean time between the end of a burst and the next. */
+    long meanPauseNs = 5_000_000_000L;
+
+    /** Number of keys that are drawn from without slices. */
     public int keys = 1000;
+    /** Exponent of the keys' Zipf distribution. */
     public double zipf = 0.6;
+    /** Most retries of a flow by its client. */
     public int retries;
+    /** Wait before the first retry; doubles with each further one. */
     public long retryWaitNs = 50_000_000L;
+    /** Most connections to each target. */
     public int connections = 256;
+    /** Most flows in progress at once. */
     public int inFlight = 20_000;
 
     private static final List<String> KEYWORDS = List.of(
@@ -161,197 +218,211 @@
             "trace-loop",
             "trace-malformed",
             "column");
-    /** A rate over this is a slip of the pen: no single host offers it to a loopback target. */
-    private static final double MOST_RATE = 200_000;
-    /** Six hours: figures are kept in at most 3,600 steps. */
-    private static final long MOST_LENGTH_NS = 21_600_000_000_000L;
-    /** A trace without a length is sent whole, within this. */
+    /** Most flows per second. No single host offers more to a loopback target, so a higher rate is a mistake. */
+    private static final double MAX_RATE = 200_000;
+    /** Longest run: six hours, as results are kept in at most 3600 intervals. */
+    private static final long MAX_LENGTH_NS = 21_600_000_000_000L;
+    /** Length of a run with a trace and no length line: the whole trace, one hour at most. */
     private static final long TRACE_LENGTH_NS = 3_600_000_000_000L;
 
-    private static final String[] FIELDS = {"time", "method", "path", "group", "key", "body", "work"};
+    /** Fields of a trace that a column can be named for. */
+    private static final String[] TRACE_FIELDS = {"time", "method", "path", "group", "key", "body", "work"};
 
     private Scenario() {}
 
+    /** Reads a scenario file. Adds what is wrong to the problems; the scenario is valid only if there are none. */
     public static Scenario read(Path file, List<Problem> problems) {
-        return of(Lines.read(file, problems), file.toString(), problems);
+        return build(Lines.read(file, problems), file.toString(), problems);
     }
 
+    /**
+     * Parses a scenario's text.
+     *
+     * @param name stands for the file in problems
+     */
     public static Scenario parse(String name, String text, List<Problem> problems) {
-        return of(Lines.parse(name, text, problems), name, problems);
+        return build(Lines.parse(name, text, problems), name, problems);
     }
 
-    private static Scenario of(List<Statement> statements, String name, List<Problem> problems) {
+    /** Builds a scenario from its statements and checks what depends on several of them. */
+    private static Scenario build(List<Statement> statements, String name, List<Problem> problems) {
         Scenario scenario = new Scenario();
         for (Statement statement : statements) {
-            Words w = new Words(statement, problems);
-            scenario.take(statement, w);
-            w.end();
+            Words words = new Words(statement, problems);
+            scenario.parseStatement(statement, words);
+            words.end();
         }
         if (scenario.trace == null
                 && statements.stream()
-                        .anyMatch(st -> st.keyword().startsWith("trace-")
-                                || st.keyword().equals("column"))) {
-            problems.add(new Problem(name, 0, "lines about a trace without one, expected a line 'trace FILE'"));
+                        .anyMatch(line -> line.keyword().startsWith("trace-")
+                                || line.keyword().equals("column"))) {
+            problems.add(new Problem(name, 0, "trace settings without a trace, expected a line 'trace FILE'"));
         }
-        if (scenario.trace != null && !scenario.lengthTold) {
+        if (scenario.trace != null && !scenario.lengthGiven) {
             scenario.lengthNs = TRACE_LENGTH_NS;
         }
-        if (scenario.lengthNs > MOST_LENGTH_NS) {
-            problems.add(new Problem(name, 0, "a length of " + scenario.lengthNs / 1e9 + "s, expected 6h at most"));
+        if (scenario.lengthNs > MAX_LENGTH_NS) {
+            problems.add(new Problem(name, 0, "length " + scenario.lengthNs / 1e9 + "s, expected at most 6h"));
         }
-        if (scenario.slices * (long) scenario.keysEach > Integer.MAX_VALUE) {
-            problems.add(new Problem(name, 0, "too many keys in all slices, expected 2^31 - 1 at most"));
+        if (scenario.slices * (long) scenario.keysPerSlice > Integer.MAX_VALUE) {
+            problems.add(new Problem(name, 0, "too many keys in all slices, expected at most 2^31 - 1"));
         }
         if (scenario.groups.isEmpty()) {
             problems.add(new Problem(name, 0, "no line 'group', expected at least one"));
         }
-        double most = scenario.mostRate();
-        if (most > MOST_RATE) {
+        double maxRate = scenario.mostRate();
+        if (maxRate > MAX_RATE) {
             problems.add(new Problem(
                     name,
                     0,
-                    "the shapes together reach " + (long) most + " flows a second, expected " + (long) MOST_RATE
+                    "the shapes together reach " + (long) maxRate + " flows a second, expected " + (long) MAX_RATE
                             + " at most"));
         }
         return scenario;
     }
 
-    private void take(Statement statement, Words w) {
+    private void parseStatement(Statement statement, Words words) {
         switch (statement.keyword()) {
             case "target" -> {
-                InetSocketAddress target = w.address("a loopback target");
-                if (w.sound() && !target.getAddress().isLoopbackAddress()) {
-                    w.wrong("'" + target + "'", "a loopback address: load is sent to this machine only");
+                InetSocketAddress target = words.address("a loopback target");
+                if (words.sound() && !target.getAddress().isLoopbackAddress()) {
+                    words.wrong("'" + target + "'", "a loopback address, as load is sent to this machine only");
                 }
                 targets.add(target);
-                targetParts.add(w.take("weight") ? w.number("its part of flows, against the others'", 0.0001, 1e6) : 1);
+                targetWeights.add(words.take("weight") ? words.number("its weight among the targets", 0.0001, 1e6) : 1);
             }
-            case "seed" -> seed = w.whole("a seed", 0, Long.MAX_VALUE);
+            case "seed" -> seed = words.whole("a seed", 0, Long.MAX_VALUE);
             case "length" -> {
-                lengthNs = w.time("how long it lasts");
-                lengthTold = true;
+                lengthNs = words.time("the run's length");
+                lengthGiven = true;
             }
-            case "rate" -> rate = w.number("flows a second", 0.001, MOST_RATE);
-            case "arrivals" -> arrivals(w);
-            case "shape" -> shape(w);
+            case "rate" -> rate = words.number("flows a second", 0.001, MAX_RATE);
+            case "arrivals" -> parseArrivals(words);
+            case "shape" -> parseShape(words);
             case "hot" -> {
-                int count = (int) w.whole("how many keys", 1, 1000);
-                w.expect("keys");
-                double share = w.share("their share");
-                w.expect("at");
-                long at = w.time("when");
-                w.expect("for");
-                hot.add(new Hot(count, share, at, w.time("how long")));
+                int count = (int) words.whole("the number of keys", 1, 1000);
+                words.expect("keys");
+                double share = words.share("their share of flows");
+                words.expect("at");
+                long at = words.time("the start time");
+                words.expect("for");
+                hotKeys.add(new HotKeys(count, share, at, words.time("the duration")));
             }
             case "heavy" -> {
-                double share = w.share("which share of flows");
-                w.expect("x");
-                double factor = w.number("times the usual work", 1, 1000);
-                w.expect("at");
-                long at = w.time("when");
-                w.expect("for");
-                heavy.add(new Heavy(share, factor, at, w.time("how long")));
+                double share = words.share("the share of flows");
+                words.expect("x");
+                double factor = words.number("the factor on the work", 1, 1000);
+                words.expect("at");
+                long at = words.time("the start time");
+                words.expect("for");
+                heavyWork.add(new HeavyWork(share, factor, at, words.time("the duration")));
             }
             case "slices" -> {
-                slices = (int) w.whole("how many slices", 1, 1_000_000);
-                if (w.take("uneven")) {
-                    sliceLow = w.number("the smallest's part", 0.0001, 1e6);
-                    w.expect("to");
-                    sliceHigh = w.number("the largest's part", sliceLow, 1e6);
+                slices = (int) words.whole("the number of slices", 1, 1_000_000);
+                if (words.take("uneven")) {
+                    minSliceWeight = words.number("the smallest slice's weight", 0.0001, 1e6);
+                    words.expect("to");
+                    maxSliceWeight = words.number("the largest slice's weight", minSliceWeight, 1e6);
                 }
-                if (w.take("keys")) {
-                    keysEach = (int) w.whole("keys in each", 1, 1_000_000);
+                if (words.take("keys")) {
+                    keysPerSlice = (int) words.whole("the keys of each slice", 1, 1_000_000);
                 }
             }
-            case "senders" -> senders = (int) w.whole("sending threads", 1, 64);
-            case "trace", "trace-speed", "trace-rate", "trace-cut", "trace-loop", "trace-malformed", "column" -> trace(
-                    statement.keyword(), w);
-            case "group" -> group(w);
+            case "senders" -> senders = (int) words.whole("the sending threads", 1, 64);
+            case "trace",
+                    "trace-speed",
+                    "trace-rate",
+                    "trace-cut",
+                    "trace-loop",
+                    "trace-malformed",
+                    "column" -> parseTrace(statement.keyword(), words);
+            case "group" -> parseGroup(words);
             case "keys" -> {
-                keys = (int) w.whole("how many keys", 1, 100_000_000);
-                if (w.take("zipf")) {
-                    zipf = w.number("the exponent", 0, 5);
+                keys = (int) words.whole("the number of keys", 1, 100_000_000);
+                if (words.take("zipf")) {
+                    zipf = words.number("the exponent", 0, 5);
                 }
             }
             case "retries" -> {
-                retries = (int) w.whole("tries again of a client", 0, 10);
-                if (w.take("wait")) {
-                    retryWaitNs = w.time("the wait before the first");
+                retries = (int) words.whole("the retries of a client", 0, 10);
+                if (words.take("wait")) {
+                    retryWaitNs = words.time("the wait before the first retry");
                 }
-                obeysRetryAfter = w.take("obey");
+                obeysRetryAfter = words.take("obey");
             }
-            case "connections" -> connections = (int) w.whole("connections to a target", 1, 60_000);
-            case "in-flight" -> inFlight = (int) w.whole("flows open at once", 1, 1_000_000);
-            default -> w.unknown(KEYWORDS);
+            case "connections" -> connections = (int) words.whole("the connections to each target", 1, 60_000);
+            case "in-flight" -> inFlight = (int) words.whole("the flows in flight", 1, 1_000_000);
+            default -> words.unknown(KEYWORDS);
         }
     }
 
-    private void trace(String keyword, Words w) {
+    /** Parses one of the statements about the trace. */
+    private void parseTrace(String keyword, Words words) {
         trace = trace == null ? new FromTrace() : trace;
         switch (keyword) {
             case "trace" -> {
-                trace.file = Path.of(w.text("the trace's file"));
-                if (w.more()) {
+                trace.file = Path.of(words.text("the trace's file"));
+                if (words.more()) {
                     trace.format = Trace.Format.valueOf(
-                            w.oneOf("clf", "csv", "json", "har").toUpperCase(java.util.Locale.ROOT));
+                            words.oneOf("clf", "csv", "json", "har").toUpperCase(Locale.ROOT));
                 }
             }
             case "trace-speed" -> {
-                w.expect("x");
-                trace.speed = w.number("times as fast", 0.001, 1e6);
+                words.expect("x");
+                trace.speed = words.number("the factor on the speed", 0.001, 1e6);
             }
             case "trace-rate" -> {
-                w.expect("x");
-                trace.rate = w.number("times as many flows", 0.0001, 1000);
+                words.expect("x");
+                trace.rate = words.number("the factor on the number of flows", 0.0001, 1000);
             }
             case "trace-cut" -> {
-                trace.cutFromNs = w.time("where it begins in the trace");
-                w.expect("to");
-                trace.cutToNs = w.time("where it ends in the trace");
-                if (w.sound() && trace.cutToNs <= trace.cutFromNs) {
-                    w.wrong("an end before the beginning", "a later time");
+                trace.cutFromNs = words.time("the start of the cut");
+                words.expect("to");
+                trace.cutToNs = words.time("the end of the cut");
+                if (words.sound() && trace.cutToNs <= trace.cutFromNs) {
+                    words.wrong("an end that is not after the start", "a later time");
                 }
             }
-            case "trace-loop" -> trace.loops = (int) w.whole("how many times", 1, 1_000_000);
-            case "trace-malformed" -> trace.malformedShare = w.share("the share of lines that may be malformed");
+            case "trace-loop" -> trace.loops = (int) words.whole("the number of times", 1, 1_000_000);
+            case "trace-malformed" -> trace.malformedShare = words.share("the share of lines that may be malformed");
             default -> {
-                String field = w.oneOf(FIELDS);
-                trace.columns.put(field, w.text("the column's name"));
-                if (field.equals("time") && w.more()) {
-                    trace.unit = w.oneOf("ns", "us", "ms", "s", "iso");
+                String field = words.oneOf(TRACE_FIELDS);
+                trace.columns.put(field, words.text("the name of the column"));
+                if (field.equals("time") && words.more()) {
+                    trace.unit = words.oneOf("ns", "us", "ms", "s", "iso");
                 }
             }
         }
     }
 
-    /** The slice that a key falls into. */
+    /** Returns the slice that a key falls into; the key itself if there are no slices. */
     public int sliceOf(int key) {
-        return slices > 0 ? key / keysEach : key;
+        return slices > 0 ? key / keysPerSlice : key;
     }
 
-    /** The same groups, keys and bounds at an even rate against one target; asks no work of it. */
-    public Scenario flat(double perS, long forNs, InetSocketAddress target) {
+    /** Returns a scenario with the same groups, keys and bounds at a constant rate against one target, without work. */
+    public Scenario flat(double perS, long durationNs, InetSocketAddress target) {
         Scenario flat = new Scenario();
         flat.targets.add(target);
-        flat.targetParts.add(1.0);
-        for (Group g : groups) {
+        flat.targetWeights.add(1.0);
+        for (Group group : groups) {
             flat.groups.add(new Group(
-                    g.name,
-                    g.share,
-                    g.utility,
-                    g.budgetNs,
-                    g.expiryNs,
-                    g.method,
-                    g.path,
-                    g.bodyBytes,
+                    group.name,
+                    group.share,
+                    group.utility,
+                    group.budgetNs,
+                    group.expiryNs,
+                    group.method,
+                    group.path,
+                    group.bodyBytes,
                     0,
                     0,
-                    g.repeats,
-                    g.match));
+                    group.repeats,
+                    group.match));
         }
-        flat.process = Process.CONSTANT;
+        flat.arrivalProcess = ArrivalProcess.CONSTANT;
         flat.rate = perS;
-        flat.lengthNs = forNs;
+        flat.lengthNs = durationNs;
         flat.seed = seed;
         flat.keys = keys;
         flat.zipf = zipf;
@@ -361,97 +432,98 @@
         return flat;
     }
 
-    private void arrivals(Words w) {
-        process = Process.valueOf(w.oneOf("poisson", "constant", "bursts").toUpperCase(java.util.Locale.ROOT));
-        if (process == Process.BURSTS && w.take("x")) {
-            burstFactor = w.number("times the rate in a burst", 1, 1000);
-            w.expect("for");
-            burstForNs = Math.max(1, w.time("a burst's mean length"));
-            w.expect("every");
-            burstEveryNs = Math.max(1, w.time("the mean time between bursts"));
+    private void parseArrivals(Words words) {
+        arrivalProcess = ArrivalProcess.valueOf(
+                words.oneOf("poisson", "constant", "bursts").toUpperCase(Locale.ROOT));
+        if (arrivalProcess == ArrivalProcess.BURSTS && words.take("x")) {
+            burstFactor = words.number("the factor on the rate in a burst", 1, 1000);
+            words.expect("for");
+            meanBurstNs = Math.max(1, words.time("a burst's mean length"));
+            words.expect("every");
+            meanPauseNs = Math.max(1, words.time("the mean time between bursts"));
         }
     }
 
-    private void shape(Words w) {
-        switch (w.oneOf("peak", "ramp", "jump", "step", "sine")) {
+    private void parseShape(Words words) {
+        switch (words.oneOf("peak", "ramp", "jump", "step", "sine")) {
             case "peak" -> {
-                w.expect("x");
-                double factor = w.number("times the rate at the peak", 0, 1000);
-                w.expect("at");
-                long at = w.time("when");
-                w.expect("width");
-                shapes.add(new Peak(factor, at, Math.max(1, w.time("how wide"))));
+                words.expect("x");
+                double factor = words.number("the factor on the rate at the peak", 0, 1000);
+                words.expect("at");
+                long at = words.time("the start time");
+                words.expect("width");
+                shapes.add(new Peak(factor, at, Math.max(1, words.time("the width"))));
             }
             case "ramp" -> {
-                w.expect("from");
-                double from = w.number("the factor at the start", 0, 1000);
-                w.expect("to");
-                double to = w.number("the factor at the end", 0, 1000);
-                w.expect("over");
-                shapes.add(new Ramp(from, to, Math.max(1, w.time("how long it rises"))));
+                words.expect("from");
+                double from = words.number("the factor at the start", 0, 1000);
+                words.expect("to");
+                double to = words.number("the factor at the end", 0, 1000);
+                words.expect("over");
+                shapes.add(new Ramp(from, to, Math.max(1, words.time("the duration"))));
             }
             case "jump" -> {
-                w.expect("x");
-                double factor = w.number("times the rate", 0, 1000);
-                w.expect("at");
-                long at = w.time("when");
-                w.expect("for");
-                shapes.add(new Jump(factor, at, w.time("how long")));
+                words.expect("x");
+                double factor = words.number("the factor on the rate", 0, 1000);
+                words.expect("at");
+                long at = words.time("the start time");
+                words.expect("for");
+                shapes.add(new Jump(factor, at, words.time("the duration")));
             }
             case "step" -> {
-                w.expect("x");
-                double factor = w.number("times the rate", 0, 1000);
-                w.expect("at");
-                shapes.add(new Jump(factor, w.time("when"), Long.MAX_VALUE));
+                words.expect("x");
+                double factor = words.number("the factor on the rate", 0, 1000);
+                words.expect("at");
+                shapes.add(new Jump(factor, words.time("the start time"), Long.MAX_VALUE));
             }
             default -> {
-                w.expect("by");
-                double by = w.share("the part it swings by");
-                w.expect("every");
-                shapes.add(new Sine(by, Math.max(1, w.time("a period"))));
+                words.expect("by");
+                double amplitude = words.share("the amplitude");
+                words.expect("every");
+                shapes.add(new Sine(amplitude, Math.max(1, words.time("the period"))));
             }
         }
     }
 
-    private void group(Words w) {
-        String name = w.text("the group's name");
-        w.expect("share");
-        double share = w.number("its share of flows, against the others'", 0, 1e6);
-        w.expect("utility");
-        double utility = w.number("its utility", 0, 1e6);
-        w.expect("budget");
-        long budget = w.time("its latency budget");
-        w.expect("expiry");
-        long expiry = w.time("its expiry");
-        w.expect("path");
-        String path = w.text("its path");
-        String method = w.take("method") ? w.text("its method") : "GET";
-        int body = w.take("body") ? (int) w.size("its body") : 0;
-        long work = w.take("work") ? w.time("the work that it asks of our stand-ins") : 0;
-        double spread = w.take("spread") ? w.number("the log-normal spread of its work", 0.001, 3) : 0;
-        boolean repeats = !w.take("non-retriable");
-        String match = w.take("match") ? w.text("how paths of a trace begin") : "";
-        if (w.sound() && budget > expiry) {
-            w.wrong("a budget over its expiry", "a budget of at most " + expiry / 1e9 + "s");
+    private void parseGroup(Words words) {
+        String name = words.text("the group's name");
+        words.expect("share");
+        double share = words.number("its weight among the groups", 0, 1e6);
+        words.expect("utility");
+        double utility = words.number("its utility", 0, 1e6);
+        words.expect("budget");
+        long budget = words.time("its latency budget");
+        words.expect("expiry");
+        long expiry = words.time("its expiry");
+        words.expect("path");
+        String path = words.text("its path");
+        String method = words.take("method") ? words.text("its method") : "GET";
+        int body = words.take("body") ? (int) words.size("its body") : 0;
+        long work = words.take("work") ? words.time("the work asked of stand-in servers") : 0;
+        double spread = words.take("spread") ? words.number("the log-normal spread of its work", 0.001, 3) : 0;
+        boolean repeats = !words.take("non-retriable");
+        String match = words.take("match") ? words.text("the start of the paths of a trace") : "";
+        if (words.sound() && budget > expiry) {
+            words.wrong("a budget longer than the expiry", "a budget of at most " + expiry / 1e9 + "s");
         }
         groups.add(new Group(name, share, utility, budget, expiry, method, path, body, work, spread, repeats, match));
     }
 
-    /** Flows a second at a time since the start, bursts apart. */
+    /** Returns the flows per second at a time since the run's start, without bursts. */
     public double rateAt(long ns) {
-        double at = rate;
+        double current = rate;
         for (Shape shape : shapes) {
-            at *= shape.at(ns);
+            current *= shape.factorAt(ns);
         }
-        return at;
+        return current;
     }
 
-    /** No less than it ever is. */
+    /** Returns an upper bound of the flows per second at any time, bursts included. */
     public double mostRate() {
-        double most = rate * (process == Process.BURSTS ? burstFactor : 1);
+        double maxRate = rate * (arrivalProcess == ArrivalProcess.BURSTS ? burstFactor : 1);
         for (Shape shape : shapes) {
-            most *= shape.most();
+            maxRate *= shape.maxFactor();
         }
-        return most;
+        return maxRate;
     }
 }
--- a/src/main/java/puffinbarrow/load/Sender.java
+++ b/src/main/java/puffinbarrow/load/Sender.java
@@ -17,174 +17,210 @@
 import puffinbarrow.net.Net;
 
 /**
- * One sending thread with its own connections, time-outs and result, which it alone touches. Threads of its channel
- * group parse answers and hand them over with the time they came. A flow that leaves late counts from its intended
- * start all the same, and by how much it was late is kept.
+ * One sending thread of the load generator with its own connections, time-outs and result. Engine starts one thread per
+ * sender in run(). The single thread of the sender's channel group connects, parses responses and passes them to the
+ * sending thread through a queue, with their time of arrival; all other state belongs to the sending thread. Latency
+ * counts from a flow's intended start even if the flow leaves late, and the lag is recorded.
  */
 final class Sender implements AutoCloseable {
     private static final long SECOND = 1_000_000_000L;
-    /** The longest sleep: a flow leaves at most this late of a machine that has time. */
-    private static final long NAP_NS = 200_000;
-    /** What a wake-up is late by on a quiet machine. */
-    private static final long SPIN_NS = 80_000;
-    /** After the system had no handle or port left, one more connection is tried this long after. */
-    private static final long HANDLES_AGAIN_NS = SECOND;
-    /** A request that fits the socket's own buffer is sent whole before its answer can come. */
-    private static final int SENT_AT_ONCE = 64 * 1024;
-    /** Answers to flows are kilobytes; a target that sends more than this is not read further. */
-    private static final int ANSWER_BYTES = 16 << 20;
-
-    private enum End {
-        ANSWER,
+    /** Longest sleep of the sending thread, and so the most that a flow leaves late on a machine with idle CPU. */
+    private static final long MAX_SLEEP_NS = 200_000;
+    /** Usual lateness of a wake-up on a quiet machine; waits shorter than this spin. */
+    private static final long SPIN_BELOW_NS = 80_000;
+    /** After the system ran out of descriptors or ports, the connection limit rises by one at this interval. */
+    private static final long RAISE_LIMIT_EVERY_NS = SECOND;
+    /** A request up to this size fits the socket's send buffer, so it is sent whole before its response can arrive. */
+    private static final int MAX_BUFFERED_REQUEST_BYTES = 64 * 1024;
+    /** Largest response accepted. Responses are kilobytes; a target that sends more is not read further. */
+    private static final int MAX_RESPONSE_BYTES = 16 << 20;
+
+    /** Most bytes queued for writing on one connection. */
+    private static final int MAX_QUEUED_BYTES = 64 << 20;
+
+    /** What an event reports: a response, or why there is none. */
+    private enum Ending {
+        RESPONSE,
         REFUSED,
         RESET,
         MALFORMED,
         NO_HANDLE
     }
 
-    /** What a channel thread saw. */
-    private record Happened(
-            Wire wire, Call call, End end, int code, long retryAfterNs, long atNs, long firstByteNs, boolean stray) {}
-
-    private final class Call implements Wheel.Timed {
+    /** What the channel thread observed on a connection; attempt is null if none was in progress. */
+    private record ConnectionEvent(
+            Connection connection,
+            Attempt attempt,
+            Ending ending,
+            int code,
+            long retryAfterNs,
+            long atNs,
+            long firstByteNs,
+            boolean unexpectedData) {}
+
+    /** One attempt of a flow. A retry is a new attempt with the same intended start. */
+    private final class Attempt implements TimerWheel.Entry {
         final Flow flow;
-        final long intendedNs;
-        final int attempt;
+        final long intendedStartNs;
+        /** 0 for the first attempt, then counted up with each retry. */
+        final int number;
+
         final Target target;
         long sentNs;
         volatile long firstByteNs;
-        boolean done;
-        Wire wire;
+        /** Whether the attempt has an outcome or was replaced by a retry. */
+        boolean finished;
 
-        Call(Flow flow, long intendedNs, int attempt) {
+        Connection connection;
+
+        Attempt(Flow flow, long intendedStartNs, int number) {
             this.flow = flow;
-            this.intendedNs = intendedNs;
-            this.attempt = attempt;
+            this.intendedStartNs = intendedStartNs;
+            this.number = number;
             this.target = targets.get(flow.target());
         }
 
         @Override
-        public boolean done() {
-            return done;
+        public boolean finished() {
+            return finished;
         }
 
         @Override
         public long timeoutAtNs() {
-            return intendedNs + scenario.groups.get(flow.group()).expiryNs();
+            return intendedStartNs + scenario.groups.get(flow.group()).expiryNs();
         }
     }
 
-    private record Again(long atNs, Call call) implements Comparable<Again> {
+    /** An attempt to be sent at a later time. */
+    private record ScheduledRetry(long atNs, Attempt attempt) implements Comparable<ScheduledRetry> {
         @Override
-        public int compareTo(Again other) {
+        public int compareTo(ScheduledRetry other) {
             return Long.compare(atNs, other.atNs);
         }
     }
 
+    /** One target address with its connections and the attempts that wait for one. */
     private static final class Target {
         final InetSocketAddress address;
         final String name;
-        final ArrayDeque<Wire> idle = new ArrayDeque<>();
-        final ArrayDeque<Call> waiting = new ArrayDeque<>();
+        /** Open connections without an attempt; the most recently used is taken first. */
+        final ArrayDeque<Connection> idle = new ArrayDeque<>();
+
+        final ArrayDeque<Attempt> waitingAttempts = new ArrayDeque<>();
+        /** Connections open or being opened. */
         int open;
-        final int most;
-        /** Lower than that while the system gives no more handles. */
-        int limit;
 
-        long limitedAt;
+        final int maxConnections;
+        /** Connections allowed now; below maxConnections while the system has no descriptor or port left. */
+        int connectionLimit;
 
-        Target(InetSocketAddress address, int limit) {
+        /** When connectionLimit was last changed, by System.nanoTime. */
+        long limitChangedAtNs;
+
+        Target(InetSocketAddress address, int maxConnections) {
             this.address = address;
-            this.limit = this.most = limit;
+            this.connectionLimit = this.maxConnections = maxConnections;
             this.name = Net.text(address);
         }
     }
 
-    /** One connection; one call on it at a time. */
-    private final class Wire implements Link.Receiver {
+    /** One connection, which carries one attempt at a time. */
+    private final class Connection implements Link.Receiver {
         final Target target;
-        final HttpParser parser = new HttpParser(false, ANSWER_BYTES, this::answered);
+        final HttpParser parser = new HttpParser(false, MAX_RESPONSE_BYTES, this::responseParsed);
         volatile Link link;
-        volatile Call call;
+        /** The attempt in progress, or null; set by the sending thread, cleared by either thread. */
+        volatile Attempt attempt;
+
         int requestBytes;
-        boolean dropped;
-        /** The answer of the read that is being parsed; handed over once all its bytes were looked at. */
-        private HttpParser.Message whole;
+        /** Whether this connection is already subtracted from its target's open ones. */
+        boolean removed;
+        /**
+         * The response completed by the read that is being parsed; passed on once all bytes of that read are parsed.
+         */
+        private HttpParser.Message response;
 
-        private boolean stray;
+        /** Whether more came than the one response that was due. */
+        private boolean unexpectedData;
 
-        Wire(Target target) {
+        Connection(Target target) {
             this.target = target;
         }
 
-        private void answered(HttpParser.Message answer) {
-            stray |= whole != null || call == null;
-            whole = whole == null ? answer : whole;
+        /** Called by the parser for each complete response. */
+        private void responseParsed(HttpParser.Message message) {
+            unexpectedData |= response != null || attempt == null;
+            response = response == null ? message : response;
         }
 
         @Override
         public void received(Link from, ByteBuffer bytes) {
-            Call now = call;
-            if (now != null && now.firstByteNs == 0) {
-                now.firstByteNs = System.nanoTime();
+            Attempt current = attempt;
+            if (current != null && current.firstByteNs == 0) {
+                current.firstByteNs = System.nanoTime();
             }
-            Link.Cause wrong = null;
+            Link.Cause closeCause = null;
             try {
                 parser.feed(bytes);
             } catch (HttpParser.Malformed malformed) {
-                // What comes after a whole answer is not that answer's fault.
-                stray |= whole != null;
-                wrong = Link.Cause.BAD_INPUT;
+                // Malformed bytes after a complete response do not make that response malformed.
+                unexpectedData |= response != null;
+                closeCause = Link.Cause.BAD_INPUT;
             }
-            if (whole != null) {
-                handOver(from, now);
-            } else if (wrong != null) {
-                from.close(wrong, "");
+            if (response != null) {
+                reportResponse(from, current);
+            } else if (closeCause != null) {
+                from.close(closeCause, "");
             }
         }
 
-        private void handOver(Link from, Call now) {
-            HttpParser.Message answer = whole;
-            whole = null;
-            boolean more = stray || !parser.idle();
-            stray = false;
-            String echoed = answer.header("x-flow");
+        /** Passes the complete response on as an event; closes the connection unless it can be used again. */
+        private void reportResponse(Link from, Attempt current) {
+            HttpParser.Message message = response;
+            response = null;
+            boolean moreData = unexpectedData || !parser.idle();
+            unexpectedData = false;
+            String echoed = message.header("x-flow");
             int code;
             try {
-                code = Integer.parseInt(answer.first());
-            } catch (NumberFormatException odd) {
+                code = Integer.parseInt(message.first());
+            } catch (NumberFormatException notNumeric) {
                 code = -1;
             }
-            boolean ours = now != null && (echoed.isEmpty() || echoed.equals(Long.toString(now.flow.number())));
-            boolean early = requestBytes > SENT_AT_ONCE && from.queuedBytes() > 0;
-            call = null;
-            // Closed before it is handed over: the sender must not find it idle.
-            if (!ours
-                    || more
-                    || early
+            boolean matches =
+                    current != null && (echoed.isEmpty() || echoed.equals(Long.toString(current.flow.number())));
+            boolean beforeRequestSent = requestBytes > MAX_BUFFERED_REQUEST_BYTES && from.queuedBytes() > 0;
+            attempt = null;
+            // Closed before the event is queued, so that the sending thread does not take the connection as idle.
+            if (!matches
+                    || moreData
+                    || beforeRequestSent
                     || code < 100
-                    || answer.header("connection").equalsIgnoreCase("close")) {
+                    || message.header("connection").equalsIgnoreCase("close")) {
                 from.close();
             }
-            report(new Happened(
+            report(new ConnectionEvent(
                     this,
-                    now,
-                    ours && code >= 100 ? End.ANSWER : End.MALFORMED,
+                    current,
+                    matches && code >= 100 ? Ending.RESPONSE : Ending.MALFORMED,
                     code,
-                    retryAfter(answer),
+                    retryAfter(message),
                     System.nanoTime(),
-                    now == null ? 0 : now.firstByteNs,
-                    more || !ours));
+                    current == null ? 0 : current.firstByteNs,
+                    moreData || !matches));
         }
 
-        private long retryAfter(HttpParser.Message answer) {
-            String text = answer.header("retry-after");
+        /**
+         * Returns the wait that the response asks for in nanoseconds, 0 if it is not a number of seconds, -1 if none.
+         */
+        private long retryAfter(HttpParser.Message message) {
+            String text = message.header("retry-after");
             if (text.isEmpty()) {
                 return -1;
             }
             try {
                 return Math.multiplyExact(Long.parseLong(text), SECOND);
-            } catch (ArithmeticException | NumberFormatException date) {
+            } catch (ArithmeticException | NumberFormatException notSeconds) {
                 return 0;
             }
         }
@@ -193,16 +229,16 @@
         public void ended(Link from, Link.Cause cause, String detail) {
             if (cause == Link.Cause.PEER_CLOSED) {
                 parser.closed();
-                if (whole != null && call != null) {
-                    handOver(from, call);
+                if (response != null && attempt != null) {
+                    reportResponse(from, attempt);
                 }
             }
-            Call now = call;
-            call = null;
-            report(new Happened(
+            Attempt current = attempt;
+            attempt = null;
+            report(new ConnectionEvent(
                     this,
-                    now,
-                    cause == Link.Cause.BAD_INPUT ? End.MALFORMED : End.RESET,
+                    current,
+                    cause == Link.Cause.BAD_INPUT ? Ending.MALFORMED : Ending.RESET,
                     0,
                     -1,
                     System.nanoTime(),
@@ -213,350 +249,395 @@
 
     private final Scenario scenario;
     private final Net net;
-    private final Feeder.Lane lane;
-    private final Consumer<Ended> ended;
+    private final Feeder.SenderQueue queue;
+    /** Notified of each flow's end on the sending thread; may be null. */
+    private final Consumer<Ended> onFlowEnd;
+
     private final List<Target> targets = new ArrayList<>();
-    private final ConcurrentLinkedQueue<Happened> happened = new ConcurrentLinkedQueue<>();
-    private final PriorityQueue<Again> again = new PriorityQueue<>();
-    private final byte[][] heads;
-    private final int mostOpen;
+    private final ConcurrentLinkedQueue<ConnectionEvent> events = new ConcurrentLinkedQueue<>();
+    private final PriorityQueue<ScheduledRetry> scheduledRetries = new PriorityQueue<>();
+    /** Request line and constant headers of each group, by its index. */
+    private final byte[][] requestHeads;
+    /** Most flows in progress at once on this sender. */
+    private final int maxInFlight;
+
     final Result result;
-    /** For the progress line, read by another thread. */
+    /** Latencies in microseconds since the last progress line, which Engine's thread reads. */
     final SingleWriterRecorder recent = new SingleWriterRecorder(3);
 
-    volatile long intendedCount, sentCount;
+    /** Flows whose intended start has come. Read by Engine's thread, like the next two counts. */
+    volatile long intendedCount;
+
+    /** Flows that ended with another outcome than NEVER_SENT. */
+    volatile long sentCount;
+    /** Flows in progress. */
     volatile int open;
-    private Wheel<Call> wheel;
-    private volatile Thread driver;
+
+    private TimerWheel<Attempt> wheel;
+    private volatile Thread sendingThread;
+    /** Whether the sending thread sleeps or is about to, and needs to be woken for an event. */
     private volatile boolean parked;
-    private long beganAt;
+    /** Start of the run, by System.nanoTime. */
+    private long startedAtNs;
 
-    Sender(int index, Scenario scenario, int handles, Feeder.Lane lane, Consumer<Ended> ended) throws IOException {
+    Sender(int index, Scenario scenario, int handles, Feeder.SenderQueue queue, Consumer<Ended> onFlowEnd)
+            throws IOException {
         this.scenario = scenario;
-        this.lane = lane;
-        this.ended = ended;
-        // One thread: a second one would cost a hand-over between the two for each answer.
+        this.queue = queue;
+        this.onFlowEnd = onFlowEnd;
+        // One thread, since a second one would add a hand-over between the two for each response.
         this.net = new Net("load-" + index, 1);
         this.result = new Result(scenario.groups.size(), scenario.lengthNs);
-        // Bounds hold for all senders together.
+        // The scenario's bounds hold for all senders together; each gets its share, rounded up for the first ones.
         int senders = scenario.senders;
-        this.mostOpen = Math.max(1, (scenario.inFlight + senders - 1 - index) / senders);
+        this.maxInFlight = Math.max(1, (scenario.inFlight + senders - 1 - index) / senders);
         int connections = Math.max(
                 1,
                 Math.min(
                         (scenario.connections + senders - 1 - index) / senders,
                         handles / Math.max(1, scenario.targets.size())));
         scenario.targets.forEach(t -> targets.add(new Target(t, connections)));
-        heads = new byte[scenario.groups.size()][];
-        for (int i = 0; i < heads.length; i++) {
+        requestHeads = new byte[scenario.groups.size()][];
+        for (int i = 0; i < requestHeads.length; i++) {
             Scenario.Group group = scenario.groups.get(i);
-            heads[i] = head(group.method(), group.path(), i, group.bodyBytes());
+            requestHeads[i] = requestHead(group.method(), group.path(), i, group.bodyBytes());
         }
     }
 
-    private static byte[] head(String method, String path, int group, int bodyBytes) {
+    /** Builds the request line and the headers that all requests of a kind share. */
+    private static byte[] requestHead(String method, String path, int group, int bodyBytes) {
         return (method + " " + path + " HTTP/1.1\r\nhost: load\r\nx-group: " + group + "\r\ncontent-length: "
                         + bodyBytes + "\r\n")
                 .getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    private void report(Happened what) {
-        happened.add(what);
+    /** Queues an event for the sending thread and wakes it; called on the channel thread. */
+    private void report(ConnectionEvent event) {
+        events.add(event);
         if (parked) {
-            LockSupport.unpark(driver);
+            LockSupport.unpark(sendingThread);
         }
     }
 
-    /** Sends all of its lane and waits for every outcome. */
-    void run(long beginAtNs) {
-        driver = Thread.currentThread();
-        beganAt = beginAtNs;
-        wheel = new Wheel<>(beganAt);
-        List<Call> due = new ArrayList<>();
+    /** Sends all flows of its queue and returns when each has an outcome. */
+    void run(long startAtNs) {
+        sendingThread = Thread.currentThread();
+        startedAtNs = startAtNs;
+        wheel = new TimerWheel<>(startedAtNs);
+        List<Attempt> due = new ArrayList<>();
         while (true) {
-            long now = System.nanoTime();
-            Flow next = lane.peek();
-            while (next != null && beganAt + next.startNs() <= now) {
-                lane.take();
-                launch(next, now);
-                next = lane.peek();
+            long nowNs = System.nanoTime();
+            Flow next = queue.peek();
+            while (next != null && startedAtNs + next.startNs() <= nowNs) {
+                queue.removeHead();
+                startFlow(next, nowNs);
+                next = queue.peek();
             }
-            for (Happened each = happened.poll(); each != null; each = happened.poll()) {
-                take(each);
+            for (ConnectionEvent event = events.poll(); event != null; event = events.poll()) {
+                handleEvent(event);
             }
-            while (!again.isEmpty() && again.peek().atNs <= now) {
-                send(again.poll().call, now);
+            while (!scheduledRetries.isEmpty() && scheduledRetries.peek().atNs <= nowNs) {
+                dispatch(scheduledRetries.poll().attempt, nowNs);
             }
-            wheel.turn(now, due);
+            wheel.advance(nowNs, due);
             due.forEach(this::timedOut);
             due.clear();
-            if (next == null && lane.over() && open == 0) {
+            if (next == null && queue.exhausted() && open == 0) {
                 return;
             }
-            long until = next == null ? now + NAP_NS : Math.min(now + NAP_NS, beganAt + next.startNs());
-            // The last stretch before a start is spun through: a sleep of so little ends late by as much again.
-            if (until - now > SPIN_NS) {
+            long wakeUpAtNs =
+                    next == null ? nowNs + MAX_SLEEP_NS : Math.min(nowNs + MAX_SLEEP_NS, startedAtNs + next.startNs());
+            // The last stretch before a start is spun through: so short a sleep would end late by as much again.
+            if (wakeUpAtNs - nowNs > SPIN_BELOW_NS) {
                 parked = true;
-                if (happened.isEmpty()) {
-                    LockSupport.parkNanos(until - now - SPIN_NS);
+                if (events.isEmpty()) {
+                    LockSupport.parkNanos(wakeUpAtNs - nowNs - SPIN_BELOW_NS);
                 }
                 parked = false;
-            } else if (happened.isEmpty()) {
+            } else if (events.isEmpty()) {
                 Thread.onSpinWait();
             }
         }
     }
 
-    private void launch(Flow flow, long now) {
-        long intended = beganAt + flow.startNs();
+    /** Starts a flow whose intended start has come. */
+    private void startFlow(Flow flow, long nowNs) {
+        long intendedStartNs = startedAtNs + flow.startNs();
         result.intended++;
         intendedCount = result.intended;
-        Result.Step step = result.step(flow.startNs());
-        step.intended++;
+        Result.Interval interval = result.interval(flow.startNs());
+        interval.intended++;
         result.utilityAsked += scenario.groups.get(flow.group()).utility();
-        Call call = new Call(flow, intended, 0);
-        if (open >= mostOpen) {
+        Attempt attempt = new Attempt(flow, intendedStartNs, 0);
+        if (open >= maxInFlight) {
             open++;
-            neverSent(call, Result.Unsent.IN_FLIGHT_BOUND, now);
+            neverSent(attempt, Result.NeverSentReason.IN_FLIGHT_BOUND, nowNs);
             return;
         }
         open++;
-        wheel.set(call);
-        long lag = Result.micros(now - intended);
-        result.lag.recordValue(lag);
-        step.lagMaxUs = Math.max(step.lagMaxUs, lag);
-        send(call, now);
+        wheel.schedule(attempt);
+        long lagUs = Result.micros(nowNs - intendedStartNs);
+        result.lag.recordValue(lagUs);
+        interval.lagMaxUs = Math.max(interval.lagMaxUs, lagUs);
+        dispatch(attempt, nowNs);
     }
 
-    private void send(Call call, long now) {
-        if (call.done) {
+    /** Sends an attempt on an idle connection or a new one, or queues it if the target has neither. */
+    private void dispatch(Attempt attempt, long nowNs) {
+        if (attempt.finished) {
             return;
         }
-        Target target = call.target;
-        for (Wire idle = target.idle.pollLast(); idle != null; idle = target.idle.pollLast()) {
+        Target target = attempt.target;
+        for (Connection idle = target.idle.pollLast(); idle != null; idle = target.idle.pollLast()) {
             if (!idle.link.ended()) {
-                write(idle, call);
+                assign(idle, attempt);
                 return;
             }
         }
-        if (target.limit < target.most && now - target.limitedAt > HANDLES_AGAIN_NS) {
-            target.limit++;
-            target.limitedAt = now;
+        if (target.connectionLimit < target.maxConnections && nowNs - target.limitChangedAtNs > RAISE_LIMIT_EVERY_NS) {
+            target.connectionLimit++;
+            target.limitChangedAtNs = nowNs;
         }
-        if (target.open >= target.limit) {
-            target.waiting.addLast(call);
+        if (target.open >= target.connectionLimit) {
+            target.waitingAttempts.addLast(attempt);
             return;
         }
         target.open++;
         result.connections++;
-        Wire wire = new Wire(target);
-        call.wire = wire;
-        wire.call = call;
+        Connection connection = new Connection(target);
+        attempt.connection = connection;
+        connection.attempt = attempt;
         net.dial(
                 target.address,
-                wire,
-                64 << 20,
+                connection,
+                MAX_QUEUED_BYTES,
                 link -> {
-                    wire.link = link;
-                    put(wire, call);
+                    connection.link = link;
+                    writeRequest(connection, attempt);
                 },
-                failed -> {
-                    String why = String.valueOf(failed.getMessage());
-                    // The system's own words for no descriptor and no port left.
-                    boolean none = why.contains("Too many open files") || why.contains("assign requested address");
-                    wire.call = null;
-                    report(new Happened(
-                            wire, call, none ? End.NO_HANDLE : End.REFUSED, 0, -1, System.nanoTime(), 0, false));
+                failure -> {
+                    String why = String.valueOf(failure.getMessage());
+                    // Messages of the system when no descriptor or no port is left.
+                    boolean noHandleLeft =
+                            why.contains("Too many open files") || why.contains("assign requested address");
+                    connection.attempt = null;
+                    report(new ConnectionEvent(
+                            connection,
+                            attempt,
+                            noHandleLeft ? Ending.NO_HANDLE : Ending.REFUSED,
+                            0,
+                            -1,
+                            System.nanoTime(),
+                            0,
+                            false));
                 });
     }
 
-    private void write(Wire wire, Call call) {
-        call.wire = wire;
-        wire.call = call;
-        put(wire, call);
+    /** Writes an attempt's request on an open connection. */
+    private void assign(Connection connection, Attempt attempt) {
+        attempt.connection = connection;
+        connection.attempt = attempt;
+        writeRequest(connection, attempt);
     }
 
-    private void put(Wire wire, Call call) {
-        long now = System.nanoTime();
-        call.sentNs = now;
-        Flow flow = call.flow;
-        Flow.Ask ask = flow.ask();
-        byte[] head = ask == null ? heads[flow.group()] : head(ask.method(), ask.path(), flow.group(), ask.bodyBytes());
-        int body = ask == null ? scenario.groups.get(flow.group()).bodyBytes() : ask.bodyBytes();
-        StringBuilder own = new StringBuilder(160);
+    /** Builds the request and writes it. */
+    private void writeRequest(Connection connection, Attempt attempt) {
+        long nowNs = System.nanoTime();
+        attempt.sentNs = nowNs;
+        Flow flow = attempt.flow;
+        Flow.Request request = flow.request();
+        byte[] requestHead = request == null
+                ? requestHeads[flow.group()]
+                : requestHead(request.method(), request.path(), flow.group(), request.bodyBytes());
+        int bodyBytes = request == null ? scenario.groups.get(flow.group()).bodyBytes() : request.bodyBytes();
+        StringBuilder headers = new StringBuilder(160);
         int slice = scenario.sliceOf(flow.key());
-        own.append("x-key: ")
-                .append(ask != null && ask.key() != null ? ask.key() : Integer.toString(flow.key()))
+        headers.append("x-key: ")
+                .append(request != null && request.key() != null ? request.key() : Integer.toString(flow.key()))
                 .append("\r\nx-slice: ")
                 .append(slice)
                 .append("\r\nx-flow: ")
                 .append(flow.number())
                 .append("\r\nx-expiry-ns: ")
-                .append(Math.max(0, call.timeoutAtNs() - now))
+                .append(Math.max(0, attempt.timeoutAtNs() - nowNs))
                 .append("\r\nx-work-ns: ")
                 .append(flow.workNs())
                 .append("\r\n\r\n");
-        byte[] tail = own.toString().getBytes(StandardCharsets.ISO_8859_1);
-        ByteBuffer bytes = ByteBuffer.allocate(head.length + tail.length + body);
-        bytes.put(head).put(tail).position(0);
-        wire.requestBytes = bytes.remaining();
-        wire.link.send(bytes);
+        byte[] varyingHeaders = headers.toString().getBytes(StandardCharsets.ISO_8859_1);
+        ByteBuffer bytes = ByteBuffer.allocate(requestHead.length + varyingHeaders.length + bodyBytes);
+        bytes.put(requestHead).put(varyingHeaders).position(0);
+        connection.requestBytes = bytes.remaining();
+        connection.link.send(bytes);
     }
 
-    private void take(Happened h) {
-        Target target = h.wire.target;
-        if (h.stray) {
-            result.stray++;
+    /** Handles an event of a connection: reuses or replaces the connection, then settles the attempt. */
+    private void handleEvent(ConnectionEvent event) {
+        Target target = event.connection.target;
+        if (event.unexpectedData) {
+            result.unexpectedData++;
         }
-        boolean over = h.end != End.ANSWER || h.wire.link == null || h.wire.link.ended();
-        if (over && !h.wire.dropped) {
-            h.wire.dropped = true;
+        boolean unusable =
+                event.ending != Ending.RESPONSE || event.connection.link == null || event.connection.link.ended();
+        if (unusable && !event.connection.removed) {
+            event.connection.removed = true;
             target.open--;
-        } else if (!over && h.call != null) {
-            Call next = nextWaiting(target);
+        } else if (!unusable && event.attempt != null) {
+            Attempt next = nextWaitingAttempt(target);
             if (next != null) {
-                write(h.wire, next);
+                assign(event.connection, next);
             } else {
-                target.idle.addLast(h.wire);
+                target.idle.addLast(event.connection);
             }
         }
-        if (h.end == End.NO_HANDLE) {
-            noHandle(h);
+        if (event.ending == Ending.NO_HANDLE) {
+            handleNoHandle(event);
             return;
         }
-        if (over) {
-            Call next = nextWaiting(target);
+        if (unusable) {
+            Attempt next = nextWaitingAttempt(target);
             if (next != null) {
-                send(next, h.atNs);
+                dispatch(next, event.atNs);
             }
         }
-        if (h.call == null || h.call.done) {
+        if (event.attempt == null || event.attempt.finished) {
             return;
         }
-        switch (h.end) {
-            case ANSWER -> answered(h);
-            case REFUSED -> failed(h.call, Result.Outcome.REFUSED, h);
-            case RESET -> failed(h.call, Result.Outcome.RESET, h);
-            default -> failed(h.call, Result.Outcome.MALFORMED, h);
+        switch (event.ending) {
+            case RESPONSE -> handleResponse(event);
+            case REFUSED -> retryOrFinish(event.attempt, Result.Outcome.REFUSED, event);
+            case RESET -> retryOrFinish(event.attempt, Result.Outcome.RESET, event);
+            default -> retryOrFinish(event.attempt, Result.Outcome.MALFORMED, event);
         }
     }
 
-    /** The connections that are open must do; a target that has none can be sent nothing. */
-    private void noHandle(Happened h) {
-        result.noHandle++;
-        Target target = h.wire.target;
-        target.limit = Math.max(1, target.open);
-        target.limitedAt = h.atNs;
-        if (h.call.done) {
+    /**
+     * Limits the target to its open connections. The attempt waits for one of them, or is never sent if there are none.
+     */
+    private void handleNoHandle(ConnectionEvent event) {
+        result.connectionsWithoutHandle++;
+        Target target = event.connection.target;
+        target.connectionLimit = Math.max(1, target.open);
+        target.limitChangedAtNs = event.atNs;
+        if (event.attempt.finished) {
             return;
         }
         if (target.open > 0) {
-            h.call.wire = null;
-            target.waiting.addFirst(h.call);
+            event.attempt.connection = null;
+            target.waitingAttempts.addFirst(event.attempt);
         } else {
-            neverSent(h.call, Result.Unsent.NO_HANDLE, h.atNs);
+            neverSent(event.attempt, Result.NeverSentReason.NO_HANDLE, event.atNs);
         }
     }
 
-    private static Call nextWaiting(Target target) {
-        Call next = target.waiting.pollFirst();
-        while (next != null && next.done) {
-            next = target.waiting.pollFirst();
+    /** Returns the first waiting attempt that is not over, or null. */
+    private static Attempt nextWaitingAttempt(Target target) {
+        Attempt next = target.waitingAttempts.pollFirst();
+        while (next != null && next.finished) {
+            next = target.waitingAttempts.pollFirst();
         }
         return next;
     }
 
-    private void answered(Happened h) {
-        if (h.code >= 200 && h.code < 400) {
-            Call call = h.call;
-            long latency = Result.micros(h.atNs - call.intendedNs);
-            long service = Result.micros(h.atNs - call.sentNs);
-            long first = Result.micros(h.firstByteNs - call.sentNs);
-            record(result.all, latency, service, first);
-            record(result.groups[call.flow.group()], latency, service, first);
-            record(part(call.target), latency, service, first);
-            recent.recordValue(latency);
-            result.step(call.flow.startNs()).latency.recordValue(latency);
-            boolean inBudget = h.atNs - call.intendedNs
-                    <= scenario.groups.get(call.flow.group()).budgetNs();
-            finish(call, inBudget ? Result.Outcome.IN_BUDGET : Result.Outcome.LATE, h.atNs);
+    /** Records the latency of a success, retries or ends the flow otherwise. Status 503 and 429 count as blocked. */
+    private void handleResponse(ConnectionEvent event) {
+        if (event.code >= 200 && event.code < 400) {
+            Attempt attempt = event.attempt;
+            long latencyUs = Result.micros(event.atNs - attempt.intendedStartNs);
+            long serviceUs = Result.micros(event.atNs - attempt.sentNs);
+            long firstByteUs = Result.micros(event.firstByteNs - attempt.sentNs);
+            record(result.all, latencyUs, serviceUs, firstByteUs);
+            record(result.groups[attempt.flow.group()], latencyUs, serviceUs, firstByteUs);
+            record(targetStats(attempt.target), latencyUs, serviceUs, firstByteUs);
+            recent.recordValue(latencyUs);
+            result.interval(attempt.flow.startNs()).latency.recordValue(latencyUs);
+            boolean inBudget = event.atNs - attempt.intendedStartNs
+                    <= scenario.groups.get(attempt.flow.group()).budgetNs();
+            finish(attempt, inBudget ? Result.Outcome.IN_BUDGET : Result.Outcome.LATE, event.atNs);
         } else {
-            boolean blocked = h.code == 503 || h.code == 429;
-            result.toldWhen += blocked && h.retryAfterNs >= 0 ? 1 : 0;
-            failed(h.call, blocked ? Result.Outcome.BLOCKED : Result.Outcome.FAILED, h);
+            boolean wasBlocked = event.code == 503 || event.code == 429;
+            result.blockedWithRetryAfter += wasBlocked && event.retryAfterNs >= 0 ? 1 : 0;
+            retryOrFinish(event.attempt, wasBlocked ? Result.Outcome.BLOCKED : Result.Outcome.FAILED, event);
         }
     }
 
-    private static void record(Result.Part part, long latency, long service, long first) {
-        part.latency.recordValue(latency);
-        part.service.recordValue(service);
-        part.firstByte.recordValue(first);
+    private static void record(Result.FlowStats stats, long latencyUs, long serviceUs, long firstByteUs) {
+        stats.latency.recordValue(latencyUs);
+        stats.service.recordValue(serviceUs);
+        stats.firstByte.recordValue(firstByteUs);
     }
 
-    private Result.Part part(Target target) {
-        return result.targets.computeIfAbsent(target.name, t -> new Result.Part());
+    private Result.FlowStats targetStats(Target target) {
+        return result.targets.computeIfAbsent(target.name, t -> new Result.FlowStats());
     }
 
     /**
-     * A client's own retry belongs to its first try: same flow, same intended start, same target. What may not be
-     * repeated comes again only if it was turned away or never reached the target.
+     * Retries the flow if its group and the outcome allow it, else ends it with the outcome. A retry belongs to the
+     * same flow: same intended start, same target. A non-retriable flow is retried only if it was blocked or never
+     * reached the target.
      */
-    private void failed(Call call, Result.Outcome outcome, Happened h) {
-        boolean may = scenario.groups.get(call.flow.group()).repeats()
+    private void retryOrFinish(Attempt attempt, Result.Outcome outcome, ConnectionEvent event) {
+        boolean mayRetry = scenario.groups.get(attempt.flow.group()).repeats()
                 || outcome == Result.Outcome.BLOCKED
                 || outcome == Result.Outcome.REFUSED;
-        long wait = scenario.retryWaitNs << call.attempt;
-        // Up to twice the wait, by the flow itself, so that flows blocked together do not come again together.
-        wait += wait == 0 ? 0 : Math.floorMod(call.flow.startNs(), wait);
+        long waitNs = scenario.retryWaitNs << attempt.number;
+        // Adds up to the same wait again, derived from the flow's start, so that flows blocked together do not return
+        // together.
+        waitNs += waitNs == 0 ? 0 : Math.floorMod(attempt.flow.startNs(), waitNs);
         if (scenario.obeysRetryAfter) {
-            wait = Math.max(wait, h.retryAfterNs);
+            waitNs = Math.max(waitNs, event.retryAfterNs);
         }
-        if (may && call.attempt < scenario.retries && h.atNs + wait < call.timeoutAtNs()) {
-            call.done = true;
+        if (mayRetry && attempt.number < scenario.retries && event.atNs + waitNs < attempt.timeoutAtNs()) {
+            attempt.finished = true;
             result.retries++;
-            Call next = new Call(call.flow, call.intendedNs, call.attempt + 1);
-            wheel.set(next);
-            again.add(new Again(h.atNs + wait, next));
+            Attempt next = new Attempt(attempt.flow, attempt.intendedStartNs, attempt.number + 1);
+            wheel.schedule(next);
+            scheduledRetries.add(new ScheduledRetry(event.atNs + waitNs, next));
         } else {
-            finish(call, outcome, h.atNs);
+            finish(attempt, outcome, event.atNs);
         }
     }
 
-    private void timedOut(Call call) {
-        boolean sent = call.sentNs != 0 || call.attempt > 0;
-        Wire wire = call.wire;
-        if (wire != null && wire.call == call && wire.link != null) {
-            wire.call = null;
-            wire.link.close();
+    /** Ends a flow at its expiry and closes the connection that its attempt is on. */
+    private void timedOut(Attempt attempt) {
+        boolean sent = attempt.sentNs != 0 || attempt.number > 0;
+        Connection connection = attempt.connection;
+        if (connection != null && connection.attempt == attempt && connection.link != null) {
+            connection.attempt = null;
+            connection.link.close();
         }
         if (sent) {
-            finish(call, Result.Outcome.TIMED_OUT, System.nanoTime());
+            finish(attempt, Result.Outcome.TIMED_OUT, System.nanoTime());
         } else {
-            neverSent(call, Result.Unsent.NO_CONNECTION_FREE, System.nanoTime());
+            neverSent(attempt, Result.NeverSentReason.NO_CONNECTION_FREE, System.nanoTime());
         }
     }
 
-    private void neverSent(Call call, Result.Unsent why, long now) {
-        result.unsent.merge(why, 1L, Long::sum);
-        finish(call, Result.Outcome.NEVER_SENT, now);
+    private void neverSent(Attempt attempt, Result.NeverSentReason why, long nowNs) {
+        result.neverSent.merge(why, 1L, Long::sum);
+        finish(attempt, Result.Outcome.NEVER_SENT, nowNs);
     }
 
-    private void finish(Call call, Result.Outcome outcome, long now) {
-        call.done = true;
+    /** Counts a flow's outcome and notifies the listener. */
+    private void finish(Attempt attempt, Result.Outcome outcome, long nowNs) {
+        attempt.finished = true;
         open--;
         result.all.add(outcome);
-        result.groups[call.flow.group()].add(outcome);
-        part(call.target).add(outcome);
-        result.step(call.flow.startNs()).outcomes[outcome.ordinal()]++;
+        result.groups[attempt.flow.group()].add(outcome);
+        targetStats(attempt.target).add(outcome);
+        result.interval(attempt.flow.startNs()).outcomes[outcome.ordinal()]++;
         if (outcome != Result.Outcome.NEVER_SENT) {
             sentCount++;
         }
         if (outcome == Result.Outcome.IN_BUDGET) {
-            result.utilityGot += scenario.groups.get(call.flow.group()).utility();
-        }
-        if (ended != null) {
-            ended.accept(
-                    new Ended(call.intendedNs, call.flow.group(), outcome, now - call.intendedNs, call.attempt + 1));
+            result.utilityInBudget += scenario.groups.get(attempt.flow.group()).utility();
+        }
+        if (onFlowEnd != null) {
+            onFlowEnd.accept(new Ended(
+                    attempt.intendedStartNs,
+                    attempt.flow.group(),
+                    outcome,
+                    nowNs - attempt.intendedStartNs,
+                    attempt.number + 1));
         }
     }
 
--- a/src/main/java/puffinbarrow/load/Source.java
+++ b/src/main/java/puffinbarrow/load/Source.java
@@ -3,9 +3,9 @@
 import java.io.Closeable;
 import java.io.IOException;
 
-/** Flows in the order of their intended starts. */
+/** The flows of a run in the order of their intended starts. Read by one thread: the feeder's during a run. */
 public interface Source extends Closeable {
-    /** The next flow, or null at the end. */
+    /** Returns the next flow, or null at the end. */
     Flow next() throws IOException;
 
     @Override
--- a/src/main/java/puffinbarrow/load/Trace.java
+++ b/src/main/java/puffinbarrow/load/Trace.java
@@ -2,11 +2,13 @@
 
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
+import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.core.JsonToken;
 import java.io.BufferedInputStream;
 import java.io.Closeable;
 import java.io.IOException;
 import java.io.InputStream;
+import java.math.BigDecimal;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -17,6 +19,7 @@
 import java.time.format.DateTimeParseException;
 import java.util.ArrayList;
 import java.util.HashMap;
+import java.util.Iterator;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
@@ -29,11 +32,13 @@
 import puffinbarrow.config.Problem;
 
 /**
- * Reads a recorded trace entry by entry, holding one line at a time: Common and Combined Log Format, CSV with a head
- * line, JSON lines, HAR; gzip by its file name's end. What cannot be read is counted, the first few are kept to be
- * shown, and reading stops once they pass the share that was set.
+ * Reads a recorded trace entry by entry, holding one line at a time: Common and Combined Log Format, CSV with a header
+ * line, JSON lines or HAR; decompresses files whose name ends in .gz. Malformed lines are counted and the first few
+ * kept to be shown; reading stops once they exceed the configured share. Read by TraceFlows and the load trace command;
+ * not thread-safe.
  */
 public final class Trace implements Closeable {
+    /** Format of a trace file. Scenario files and reports name the constants in lower case. */
     public enum Format {
         CLF,
         CSV,
@@ -41,7 +46,13 @@
         HAR
     }
 
-    /** One request of the trace, by its own clock. Coarse: the time is that of a whole second. Missing numbers are -1. */
+    /**
+     * One request of the trace; texts that are missing are null, numbers that are missing -1.
+     *
+     * @param atNs time of the request by the trace's clock
+     * @param coarse whether the time is that of a whole second
+     * @param target index of the target, in recordings of the load generator
+     */
     public record Entry(
             long atNs,
             boolean coarse,
@@ -53,7 +64,7 @@
             long workNs,
             int target) {}
 
-    /** More was malformed than the share that was set. */
+    /** Thrown when more lines are malformed than the configured share. */
     public static final class TooManyMalformed extends IOException {
         private static final long serialVersionUID = 1;
 
@@ -62,65 +73,90 @@
         }
     }
 
-    private static final class Odd extends Exception {
+    /** A line that cannot be read; the message says what was found and expected. */
+    private static final class MalformedLineException extends Exception {
         private static final long serialVersionUID = 1;
 
-        Odd(String message) {
+        MalformedLineException(String message) {
             super(message, null, false, false);
         }
     }
 
-    /** A line of a log is some hundred bytes; longer ones are attacks on the log's readers or not lines at all. */
-    private static final int LINE_BYTES = 64 * 1024;
-    /** Below so many lines a share says little. */
-    private static final int SHARE_FROM = 100;
+    /**
+     * Longest line. Lines of a log have some hundred bytes; longer ones are attacks on the log's readers or not lines
+     * at all.
+     */
+    private static final int MAX_LINE_BYTES = 64 * 1024;
+    /** Lines that are read before the share of malformed ones is checked; below, a share says little. */
+    private static final int MIN_LINES_FOR_SHARE = 100;
 
-    private static final int SHOWN = 5;
+    /** How many malformed lines are kept to be shown. */
+    private static final int MAX_SHOWN = 5;
+    /** Largest request body that a trace may ask for; HAR entries are limited to it. */
+    private static final int MAX_BODY_BYTES = 1 << 24;
+
+    /** A line of the Common Log Format or the Combined one: time, method and path are its groups. */
     private static final Pattern CLF =
             Pattern.compile("\\S+ \\S+ .*?\\[([^\\]]+)\\] \"([A-Z]+) (\\S+)(?: [^\"]*)?\" \\d{3} (?:\\d+|-).*");
+
     private static final DateTimeFormatter CLF_TIME =
             DateTimeFormatter.ofPattern("dd/MMM/yyyy:HH:mm:ss Z", Locale.ROOT);
 
     private final Path file;
     private final Format format;
-    private final Scenario.FromTrace plan;
+    private final Scenario.FromTrace settings;
     private final InputStream in;
     private final byte[] block = new byte[64 * 1024];
-    private final byte[] line = new byte[LINE_BYTES];
+    private final byte[] line = new byte[MAX_LINE_BYTES];
     private final JsonFactory json = new JsonFactory();
+    /** Index of each CSV column by its name. */
     private final Map<String, Integer> columns = new HashMap<>();
+
     private final CSVFormat csv = CSVFormat.DEFAULT;
+    /** Null in other formats and after the last entry. */
     private JsonParser har;
-    private int blockAt, blockEnds;
-    private long lines, malformed;
-    private String lastStamp = "";
-    private long lastStampNs;
+
+    /** Position and end of the bytes that block holds. */
+    private int blockPosition;
+
+    private int blockEnd;
+    private long lines;
+    private long malformed;
+    /** The last time stamp parsed and its value, as neighbouring lines often share it. */
+    private String lastTimestamp = "";
+
+    private long lastTimestampNs;
     private final List<Problem> shown = new ArrayList<>();
-    private boolean headRead;
+    /** Whether the header line, or all that comes before a HAR file's entries, was read. */
+    private boolean headerRead;
+
     private boolean relative;
 
-    public Trace(Scenario.FromTrace plan) throws IOException {
-        this.plan = plan;
-        this.file = plan.file;
+    public Trace(Scenario.FromTrace settings) throws IOException {
+        this.settings = settings;
+        this.file = settings.file;
         InputStream raw = Files.newInputStream(file);
-        boolean zipped = file.toString().endsWith(".gz");
-        BufferedInputStream buffered = new BufferedInputStream(zipped ? new GZIPInputStream(raw) : raw, 1 << 16);
+        boolean gzipped = file.toString().endsWith(".gz");
+        BufferedInputStream buffered = new BufferedInputStream(gzipped ? new GZIPInputStream(raw) : raw, 1 << 16);
         this.in = buffered;
-        this.format = plan.format != null ? plan.format : guess(buffered);
+        this.format = settings.format != null ? settings.format : detectFormat(buffered);
         if (format == Format.HAR) {
             har = json.createParser(in);
         }
     }
 
-    /** By its first bytes: an object with a log in it, any object, a date in brackets, or else columns. */
-    private static Format guess(BufferedInputStream in) throws IOException {
+    /**
+     * Detects the format from the first bytes: an object whose first key is "log" is HAR, any other object JSON, a line
+     * in log format CLF, anything else CSV.
+     */
+    private static Format detectFormat(BufferedInputStream in) throws IOException {
         in.mark(1 << 15);
-        String begin = new String(in.readNBytes(4096), StandardCharsets.ISO_8859_1).stripLeading();
+        String beginning = new String(in.readNBytes(4096), StandardCharsets.ISO_8859_1).stripLeading();
         in.reset();
-        if (begin.startsWith("{")) {
-            return begin.substring(1).stripLeading().startsWith("\"log\"") ? Format.HAR : Format.JSON;
+        if (beginning.startsWith("{")) {
+            return beginning.substring(1).stripLeading().startsWith("\"log\"") ? Format.HAR : Format.JSON;
         }
-        String first = begin.lines().findFirst().orElse("");
+        String first = beginning.lines().findFirst().orElse("");
         return CLF.matcher(first).matches() ? Format.CLF : Format.CSV;
     }
 
@@ -128,102 +164,105 @@
         return format;
     }
 
-    /** Whether times count from a run's start, as in a log of our own. */
+    /** Whether times count from a run's start, as in recordings of the load generator. */
     boolean relative() {
         return relative;
     }
 
-    /** Lines or HAR entries looked at, malformed ones among them. */
+    /** Returns the lines or HAR entries read so far, malformed ones included. */
     public long lines() {
         return lines;
     }
 
+    /** Returns the malformed lines or entries so far. */
     public long malformed() {
         return malformed;
     }
 
-    /** The first malformed ones: where, what, and what was expected. */
+    /** Returns the first malformed lines: where, what was found, and what was expected. */
     public List<Problem> shown() {
         return shown;
     }
 
-    /** The next entry in the file's order, or null at its end. */
+    /** Returns the next entry in the file's order, or null at its end. */
     public Entry next() throws IOException {
         while (true) {
             try {
                 if (format == Format.HAR) {
-                    return harEntry();
+                    return nextHarEntry();
                 }
-                String text = line();
+                String text = readLine();
                 if (text == null) {
-                    check(true);
+                    checkMalformedShare(true);
                     return null;
                 }
                 if (text.isBlank()) {
                     continue;
                 }
-                if (format == Format.CSV && !headRead) {
-                    head(text);
+                if (format == Format.CSV && !headerRead) {
+                    readHeader(text);
                     continue;
                 }
                 lines++;
                 return switch (format) {
-                    case CLF -> clf(text);
-                    case CSV -> csv(text);
-                    default -> json(text);
+                    case CLF -> parseClf(text);
+                    case CSV -> parseCsv(text);
+                    default -> parseJson(text);
                 };
-            } catch (Odd odd) {
+            } catch (MalformedLineException malformedLine) {
                 malformed++;
-                if (shown.size() < SHOWN) {
+                if (shown.size() < MAX_SHOWN) {
                     shown.add(new Problem(
                             file.toString(),
                             (int) Math.min(Integer.MAX_VALUE, lines + (format == Format.CSV ? 1 : 0)),
-                            odd.getMessage()));
+                            malformedLine.getMessage()));
                 }
-                check(false);
+                checkMalformedShare(false);
             }
         }
     }
 
-    private void check(boolean atEnd) throws IOException {
-        if (malformed > plan.malformedShare * lines && (atEnd || lines >= SHARE_FROM)) {
+    /** Throws if too many lines are malformed so far. */
+    private void checkMalformedShare(boolean atEnd) throws IOException {
+        if (malformed > settings.malformedShare * lines && (atEnd || lines >= MIN_LINES_FOR_SHARE)) {
             throw new TooManyMalformed(String.format(
                     Locale.ROOT,
                     "%s: %d of %d lines malformed, expected %.2f%% at most",
                     file,
                     malformed,
                     lines,
-                    100 * plan.malformedShare));
+                    100 * settings.malformedShare));
         }
     }
 
-    private String line() throws IOException, Odd {
+    /** Returns the next line without its end, or null at the file's end. */
+    private String readLine() throws IOException, MalformedLineException {
         int length = 0;
         boolean tooLong = false;
         while (true) {
-            if (blockAt == blockEnds) {
-                blockEnds = Math.max(0, in.read(block));
-                blockAt = 0;
-                if (blockEnds == 0) {
+            if (blockPosition == blockEnd) {
+                blockEnd = Math.max(0, in.read(block));
+                blockPosition = 0;
+                if (blockEnd == 0) {
                     if (length == 0 && !tooLong) {
                         return null;
                     }
                     break;
                 }
             }
-            byte b = block[blockAt++];
-            if (b == '\n') {
+            byte next = block[blockPosition++];
+            if (next == '\n') {
                 break;
             }
-            if (length < LINE_BYTES) {
-                line[length++] = b;
+            if (length < MAX_LINE_BYTES) {
+                line[length++] = next;
             } else {
                 tooLong = true;
             }
         }
         if (tooLong) {
             lines++;
-            throw new Odd("a line over " + LINE_BYTES + " bytes, expected a shorter one");
+            throw new MalformedLineException("line over " + MAX_LINE_BYTES + " bytes, expected a shorter one");
         }
         if (length > 0 && line[length - 1] == '\r') {
             length--;
@@ -231,32 +270,36 @@
         return new String(line, 0, length, StandardCharsets.UTF_8);
     }
 
-    // ---- Log formats.
+    // ---- Common Log Format, CSV and JSON lines
 
-    private Entry clf(String text) throws Odd {
-        Matcher m = CLF.matcher(text);
-        if (!m.matches()) {
-            throw new Odd(
+    private Entry parseClf(String text) throws MalformedLineException {
+        Matcher matcher = CLF.matcher(text);
+        if (!matcher.matches()) {
+            throw new MalformedLineException(
                     "not a line of the Common Log Format, expected HOST - USER [TIME] \"METHOD PATH HTTP/1.1\" CODE "
                             + "BYTES");
         }
-        if (!m.group(1).equals(lastStamp)) {
+        if (!matcher.group(1).equals(lastTimestamp)) {
             try {
-                lastStampNs = ZonedDateTime.parse(m.group(1), CLF_TIME).toEpochSecond() * 1_000_000_000L;
-                lastStamp = m.group(1);
-            } catch (DateTimeParseException wrong) {
-                throw new Odd("time '" + m.group(1) + "', expected such as 06/Apr/2026:08:00:00 +0200");
+                lastTimestampNs =
+                        ZonedDateTime.parse(matcher.group(1), CLF_TIME).toEpochSecond() * 1_000_000_000L;
+                lastTimestamp = matcher.group(1);
+            } catch (DateTimeParseException unreadable) {
+                throw new MalformedLineException(
+                        "time '" + matcher.group(1) + "', expected such as 06/Apr/2026:08:00:00 +0200");
             }
         }
-        return new Entry(lastStampNs, true, m.group(2), m.group(3), null, null, -1, -1, -1);
+        return new Entry(lastTimestampNs, true, matcher.group(2), matcher.group(3), null, null, -1, -1, -1);
     }
 
+    /** Returns the name of a field's column. */
     private String column(String field) {
-        return plan.columns.getOrDefault(field, field);
+        return settings.columns.getOrDefault(field, field);
     }
 
-    private void head(String text) throws IOException {
-        headRead = true;
+    /** Reads the header line of a CSV file. */
+    private void readHeader(String text) throws IOException {
+        headerRead = true;
         try (CSVParser parser = CSVParser.parse(text, csv)) {
             for (CSVRecord record : parser) {
                 for (int i = 0; i < record.size(); i++) {
@@ -266,93 +309,98 @@
         }
         if (!columns.containsKey(column("time"))) {
             throw new IOException(file + ":1: columns " + columns.keySet() + ", expected one named '" + column("time")
-                    + "' (a line 'column time NAME' says another)");
+                    + "' (or a line 'column time NAME' in the scenario)");
         }
     }
 
-    private Entry csv(String text) throws Odd {
+    private Entry parseCsv(String text) throws MalformedLineException {
         CSVRecord record;
         try (CSVParser parser = CSVParser.parse(text, csv)) {
-            java.util.Iterator<CSVRecord> all = parser.iterator();
-            record = all.hasNext() ? all.next() : null;
-        } catch (IOException | RuntimeException wrong) {
-            throw new Odd("not a line of CSV, expected quotes to be closed");
+            Iterator<CSVRecord> records = parser.iterator();
+            record = records.hasNext() ? records.next() : null;
+        } catch (IOException | RuntimeException unreadable) {
+            throw new MalformedLineException("not a CSV line, expected closed quotes");
         }
         if (record == null || record.size() != columns.size()) {
-            throw new Odd((record == null ? 0 : record.size()) + " columns, expected " + columns.size());
+            throw new MalformedLineException(
+                    (record == null ? 0 : record.size()) + " columns, expected " + columns.size());
         }
         Map<String, String> values = new HashMap<>();
-        columns.forEach((name, at) -> values.put(name, record.get(at)));
+        columns.forEach((name, index) -> values.put(name, record.get(index)));
         return entry(values);
     }
 
-    private Entry json(String text) throws Odd {
+    private Entry parseJson(String text) throws MalformedLineException {
         Map<String, String> values = new HashMap<>();
-        try (JsonParser p = json.createParser(text)) {
-            if (p.nextToken() != JsonToken.START_OBJECT) {
-                throw new Odd("not an object, expected {...}");
+        try (JsonParser parser = json.createParser(text)) {
+            if (parser.nextToken() != JsonToken.START_OBJECT) {
+                throw new MalformedLineException("not a JSON object, expected {...}");
             }
-            while (p.nextToken() == JsonToken.FIELD_NAME) {
-                String name = p.currentName();
-                JsonToken value = p.nextToken();
+            while (parser.nextToken() == JsonToken.FIELD_NAME) {
+                String name = parser.currentName();
+                JsonToken value = parser.nextToken();
                 if (value.isScalarValue()) {
-                    values.put(name, p.getText());
+                    values.put(name, parser.getText());
                 } else {
-                    p.skipChildren();
+                    parser.skipChildren();
                 }
             }
-            if (p.currentToken() != JsonToken.END_OBJECT) {
-                throw new Odd("an object that does not end, expected }");
+            if (parser.currentToken() != JsonToken.END_OBJECT) {
+                throw new MalformedLineException("JSON object without an end, expected }");
             }
-        } catch (IOException wrong) {
-            throw new Odd("not JSON, expected one object a line");
+        } catch (IOException unreadable) {
+            throw new MalformedLineException("not JSON, expected one object per line");
         }
         return entry(values);
     }
 
-    private Entry entry(Map<String, String> values) throws Odd {
-        boolean ours = values.containsKey(SentLog.TIME);
-        String time = values.get(ours ? SentLog.TIME : column("time"));
+    /** Builds an entry from the values of a CSV or JSON line, by column name. */
+    private Entry entry(Map<String, String> values) throws MalformedLineException {
+        boolean recorded = values.containsKey(SentLog.TIME_COLUMN);
+        String time = values.get(recorded ? SentLog.TIME_COLUMN : column("time"));
         if (time == null) {
-            throw new Odd("no '" + column("time") + "', expected a time");
+            throw new MalformedLineException("no '" + column("time") + "', expected a time");
         }
-        relative |= ours;
+        relative |= recorded;
         String work = values.get(column("work"));
         String body = values.get(column("body"));
         return new Entry(
-                time(time.trim(), ours ? "ns" : plan.unit),
+                parseTime(time.trim(), recorded ? "ns" : settings.unit),
                 false,
                 values.get(column("method")),
                 values.get(column("path")),
                 values.get(column("group")),
                 values.get(column("key")),
-                (int) number(body, "body", 1 << 24),
-                number(work, "work", Long.MAX_VALUE),
-                ours ? (int) number(values.get("target"), "target", 1 << 20) : -1);
+                (int) parseNumber(body, "body", MAX_BODY_BYTES),
+                parseNumber(work, "work", Long.MAX_VALUE),
+                recorded ? (int) parseNumber(values.get("target"), "target", 1 << 20) : -1);
     }
 
-    private static long number(String text, String field, long most) throws Odd {
+    /** Parses an optional number; -1 if it is missing. */
+    private static long parseNumber(String text, String field, long max) throws MalformedLineException {
         if (text == null || text.isEmpty()) {
             return -1;
         }
         try {
             long number = Long.parseLong(text);
-            if (number >= 0 && number <= most) {
+            if (number >= 0 && number <= max) {
                 return number;
             }
-        } catch (NumberFormatException wrong) {
-            // Said below.
+        } catch (NumberFormatException unreadable) {
+            // Reported below, like a number out of range.
         }
-        throw new Odd(field + " '" + text + "', expected a whole number from 0 to " + most);
+        throw new MalformedLineException(field + " '" + text + "', expected a whole number from 0 to " + max);
     }
 
-    /** Without a unit: a date with a T in it, or seconds. */
-    private static long time(String text, String unit) throws Odd {
+    /**
+     * Parses a time into nanoseconds. Without a unit, a text with a T is an ISO date, any other a number of seconds.
+     */
+    private static long parseTime(String text, String unit) throws MalformedLineException {
         try {
             if (unit.equals("iso") || unit.isEmpty() && text.indexOf('T') > 0) {
-                return iso(text);
+                return parseIso(text);
             }
-            java.math.BigDecimal number = new java.math.BigDecimal(text);
+            BigDecimal number = new BigDecimal(text);
             int shift =
                     switch (unit) {
                         case "ns" -> 0;
@@ -360,39 +408,39 @@
                         case "ms" -> 6;
                         default -> 9;
                     };
-            java.math.BigDecimal ns = number.scaleByPowerOfTen(shift);
-            // Some 290 years: more is not a time.
-            if (ns.abs().compareTo(java.math.BigDecimal.valueOf(Long.MAX_VALUE / 2)) < 0) {
+            BigDecimal ns = number.scaleByPowerOfTen(shift);
+            // Up to half the range of a long, some 146 years: anything more is not a time.
+            if (ns.abs().compareTo(BigDecimal.valueOf(Long.MAX_VALUE / 2)) < 0) {
                 return ns.longValue();
             }
-        } catch (ArithmeticException | NumberFormatException | DateTimeParseException wrong) {
-            // Said below.
+        } catch (ArithmeticException | NumberFormatException | DateTimeParseException unreadable) {
+            // Reported below, like a number out of range.
         }
-        throw new Odd("time '" + text + "', expected "
+        throw new MalformedLineException("time '" + text + "', expected "
                 + (unit.isEmpty()
                         ? "seconds or such as 2026-04-06T08:00:00Z"
                         : unit.equals("iso") ? "such as 2026-04-06T08:00:00Z" : "a number of " + unit));
     }
 
-    private static long iso(String text) {
-        Instant at = OffsetDateTime.parse(text).toInstant();
-        return Math.addExact(Math.multiplyExact(at.getEpochSecond(), 1_000_000_000L), at.getNano());
+    private static long parseIso(String text) {
+        Instant instant = OffsetDateTime.parse(text).toInstant();
+        return Math.addExact(Math.multiplyExact(instant.getEpochSecond(), 1_000_000_000L), instant.getNano());
     }
 
-    // ---- HAR: one JSON document; its entries are read one at a time.
+    // ---- HAR: one JSON document, whose entries are read one at a time
 
-    private Entry harEntry() throws IOException, Odd {
+    private Entry nextHarEntry() throws IOException, MalformedLineException {
         if (har == null) {
-            check(true);
+            checkMalformedShare(true);
             return null;
         }
         try {
-            if (!headRead) {
-                headRead = true;
+            if (!headerRead) {
+                headerRead = true;
                 while (har.nextToken() != null
                         && !(har.currentToken() == JsonToken.FIELD_NAME
                                 && har.currentName().equals("entries"))) {
-                    // Pages, the creator and the browser come first.
+                    // Skips pages, creator and browser, which come before the entries.
                 }
                 har.nextToken();
             }
@@ -401,21 +449,24 @@
                 har = null;
                 if (token != JsonToken.END_ARRAY) {
                     lines++;
-                    throw new Odd("no entry and no end of entries, expected a HAR document");
+                    throw new MalformedLineException(
+                            "neither an entry nor the end of the entries, expected a HAR document");
                 }
-                check(true);
+                checkMalformedShare(true);
                 return null;
             }
             lines++;
-            return harFields();
-        } catch (com.fasterxml.jackson.core.JsonProcessingException broken) {
+            return parseHarEntry();
+        } catch (JsonProcessingException notJson) {
             har = null;
             lines++;
-            throw new Odd("not JSON from here on: " + broken.getOriginalMessage() + ", expected a HAR document");
+            throw new MalformedLineException(
+                    "not JSON from here on: " + notJson.getOriginalMessage() + ", expected a HAR document");
         }
     }
 
-    private Entry harFields() throws IOException, Odd {
+    /** Reads one entry of a HAR file, from after its opening brace to its end. */
+    private Entry parseHarEntry() throws IOException, MalformedLineException {
         String time = null;
         String method = null;
         String url = null;
@@ -441,7 +492,8 @@
             }
         }
         if (time == null || method == null || url == null) {
-            throw new Odd("an entry without startedDateTime, request.method or request.url, expected all three");
+            throw new MalformedLineException(
+                    "entry without startedDateTime, request.method or request.url, expected all three");
         }
         String path = url;
         int scheme = url.indexOf("://");
@@ -449,7 +501,8 @@
             int slash = url.indexOf('/', scheme + 3);
             path = slash < 0 ? "/" : url.substring(slash);
         }
-        return new Entry(time(time, "iso"), false, method, path, null, null, (int) Math.min(1 << 24, body), -1, -1);
+        return new Entry(
+                parseTime(time, "iso"), false, method, path, null, null, (int) Math.min(MAX_BODY_BYTES, body), -1, -1);
     }
 
     @Override
--- a/src/main/java/puffinbarrow/load/TraceFlows.java
+++ b/src/main/java/puffinbarrow/load/TraceFlows.java
@@ -1,6 +1,7 @@
 package puffinbarrow.load;
 
 import java.io.IOException;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.List;
@@ -12,74 +13,105 @@
 import puffinbarrow.config.Problem;
 
 /**
- * The flows of a recorded trace, in the order of their starts, scaled, cut and looped as the scenario says. Logs are
- * written when answers end, so entries come a little out of order: a bounded window sorts them, what comes later than
- * that leaves at once and is counted. Seconds without a fraction are filled evenly, in the file's order.
+ * Turns a recorded trace into flows in the order of their starts, scaled, cut and looped as the scenario says. Logs are
+ * written when answers end, so entries come a little out of order: a bounded window sorts them; an entry older than
+ * that is sent at once and counted as late. Entries timed to the whole second are spread evenly over it in the file's
+ * order. Read by the feeder's thread during a run; not thread-safe.
  */
 public final class TraceFlows implements Source {
-    /** How far back an entry may come, against the newest read: the longest that answers commonly take. */
+    /**
+     * How much older than the newest entry read an entry may be and still be sorted: the longest that answers usually
+     * take.
+     */
     private static final long WINDOW_NS = 5_000_000_000L;
-    /** What the window holds at most, some 20 MB: ten seconds at several thousand flows a second. */
-    private static final int WINDOW = 65_536;
+    /** Most entries in the window, some 20 MB: ten seconds at several thousand flows per second. */
+    private static final int MAX_WINDOW_ENTRIES = 65_536;
 
-    private record Held(Trace.Entry entry, long number) implements Comparable<Held> {
+    /** An entry in the window, ordered by time, then by its place in the file. */
+    private record WindowEntry(Trace.Entry entry, long number) implements Comparable<WindowEntry> {
         @Override
-        public int compareTo(Held other) {
-            int by = Long.compare(entry.atNs(), other.entry.atNs());
-            return by != 0 ? by : Long.compare(number, other.number);
+        public int compareTo(WindowEntry other) {
+            int byTime = Long.compare(entry.atNs(), other.entry.atNs());
+            return byTime != 0 ? byTime : Long.compare(number, other.number);
         }
     }
 
+    /** An entry with its start: by the trace's clock while sorting, from the run's start after scaling. */
     private record Timed(Trace.Entry entry, long atNs) {}
 
     private final Scenario scenario;
-    private final Scenario.FromTrace plan;
-    private final UniformRandomProvider chance;
-    private final Map<String, Integer> groupNames = new HashMap<>();
-    private final PriorityQueue<Held> window = new PriorityQueue<>();
+    private final Scenario.FromTrace settings;
+    private final UniformRandomProvider random;
+    private final Map<String, Integer> groupIndexes = new HashMap<>();
+    private final PriorityQueue<WindowEntry> window = new PriorityQueue<>();
+    /** Entries that left the window in order. */
     private final ArrayDeque<Timed> ordered = new ArrayDeque<>();
+    /** Flows of the present entry that are still to be returned. */
     private final ArrayDeque<Flow> copies = new ArrayDeque<>();
+
     private Trace trace;
-    private boolean ended;
-    private long read, newestNs = Long.MIN_VALUE;
-    private long firstNs = Long.MIN_VALUE, lastNs;
-    private long number, startNs;
-    private Timed held;
+    private boolean traceEnded;
+    /** Entries read so far, over all loops. */
+    private long entriesRead;
+
+    /** Time of the newest entry read in this loop, by the trace's clock. */
+    private long newestNs = Long.MIN_VALUE;
+
+    /** Times of the first and the last entry over all loops, by the trace's clock. */
+    private long firstNs = Long.MIN_VALUE;
+
+    private long lastNs;
+    private long nextNumber;
+    /** Start of the last flow, from the run's start; starts never decrease. */
+    private long startNs;
+    /** The entry whose flows come next; read ahead to know the gap that its copies are spread over. */
+    private Timed upcoming;
+
     private int loop;
-    private long loopNs;
-    private long orderedNs = Long.MIN_VALUE;
-    private long late, unmatched, lines, malformed;
+    /** Start of the present loop, from the run's start. */
+    private long loopStartNs;
+    /** Newest time passed on in order during the first loop. */
+    private long orderedUntilNs = Long.MIN_VALUE;
+
+    private long late;
+    private long unmatched;
+    /** Lines of the loops before the present one; malformed and shown are of those loops, too. */
+    private long lines;
+
+    private long malformed;
     private List<Problem> shown = List.of();
 
     public TraceFlows(Scenario scenario) throws IOException {
         this.scenario = scenario;
-        this.plan = scenario.trace;
-        this.chance = RandomSource.XO_RO_SHI_RO_128_PP.create(scenario.seed * 1_000_003 + 8);
+        this.settings = scenario.trace;
+        this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(scenario.seed * 1_000_003 + 8);
         for (int i = 0; i < scenario.groups.size(); i++) {
-            groupNames.put(scenario.groups.get(i).name(), i);
+            groupIndexes.put(scenario.groups.get(i).name(), i);
         }
-        trace = new Trace(plan);
+        trace = new Trace(settings);
     }
 
-    /** Entries older than the window could put in order. */
+    /** Returns the entries too old for the window to sort. */
     public long late() {
         return late;
     }
 
-    /** Entries that no group takes; they are not sent. */
+    /** Returns the entries that belong to no group; they are not sent. */
     public long unmatched() {
         return unmatched;
     }
 
-    /** Over all loops so far. */
+    /** Returns the lines read over all loops so far, malformed ones included. */
     public long lines() {
         return lines + trace.lines();
     }
 
+    /** Returns the malformed lines over all loops so far. */
     public long malformed() {
         return malformed + trace.malformed();
     }
 
+    /** Returns the first malformed lines. */
     public List<Problem> shown() {
         return shown.isEmpty() ? trace.shown() : shown;
     }
@@ -91,75 +123,82 @@
     @Override
     public Flow next() throws IOException {
         while (copies.isEmpty()) {
-            if (held == null) {
-                held = timed();
-                if (held == null) {
+            if (upcoming == null) {
+                upcoming = nextTimed();
+                if (upcoming == null) {
                     return null;
                 }
             }
-            Timed now = held;
-            held = timed();
-            emit(now, held == null ? now.atNs : held.atNs);
+            Timed current = upcoming;
+            upcoming = nextTimed();
+            addFlows(current, upcoming == null ? current.atNs : upcoming.atNs);
         }
         Flow flow = copies.pollFirst();
         return flow.startNs() > scenario.lengthNs ? null : flow;
     }
 
-    /** As often as the rate asks: whole copies, and one more by the chance of the rest, spread until the next entry. */
-    private void emit(Timed timed, long nextNs) {
+    /**
+     * Adds the flows of an entry: as many whole copies as the rate says, and one more with the probability of its
+     * fraction, spread evenly until the next entry.
+     */
+    private void addFlows(Timed timed, long nextNs) {
         int group = group(timed.entry);
         if (group < 0) {
             unmatched++;
             return;
         }
-        int count = (int) Math.floor(plan.rate);
-        double rest = plan.rate - count;
-        count += rest > 0 && chance.nextDouble() < rest ? 1 : 0;
-        Scenario.Group of = scenario.groups.get(group);
-        Trace.Entry e = timed.entry;
+        int count = (int) Math.floor(settings.rate);
+        double fraction = settings.rate - count;
+        count += fraction > 0 && random.nextDouble() < fraction ? 1 : 0;
+        Scenario.Group trafficGroup = scenario.groups.get(group);
+        Trace.Entry entry = timed.entry;
         for (int i = 0; i < count; i++) {
             startNs = Math.max(startNs, timed.atNs + Math.max(0, nextNs - timed.atNs) * i / count);
-            int key = key(e);
-            // A key in digits is sent as such; any other text goes with the request.
-            String text = e.key() != null && !Integer.toString(key).equals(e.key()) ? e.key() : null;
-            Flow.Ask ask = new Flow.Ask(
-                    e.method() == null ? of.method() : e.method(),
-                    e.path() == null ? of.path() : e.path(),
-                    e.bodyBytes() < 0 ? of.bodyBytes() : e.bodyBytes(),
+            int key = key(entry);
+            // A numeric key is sent as such; any other text goes with the request.
+            String text = entry.key() != null && !Integer.toString(key).equals(entry.key()) ? entry.key() : null;
+            Flow.Request request = new Flow.Request(
+                    entry.method() == null ? trafficGroup.method() : entry.method(),
+                    entry.path() == null ? trafficGroup.path() : entry.path(),
+                    entry.bodyBytes() < 0 ? trafficGroup.bodyBytes() : entry.bodyBytes(),
                     text);
             int targets = Math.max(1, scenario.targets.size());
             copies.addLast(new Flow(
-                    number,
+                    nextNumber,
                     startNs,
                     group,
-                    (int) ((e.target() < 0 ? number : e.target()) % targets),
+                    (int) ((entry.target() < 0 ? nextNumber : entry.target()) % targets),
                     key,
-                    e.workNs() < 0 ? of.workNs() : e.workNs(),
-                    ask));
-            number++;
+                    entry.workNs() < 0 ? trafficGroup.workNs() : entry.workNs(),
+                    request));
+            nextNumber++;
         }
     }
 
-    private int key(Trace.Entry e) {
-        String text = e.key() != null ? e.key() : e.path() != null ? e.path() : "";
+    /** Returns the entry's numeric key, or a hash of its key or path. */
+    private int key(Trace.Entry entry) {
+        String text = entry.key() != null ? entry.key() : entry.path() != null ? entry.path() : "";
         try {
             int key = Integer.parseInt(text);
             if (key >= 0) {
                 return key;
             }
-        } catch (NumberFormatException words) {
-            // Hashed below.
+        } catch (NumberFormatException notNumeric) {
+            // Hashed below, like a negative number.
         }
         CRC32 crc = new CRC32();
-        crc.update(text.getBytes(java.nio.charset.StandardCharsets.UTF_8));
-        return (int)
-                (crc.getValue() % (scenario.slices > 0 ? scenario.slices * (long) scenario.keysEach : scenario.keys));
+        crc.update(text.getBytes(StandardCharsets.UTF_8));
+        return (int) (crc.getValue()
+                % (scenario.slices > 0 ? scenario.slices * (long) scenario.keysPerSlice : scenario.keys));
     }
 
-    /** By its name, or by the longest beginning of its path that a group matches. */
+    /**
+     * Returns the index of the group that the entry names, or of the one that matches the longest start of its path; -1
+     * if none does.
+     */
     private int group(Trace.Entry entry) {
         if (entry.group() != null) {
-            return groupNames.getOrDefault(entry.group(), -1);
+            return groupIndexes.getOrDefault(entry.group(), -1);
         }
         int best = -1;
         int length = -1;
@@ -174,52 +213,57 @@
         return best;
     }
 
-    /** The next entry with its start in the run: cut and scaled, loops one after the other. */
-    private Timed timed() throws IOException {
+    /**
+     * Returns the next entry within the cut, with its scaled start in the run; loops follow one another. Null at the
+     * end.
+     */
+    private Timed nextTimed() throws IOException {
         while (true) {
-            Timed next = sorted();
+            Timed next = nextSorted();
             if (next == null) {
-                if (++loop >= plan.loops || firstNs == Long.MIN_VALUE) {
+                if (++loop >= settings.loops || firstNs == Long.MIN_VALUE) {
                     return null;
                 }
-                // A loop begins where the last entry's follower would have been.
-                long span = Math.min(plan.cutToNs, lastNs - firstNs) - plan.cutFromNs;
-                loopNs += (long) ((span + span / Math.max(1, read / loop)) / plan.speed);
-                again();
+                // The next loop starts where the entry after the last one would have been, by the mean gap.
+                long spanNs = Math.min(settings.cutToNs, lastNs - firstNs) - settings.cutFromNs;
+                loopStartNs += (long) ((spanNs + spanNs / Math.max(1, entriesRead / loop)) / settings.speed);
+                reopen();
                 continue;
             }
             if (firstNs == Long.MIN_VALUE) {
                 firstNs = trace.relative() ? 0 : next.atNs;
             }
             lastNs = Math.max(lastNs, next.atNs);
-            long in = next.atNs - firstNs;
-            if (in >= plan.cutFromNs && in < plan.cutToNs) {
-                return new Timed(next.entry, loopNs + (long) ((in - plan.cutFromNs) / plan.speed));
+            long offsetNs = next.atNs - firstNs;
+            if (offsetNs >= settings.cutFromNs && offsetNs < settings.cutToNs) {
+                return new Timed(next.entry, loopStartNs + (long) ((offsetNs - settings.cutFromNs) / settings.speed));
             }
         }
     }
 
-    private void again() throws IOException {
+    /** Opens the trace again from its beginning. */
+    private void reopen() throws IOException {
         lines += trace.lines();
         malformed += trace.malformed();
         shown = trace.shown();
         trace.close();
-        trace = new Trace(plan);
-        ended = false;
+        trace = new Trace(settings);
+        traceEnded = false;
         newestNs = Long.MIN_VALUE;
     }
 
-    private Timed sorted() throws IOException {
+    /** Returns the next entry in order of time, or null at the end of the trace. */
+    private Timed nextSorted() throws IOException {
         while (ordered.isEmpty()) {
-            while (!ended
-                    && window.size() < WINDOW
+            while (!traceEnded
+                    && window.size() < MAX_WINDOW_ENTRIES
                     && (window.isEmpty() || newestNs - window.peek().entry.atNs() < WINDOW_NS)) {
                 Trace.Entry entry = trace.next();
                 if (entry == null) {
-                    ended = true;
+                    traceEnded = true;
                 } else {
                     newestNs = Math.max(newestNs, entry.atNs());
-                    window.add(new Held(entry, read++));
+                    window.add(new WindowEntry(entry, entriesRead++));
                 }
             }
             if (window.isEmpty()) {
@@ -227,29 +271,30 @@
             }
             Trace.Entry first = window.poll().entry;
             if (!first.coarse()) {
-                ordered.addLast(inOrder(first, first.atNs()));
+                ordered.addLast(checkOrder(first, first.atNs()));
                 continue;
             }
-            ArrayDeque<Trace.Entry> second = new ArrayDeque<>();
-            second.addLast(first);
+            ArrayDeque<Trace.Entry> sameSecond = new ArrayDeque<>();
+            sameSecond.addLast(first);
             while (!window.isEmpty() && window.peek().entry.atNs() == first.atNs()) {
-                second.addLast(window.poll().entry);
+                sameSecond.addLast(window.poll().entry);
             }
-            long each = 1_000_000_000L / second.size();
-            long at = first.atNs() + each / 2;
-            for (Trace.Entry entry : second) {
-                ordered.addLast(inOrder(entry, at));
-                at += each;
+            long gapNs = 1_000_000_000L / sameSecond.size();
+            long startInSecondNs = first.atNs() + gapNs / 2;
+            for (Trace.Entry entry : sameSecond) {
+                ordered.addLast(checkOrder(entry, startInSecondNs));
+                startInSecondNs += gapNs;
             }
         }
         return ordered.pollFirst();
     }
 
-    private Timed inOrder(Trace.Entry entry, long atNs) {
-        if (atNs < orderedNs && loop == 0) {
+    /** Counts the entry as late if it is older than one already passed on. */
+    private Timed checkOrder(Trace.Entry entry, long atNs) {
+        if (atNs < orderedUntilNs && loop == 0) {
             late++;
         }
-        orderedNs = loop == 0 ? Math.max(orderedNs, atNs) : orderedNs;
+        orderedUntilNs = loop == 0 ? Math.max(orderedUntilNs, atNs) : orderedUntilNs;
         return new Timed(entry, atNs);
     }
 
--- a/src/test/java/puffinbarrow/load/EngineTest.java
+++ b/src/test/java/puffinbarrow/load/EngineTest.java
@@ -3,19 +3,31 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import java.io.File;
+import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
+import java.nio.file.Files;
+import java.nio.file.Path;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 import java.util.concurrent.Executors;
 import java.util.concurrent.TimeUnit;
 import java.util.function.DoubleUnaryOperator;
+import java.util.stream.Collectors;
+import org.HdrHistogram.Histogram;
+import org.HdrHistogram.HistogramLogReader;
 import org.apache.commons.rng.simple.RandomSource;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
 import puffinbarrow.config.Problem;
 import puffinbarrow.standin.Delays;
 
-/** The engine against stand-ins that are slow, still, odd or absent: counts, sums and orderings, no timings. */
+/**
+ * Runs the engine against stand-in servers that are slow, stalled, malformed or absent. Checks counts, sums and
+ * orderings, no timings.
+ */
 class EngineTest {
     private static final DoubleUnaryOperator TWO_MS = draw -> 2e6;
 
@@ -43,7 +55,7 @@
     }
 
     @Test
-    void everyIntendedFlowHasOneOutcomeWhateverTheMannerOfAnswers() throws Exception {
+    void everyFlowHasOneOutcomeForAllKindsOfAnswers() throws Exception {
         for (Delays.Manner manner : List.of(
                 Delays.Manner.PLAIN,
                 Delays.Manner.SPLIT,
@@ -53,17 +65,17 @@
             try (Delays target = target(TWO_MS)) {
                 target.manner(manner);
                 Result result = run(target.address(), "rate 300\nlength 1s\n");
-                boolean good = manner != Delays.Manner.CUT_SHORT && manner != Delays.Manner.CLOSED;
+                boolean complete = manner != Delays.Manner.CUT_SHORT && manner != Delays.Manner.CLOSED;
                 long answered = result.all.count(Result.Outcome.IN_BUDGET) + result.all.count(Result.Outcome.LATE);
-                assertEquals(good ? result.intended : 0, answered, manner + " " + result.all.outcomes);
-                assertEquals(good ? 0 : result.intended, result.all.count(Result.Outcome.RESET), manner.toString());
-                assertEquals(result.intended, result.all.latency.getTotalCount() + (good ? 0 : result.intended));
+                assertEquals(complete ? result.intended : 0, answered, manner + " " + result.all.outcomes);
+                assertEquals(complete ? 0 : result.intended, result.all.count(Result.Outcome.RESET), manner.toString());
+                assertEquals(result.intended, result.all.latency.getTotalCount() + (complete ? 0 : result.intended));
             }
         }
     }
 
     @Test
-    void aTargetThatStandsStillCannotHideItsSlowAnswers() throws Exception {
+    void latencyIncludesTheWaitDuringAStalledTarget() throws Exception {
         try (Delays target = target(TWO_MS)) {
             Executors.newSingleThreadScheduledExecutor(r -> {
                         Thread thread = new Thread(r);
@@ -71,18 +83,19 @@
                         return thread;
                     })
                     .schedule(() -> target.standStill(1_000_000_000L), 1, TimeUnit.SECONDS);
-            // Few connections: what a closed loop sends in the stall is one flow each.
+            // With few connections, a closed loop would have only one flow per connection in the stall.
             Result result = run(target.address(), "rate 500\nlength 4s\nconnections 20\narrivals constant\n");
-            // A quarter of the flows were meant to start in the stall of a second: half of those suffer over 0.5 s.
-            double over = result.all.latency.getCountBetweenValues(500_000, 60_000_000) / (double) result.intended;
-            double closed = result.all.service.getCountBetweenValues(500_000, 60_000_000) / (double) result.intended;
-            assertTrue(over > 0.09 && over < 0.3, "share over half a second " + over);
-            assertTrue(closed < over / 5, "a closed loop would have shown " + closed);
+            // A quarter of the flows start in the stall of one second; half of those wait over 0.5 s.
+            double openLoop = result.all.latency.getCountBetweenValues(500_000, 60_000_000) / (double) result.intended;
+            double closedLoop =
+                    result.all.service.getCountBetweenValues(500_000, 60_000_000) / (double) result.intended;
+            assertTrue(openLoop > 0.09 && openLoop < 0.3, "share over half a second " + openLoop);
+            assertTrue(closedLoop < openLoop / 5, "a closed loop would have shown " + closedLoop);
         }
     }
 
     @Test
-    void anAbsentTargetIsRefusedAndTriedAgainAsOneFlow() throws Exception {
+    void refusedFlowsAreRetriedAndCountedOnce() throws Exception {
         int port;
         try (ServerSocket socket = new ServerSocket(0)) {
             port = socket.getLocalPort();
@@ -93,21 +106,23 @@
     }
 
     @Test
-    void overTheBoundsFlowsAreCountedAsNeverSent() throws Exception {
+    void flowsOverTheBoundsAreNeverSent() throws Exception {
         try (Delays target = target(draw -> 800e6)) {
             Result result = run(target.address(), "rate 200\nlength 1s\nin-flight 50\n");
             assertTrue(result.all.count(Result.Outcome.NEVER_SENT) > 0);
             assertEquals(result.intended - result.all.count(Result.Outcome.NEVER_SENT), target.requests());
-            Result few = run(target.address(), "rate 100\nlength 1s\nconnections 1\n");
-            // One connection answers a flow in 0.8 s; the rest waits its turn until it expires.
+            Result oneConnection = run(target.address(), "rate 100\nlength 1s\nconnections 1\n");
+            // One connection serves one flow in 0.8 s; the others wait until they expire.
             assertTrue(
-                    few.all.count(Result.Outcome.NEVER_SENT) + few.all.count(Result.Outcome.TIMED_OUT) > 50,
-                    few.all.outcomes.toString());
+                    oneConnection.all.count(Result.Outcome.NEVER_SENT)
+                                    + oneConnection.all.count(Result.Outcome.TIMED_OUT)
+                            > 50,
+                    oneConnection.all.outcomes.toString());
         }
     }
 
     @Test
-    void whatIsNeverAnsweredTimesOut() throws Exception {
+    void unansweredFlowsTimeOut() throws Exception {
         try (Delays target = target(draw -> 60e9)) {
             Result result = run(target.address(), "rate 50\nlength 500ms\n");
             assertEquals(result.intended, result.all.count(Result.Outcome.TIMED_OUT));
@@ -115,7 +130,7 @@
     }
 
     @Test
-    void moreThanWasPromisedEndsTheConnectionButNotTheNextFlow() throws Exception {
+    void unexpectedDataClosesTheConnectionWithoutHarmToTheNextFlow() throws Exception {
         for (Delays.Manner manner : List.of(Delays.Manner.LONGER, Delays.Manner.DOUBLED)) {
             try (Delays target = target(TWO_MS)) {
                 target.manner(manner);
@@ -124,14 +139,14 @@
                         result.intended,
                         result.all.count(Result.Outcome.IN_BUDGET),
                         manner + " " + result.all.outcomes);
-                assertEquals(result.intended, result.stray, manner.toString());
+                assertEquals(result.intended, result.unexpectedData, manner.toString());
                 assertEquals(result.intended, result.connections, manner.toString());
             }
         }
     }
 
     @Test
-    void anAnswerToAnotherFlowIsNoAnswer() throws Exception {
+    void responseToAnotherFlowIsMalformed() throws Exception {
         try (Delays target = target(TWO_MS)) {
             target.manner(Delays.Manner.ANOTHERS);
             Result result = run(target.address(), "rate 300\nlength 1s\n");
@@ -141,7 +156,7 @@
     }
 
     @Test
-    void anAnswerBeforeTheRequestIsSentWholeCountsAndTheConnectionIsNotUsedAgain() throws Exception {
+    void earlyResponseCountsAndItsConnectionIsNotReused() throws Exception {
         try (Delays target = target(TWO_MS)) {
             target.manner(Delays.Manner.EARLY);
             List<Problem> problems = new ArrayList<>();
@@ -163,25 +178,26 @@
     }
 
     @Test
-    void aTargetThatRefusesForATimeLosesThatTimesFlowsOnly() throws Exception {
+    void restartedTargetLosesOnlyTheFlowsOfItsAbsence() throws Exception {
         Delays first = target(TWO_MS);
         int port = first.address().getPort();
-        java.util.concurrent.CountDownLatch back = new java.util.concurrent.CountDownLatch(1);
-        Thread away = new Thread(() -> {
+        Thread restart = new Thread(() -> {
             try {
                 TimeUnit.MILLISECONDS.sleep(800);
                 first.close();
                 TimeUnit.MILLISECONDS.sleep(700);
-                try (Delays second = new Delays(TWO_MS, RandomSource.XO_RO_SHI_RO_128_PP.create(2), port)) {
-                    back.countDown();
+                Delays second = new Delays(TWO_MS, RandomSource.XO_RO_SHI_RO_128_PP.create(2), port);
+                try {
                     TimeUnit.SECONDS.sleep(4);
+                } finally {
+                    second.close();
                 }
-            } catch (InterruptedException | java.io.IOException ended) {
+            } catch (InterruptedException | IOException ended) {
                 Thread.currentThread().interrupt();
             }
         });
-        away.setDaemon(true);
-        away.start();
+        restart.setDaemon(true);
+        restart.start();
         Result result = run(first.address(), "rate 200\nlength 3s\narrivals constant\n");
         long lost = result.all.count(Result.Outcome.REFUSED) + result.all.count(Result.Outcome.RESET);
         assertTrue(result.all.count(Result.Outcome.REFUSED) > 0, result.all.outcomes.toString());
@@ -189,27 +205,28 @@
                 result.intended,
                 lost + result.all.count(Result.Outcome.IN_BUDGET) + result.all.count(Result.Outcome.LATE),
                 result.all.outcomes.toString());
-        assertEquals(0, result.steps.get(2).count(Result.Outcome.REFUSED), "the third second is whole again");
-        away.interrupt();
+        assertEquals(0, result.intervals.get(2).count(Result.Outcome.REFUSED), "the third second has no refusals");
+        restart.interrupt();
     }
 
     @Test
-    void moreFlowsThanTheSystemHasHandlesForWaitForTheConnectionsThereAre() throws Exception {
+    void flowsWaitForConnectionsWhenDescriptorsRunOut() throws Exception {
         try (Delays target = target(draw -> 100e6)) {
-            java.nio.file.Path scenario = java.nio.file.Files.createTempFile("handles", ".load");
-            java.nio.file.Files.writeString(
+            Path scenario = Files.createTempFile("handles", ".load");
+            Files.writeString(
                     scenario,
                     "target 127.0.0.1:" + target.address().getPort() + "\ngroup g share 1 "
                             + "utility 1 budget 1s expiry 3s path /\nrate 800\nlength 2s\nconnections 5000\n");
-            // What the program itself needs: every jar of a class path takes a handle, and those of tests are many.
-            String needed = java.util.Arrays.stream(
-                            System.getProperty("java.class.path").split(java.io.File.pathSeparator))
+            // Only the jars that the program needs: each jar on the class path takes a descriptor, and the tests have
+            // many.
+            String classPath = Arrays.stream(
+                            System.getProperty("java.class.path").split(File.pathSeparator))
                     .filter(entry -> !entry.endsWith(".jar")
                             || entry.matches(".*(picocli|logback|slf4j-api|logstash|jackson|micrometer"
                                     + "|HdrHistogram|LatencyUtils|commons-|hash4j|freemarker|xchart)[^/]*\\.jar"))
-                    .collect(java.util.stream.Collectors.joining(java.io.File.pathSeparator));
-            String program = java.nio.file.Path.of(System.getProperty("java.home"), "bin", "java")
-                    .toString();
+                    .collect(Collectors.joining(File.pathSeparator));
+            String program =
+                    Path.of(System.getProperty("java.home"), "bin", "java").toString();
             Process process = new ProcessBuilder(
                             "sh",
                             "-c",
@@ -218,41 +235,42 @@
                             program,
                             "-XX:-MaxFDLimit",
                             "-cp",
-                            needed,
+                            classPath,
                             "puffinbarrow.cli.Main",
                             "load",
                             "run",
                             scenario.toString())
                     .redirectErrorStream(true)
                     .start();
-            String said = new String(process.getInputStream().readAllBytes());
-            assertEquals(0, process.waitFor(), said);
-            assertTrue(said.contains("connections at most by the system's handles"), said);
-            assertTrue(target.requests() > 100, said);
-            java.nio.file.Files.delete(scenario);
+            String output = new String(process.getInputStream().readAllBytes());
+            assertEquals(0, process.waitFor(), output);
+            assertTrue(output.contains("connections at most by the system's file descriptors"), output);
+            assertTrue(target.requests() > 100, output);
+            Files.delete(scenario);
         }
     }
 
     @Test
-    void severalSendersShareFlowsBoundsAndOneResult() throws Exception {
+    void sendersShareFlowsBoundsAndResult() throws Exception {
         try (Delays target = target(TWO_MS)) {
             Result one = run(target.address(), "rate 600\nlength 2s\nseed 5\n");
             Result three = run(target.address(), "rate 600\nlength 2s\nseed 5\nsenders 3\n");
             assertEquals(one.intended, three.intended);
-            assertEquals(one.steps.get(0).intended, three.steps.get(0).intended);
+            assertEquals(one.intervals.get(0).intended, three.intervals.get(0).intended);
             assertEquals(
                     three.intended, three.all.count(Result.Outcome.IN_BUDGET) + three.all.count(Result.Outcome.LATE));
         }
         try (Delays target = target(draw -> 800e6)) {
-            Result bound = run(target.address(), "rate 200\nlength 1s\nin-flight 30\nsenders 3\n");
-            assertEquals(bound.all.count(Result.Outcome.NEVER_SENT), bound.unsent.get(Result.Unsent.IN_FLIGHT_BOUND));
-            assertTrue(bound.all.count(Result.Outcome.NEVER_SENT) > 0);
+            Result bounded = run(target.address(), "rate 200\nlength 1s\nin-flight 30\nsenders 3\n");
+            assertEquals(
+                    bounded.all.count(Result.Outcome.NEVER_SENT),
+                    bounded.neverSent.get(Result.NeverSentReason.IN_FLIGHT_BOUND));
+            assertTrue(bounded.all.count(Result.Outcome.NEVER_SENT) > 0);
         }
     }
 
     @Test
-    void aRunLeavesAFolderThatOthersCanRead(@org.junit.jupiter.api.io.TempDir java.nio.file.Path folder)
-            throws Exception {
+    void reportFolderIsReadableByOtherTools(@TempDir Path folder) throws Exception {
         try (Delays target = target(TWO_MS)) {
             Scenario scenario = scenario(target.address(), "rate 200\nlength 3s\n");
             Result result;
@@ -260,18 +278,16 @@
                 result = engine.run(null);
             }
             Report.write(folder, "the settings", scenario, result);
-            String page = java.nio.file.Files.readString(folder.resolve("page.html"));
+            String page = Files.readString(folder.resolve("page.html"));
             assertEquals(5, page.split("data:image/png;base64,", -1).length - 1);
             assertTrue(page.contains("<td>" + result.intended + "</td>"));
-            var reader = new org.HdrHistogram.HistogramLogReader(
-                    folder.resolve("latency.hlog").toFile());
+            var reader = new HistogramLogReader(folder.resolve("latency.hlog").toFile());
             long count = 0;
             while (reader.hasNext()) {
-                count += ((org.HdrHistogram.Histogram) reader.nextIntervalHistogram()).getTotalCount();
+                count += ((Histogram) reader.nextIntervalHistogram()).getTotalCount();
             }
             assertEquals(result.all.latency.getTotalCount(), count);
-            assertTrue(java.nio.file.Files.readString(folder.resolve("summary.json"))
-                    .contains("\"intended\" : " + result.intended));
+            assertTrue(Files.readString(folder.resolve("summary.json")).contains("\"intended\" : " + result.intended));
         }
     }
 }
--- a/src/test/java/puffinbarrow/load/TraceTest.java
+++ b/src/test/java/puffinbarrow/load/TraceTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import puffinbarrow.config.Problem;
 
-/** Recorded traces in all their forms: order, scale, what is malformed, and our own record sent again. */
+/** Tests recorded traces in all formats: order, scaling, malformed lines, and the load generator's own recordings. */
 class TraceTest {
     private static final String GROUPS = "group basket share 1 utility 1 budget 1s expiry 5s path /b match /basket\n"
             + "group rest share 1 utility 1 budget 1s expiry 5s path /\n";
@@ -55,21 +55,21 @@
     }
 
     @Test
-    void aLogWrittenInTheOrderOfAnswersIsSentInTheOrderOfStarts() throws IOException {
+    void entriesAreSentInOrderOfTheirStarts() throws IOException {
         Path log =
                 file("access.log", clf("00", "/basket/1") + clf("02", "/x") + clf("00", "/basket/2") + clf("01", "/y"));
         List<Flow> flows = flows(log, "");
-        // Two of one second fill it evenly.
+        // The two entries of one second are spread evenly over it.
         assertEquals(
                 List.of(250L, 750L, 1500L, 2500L).stream().map(ms -> ms - 250).toList(), starts(flows));
         assertEquals(
                 List.of("/basket/1", "/basket/2", "/y", "/x"),
-                flows.stream().map(f -> f.ask().path()).toList());
+                flows.stream().map(f -> f.request().path()).toList());
         assertEquals(List.of(0, 0, 1, 1), flows.stream().map(Flow::group).toList());
     }
 
     @Test
-    void malformedLinesAreCountedAndShownAndStopItOnlyOverTheirShare() throws IOException {
+    void malformedLinesAreShownAndStopReadingOverTheirShare() throws IOException {
         StringBuilder text = new StringBuilder();
         for (int i = 0; i < 300; i++) {
             text.append(i % 100 == 7 ? "GET nonsense\n" : clf(String.format("%02d", i / 10), "/p"));
@@ -84,25 +84,25 @@
                 flows.shown().get(0).toString().startsWith(log + ":8: not a line of the Common Log Format, expected"),
                 flows.shown().toString());
         assertTrue(flows.shown().get(3).toString().contains("over 65536 bytes"));
-        Trace.TooManyMalformed stopped = assertThrows(Trace.TooManyMalformed.class, () -> flows(log, ""));
-        assertTrue(stopped.getMessage().contains("expected 1.00% at most"), stopped.getMessage());
+        Trace.TooManyMalformed thrown = assertThrows(Trace.TooManyMalformed.class, () -> flows(log, ""));
+        assertTrue(thrown.getMessage().contains("expected 1.00% at most"), thrown.getMessage());
     }
 
     @Test
-    void columnsHaveTheNamesAndUnitsThatAreSaid() throws IOException {
+    void columnNamesAndUnitsAreConfigurable() throws IOException {
         Path csv = file("t.csv", "started,verb,url,who\n1500,GET,/basket/7,42\n1000,POST,\"/a,b\",shop\n2000,GET\n");
         List<Flow> flows = flows(
                 csv,
                 "trace-malformed 50%\ncolumn time started ms\ncolumn method verb\ncolumn path url\n"
                         + "column key who\n");
         assertEquals(List.of(0L, 500L), starts(flows));
-        assertEquals(new Flow.Ask("POST", "/a,b", 0, "shop"), flows.get(0).ask());
+        assertEquals(new Flow.Request("POST", "/a,b", 0, "shop"), flows.get(0).request());
         assertEquals(42, flows.get(1).key());
         assertThrows(IOException.class, () -> flows(csv, ""), "no column of that name");
     }
 
     @Test
-    void jsonLinesAndHarTellTheSameRequests() throws IOException {
+    void jsonLinesAndHarGiveTheSameRequests() throws IOException {
         Path json = file(
                 "t.json",
                 "{\"time\":\"2026-04-06T08:00:00.250Z\",\"method\":\"GET\",\"path\":\"/basket\",\"tags\":[1]}\n"
@@ -118,14 +118,14 @@
                         + ",{\"startedDateTime\":\"2026-04-06T08:00:00Z\"}]}}");
         List<Flow> lines = flows(json, "");
         assertEquals(List.of(0L, 750L), starts(lines));
-        assertEquals(10, lines.get(1).ask().bodyBytes());
+        assertEquals(10, lines.get(1).request().bodyBytes());
         assertEquals(lines, flows(har, "trace-malformed 50%\n"));
-        Path broken = file("cut.har", Files.readString(har).substring(0, 260));
-        assertThrows(Trace.TooManyMalformed.class, () -> flows(broken, ""));
+        Path truncated = file("cut.har", Files.readString(har).substring(0, 260));
+        assertThrows(Trace.TooManyMalformed.class, () -> flows(truncated, ""));
     }
 
     @Test
-    void itIsScaledCutLoopedAndThinned() throws IOException {
+    void traceIsScaledCutLoopedAndThinned() throws IOException {
         StringBuilder text = new StringBuilder("time,path\n");
         for (int i = 0; i < 1000; i++) {
             text.append(i / 100.0).append(",/p\n");
@@ -147,14 +147,14 @@
     }
 
     @Test
-    void whatARunSentIsSentAgainExactly() throws IOException {
-        String drawn =
+    void recordedRunIsSentAgainExactly() throws IOException {
+        String settings =
                 "target 127.0.0.1:1\ntarget 127.0.0.1:2 weight 3\nrate 400\nlength 3s\nslices 8 uneven 1 to 3 keys 5\n"
                         + "hot 1 keys 30% at 1s for 1s\n";
-        Scenario scenario = scenario(drawn);
-        Path record = folder.resolve("sent.json.gz");
-        List<Flow> first = all(new SentLog(new Arrivals(scenario), scenario, record));
-        List<Flow> again = all(new TraceFlows(scenario(drawn + "trace " + record + "\n")));
+        Scenario scenario = scenario(settings);
+        Path recording = folder.resolve("sent.json.gz");
+        List<Flow> first = all(new SentLog(new Arrivals(scenario), scenario, recording));
+        List<Flow> again = all(new TraceFlows(scenario(settings + "trace " + recording + "\n")));
         assertEquals(first.size(), again.size());
         for (int i = 0; i < first.size(); i++) {
             Flow a = first.get(i);
@@ -163,9 +163,9 @@
                     new Flow(a.number(), a.startNs(), a.group(), a.target(), a.key(), a.workNs(), null),
                     new Flow(b.number(), b.startNs(), b.group(), b.target(), b.key(), b.workNs(), null));
         }
-        Path twice = folder.resolve("again.json");
-        Scenario replay = scenario(drawn + "trace " + record + "\n");
-        all(new SentLog(new TraceFlows(replay), replay, twice));
-        assertEquals(again, all(new TraceFlows(scenario(drawn + "trace " + twice + "\n"))));
+        Path secondRecording = folder.resolve("again.json");
+        Scenario replay = scenario(settings + "trace " + recording + "\n");
+        all(new SentLog(new TraceFlows(replay), replay, secondRecording));
+        assertEquals(again, all(new TraceFlows(scenario(settings + "trace " + secondRecording + "\n"))));
     }
 }
