--- a/src/bench/java/puffinbarrow/bench/Bench.java
+++ b/src/bench/java/puffinbarrow/bench/Bench.java
@@ -3,8 +3,12 @@
 import org.openjdk.jmh.profile.GCProfiler;
 import org.openjdk.jmh.runner.Runner;
 import org.openjdk.jmh.runner.options.OptionsBuilder;
+import puffinbarrow.memory.MemoryBench;
 
-/** Runs the benchmarks named: frames and turn by JMH, spread and streams over sockets, memory on a disk. Ratios, not wall times. */
+/**
+ * Runs the benchmarks named on the command line: frames and turn with JMH, spread and streams over sockets, memory on
+ * disk. Compare ratios of their results, as wall times depend on the machine.
+ */
 public final class Bench {
     private Bench() {}
 
@@ -21,9 +25,9 @@
                         .run();
                 case "spread" -> SocketBench.spread(100, 300);
                 case "streams" -> SocketBench.streams(1000);
-                case "memory" -> puffinbarrow.memory.MemoryBench.main(new String[0]);
+                case "memory" -> MemoryBench.main(new String[0]);
                 default -> throw new IllegalArgumentException(
-                        "no benchmark " + name + ", expected frames, turn, spread, streams or memory");
+                        "unknown benchmark " + name + ", expected frames, turn, spread, streams or memory");
             }
         }
     }
--- a/src/bench/java/puffinbarrow/bench/FrameBench.java
+++ b/src/bench/java/puffinbarrow/bench/FrameBench.java
@@ -26,7 +26,10 @@
 import puffinbarrow.proto.FrameReader;
 import puffinbarrow.proto.FrameWriter;
 
-/** Orders of 300 lines, written and read: our frames (checksum included) against Jackson CBOR (without one). */
+/**
+ * Measures writing and reading a frame of 300 orders: the project's frames, with checksum, against Jackson CBOR without
+ * one.
+ */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -35,12 +38,12 @@
 @Fork(1)
 public class FrameBench {
     private final FrameWriter writer = new FrameWriter();
-    private final CBORFactory cbor = new CBORFactory();
+    private final CBORFactory cborFactory = new CBORFactory();
     private final ByteArrayOutputStream out = new ByteArrayOutputStream(1 << 16);
     private Frame.Orders orders;
     private ByteBuffer frame;
-    private byte[] packed;
-    private Frame last;
+    private byte[] encoded;
+    private Frame lastFrame;
     private FrameReader reader;
     private FrameReader lineReader;
 
@@ -52,24 +55,25 @@
         }
         orders = new Frame.Orders(17, 1_234_567_890_123L, 0, lines);
         frame = writer.bytes(orders);
-        packed = packed();
-        reader = new FrameReader(1 << 20, f -> last = f);
-        lineReader = new FrameReader(1 << 20, f -> last = f);
+        encoded = encodeCbor();
+        reader = new FrameReader(1 << 20, f -> lastFrame = f);
+        lineReader = new FrameReader(1 << 20, f -> lastFrame = f);
     }
 
-    private byte[] packed() throws IOException {
+    /** Encodes the orders as CBOR. */
+    private byte[] encodeCbor() throws IOException {
         out.reset();
-        try (JsonGenerator to = cbor.createGenerator(out)) {
-            to.writeStartArray();
-            to.writeNumber(orders.turn());
-            to.writeNumber(orders.orderedAtNs());
+        try (JsonGenerator generator = cborFactory.createGenerator(out)) {
+            generator.writeStartArray();
+            generator.writeNumber(orders.turn());
+            generator.writeNumber(orders.orderedAtNs());
             for (Order order : orders.orders()) {
                 Order.SetLine line = (Order.SetLine) order;
-                to.writeNumber(line.table());
-                to.writeString(line.server());
-                to.writeNumber(line.weight());
+                generator.writeNumber(line.table());
+                generator.writeString(line.server());
+                generator.writeNumber(line.weight());
             }
-            to.writeEndArray();
+            generator.writeEndArray();
         }
         return out.toByteArray();
     }
@@ -81,28 +85,28 @@
 
     @Benchmark
     public Object writeCbor() throws IOException {
-        return packed();
+        return encodeCbor();
     }
 
     @Benchmark
     public Object readOurs() {
         reader.feed(frame.duplicate());
-        return last;
+        return lastFrame;
     }
 
     @Benchmark
-    public void readOursWithoutRecords(Blackhole hole) {
+    public void readOursWithoutRecords(Blackhole blackhole) {
         lineReader.lines(frame, new FrameReader.Lines() {
             @Override
             public void line(int table, String server, double weight) {
-                hole.consume(table);
-                hole.consume(server);
-                hole.consume(weight);
+                blackhole.consume(table);
+                blackhole.consume(server);
+                blackhole.consume(weight);
             }
 
             @Override
             public void other(Order order) {
-                hole.consume(order);
+                blackhole.consume(order);
             }
         });
     }
@@ -110,12 +114,12 @@
     @Benchmark
     public Object readCbor() throws IOException {
         List<Order> lines = new ArrayList<>(300);
-        try (JsonParser in = cbor.createParser(packed)) {
+        try (JsonParser in = cborFactory.createParser(encoded)) {
             in.nextToken();
             in.nextToken();
             long turn = in.getLongValue();
             in.nextToken();
-            long at = in.getLongValue();
+            long orderedAtNs = in.getLongValue();
             while (in.nextToken() != JsonToken.END_ARRAY) {
                 int table = in.getIntValue();
                 in.nextToken();
@@ -123,7 +127,7 @@
                 in.nextToken();
                 lines.add(new Order.SetLine(table, server, in.getDoubleValue()));
             }
-            return new Frame.Orders(turn, at, 0, lines);
+            return new Frame.Orders(turn, orderedAtNs, 0, lines);
         }
     }
 }
--- a/src/bench/java/puffinbarrow/bench/TurnBench.java
+++ b/src/bench/java/puffinbarrow/bench/TurnBench.java
@@ -19,7 +19,10 @@
 import puffinbarrow.control.Event;
 import puffinbarrow.control.Settings;
 
-/** A tick of the decisions, quiet and with a round of sums, by the size of the fleet (slices are four a server). */
+/**
+ * Measures one turn of the decision logic, without news and with a report of sums from all servers, by the number of
+ * servers; there are four slices per server.
+ */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.MICROSECONDS)
@@ -33,7 +36,7 @@
     private int servers;
 
     private Logic logic;
-    private long now;
+    private long nowNs;
 
     @Setup
     public void setUp() {
@@ -59,7 +62,7 @@
                 false,
                 0);
         logic = new Logic(settings, 7);
-        now = 100 * SECOND;
+        nowNs = 100 * SECOND;
         List<Event> events = new ArrayList<>();
         List<Event.Entry> entries = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
@@ -73,18 +76,18 @@
         for (int i = 0; i < 100; i++) {
             events.add(new Event.ProxyJoined(i, true, 5, i % 3));
         }
-        logic.handle(now, events);
+        logic.handle(nowNs, events);
     }
 
     @Benchmark
     public Object quiet() {
-        now += SECOND / 4;
-        return logic.handle(now, List.of(new Event.Timer(0)));
+        nowNs += SECOND / 4;
+        return logic.handle(nowNs, List.of(new Event.Timer(0)));
     }
 
     @Benchmark
     public Object withARoundOfSums() {
-        now += SECOND;
+        nowNs += SECOND;
         List<Event> events = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
             events.add(new Event.ServerSums(
@@ -94,6 +97,6 @@
             events.add(new Event.SliceDemand(i, i % 2, 5, 0, SECOND));
         }
         events.add(new Event.Timer(0));
-        return logic.handle(now, events);
+        return logic.handle(nowNs, events);
     }
 }
