--- a/src/test/java/puffinbarrow/platform/RaceTest.java
+++ b/src/test/java/puffinbarrow/platform/RaceTest.java
@@ -35,6 +35,7 @@
 
     /** Makes the controller issue the orders: any relay event causes a batch, which returns the next orders. */
     private void order(Order... orders) {
+        await(() -> relay.streamCount() > 0);
         queuedOrders.add(List.of(orders));
         sendEvents(relay.eventStreams.get(relay.eventStreams.size() - 1), "attach id=7&site=a&rps=1&new=1");
     }
--- a/src/test/java/puffinbarrow/platform/ServiceFixture.java
+++ b/src/test/java/puffinbarrow/platform/ServiceFixture.java
@@ -213,8 +213,9 @@
                     if (controllerFails) {
                         throw new IllegalStateException("simulated failure");
                     }
-                    controllerEvents.addAll(events);
+                    // Before the events are recorded: a test that has seen one queues orders for a later batch.
                     List<Order> next = queuedOrders.poll();
+                    controllerEvents.addAll(events);
                     return next == null ? List.of() : next;
                 },
                 counters);
