--- a/src/test/java/puffinbarrow/platform/ServiceFixture.java
+++ b/src/test/java/puffinbarrow/platform/ServiceFixture.java
@@ -73,14 +73,14 @@
 
                     private void request(HttpParser.Message message) {
                         if (message.second().equals("/api/stream")) {
+                            // In one step with the header: a test that has awaited the stream sends after it.
                             synchronized (requests) {
                                 eventStreams.add(link);
+                                if (!streamsSilent) {
+                                    link.send(ascii("HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n"
+                                            + "transfer-encoding: chunked\r\n\r\n" + chunk(snapshot + ":\n\n")));
+                                }
                             }
-                            if (streamsSilent) {
-                                return;
-                            }
-                            link.send(ascii("HTTP/1.1 200 OK\r\ncontent-type: text/event-stream\r\n"
-                                    + "transfer-encoding: chunked\r\n\r\n" + chunk(snapshot + ":\n\n")));
                             return;
                         }
                         synchronized (requests) {
