--- a/src/test/java/puffinbarrow/platform/RaceTest.java
+++ b/src/test/java/puffinbarrow/platform/RaceTest.java
@@ -392,6 +392,8 @@
     void answersHeartbeatsOnlyAfterTheFirstDecision() throws Exception {
         start(List.of(new Order.Log("first decision")));
         assertTrue(connect(message("hb")).getInputStream().read() >= 0);
+        // The service accepts clients before it logs that it is ready.
+        await(() -> logLines().size() > 1);
         List<String> lines = logLines().stream()
                 .map(line -> line.substring(line.indexOf(' ') + 1))
                 .toList();
