--- a/src/main/java/puffinbarrow/cli/BenchCommands.java
+++ b/src/main/java/puffinbarrow/cli/BenchCommands.java
@@ -7,10 +7,13 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
+import java.util.Map;
+import java.util.TreeMap;
 import java.util.concurrent.Callable;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import java.util.concurrent.Future;
+import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
@@ -18,23 +21,23 @@
 import puffinbarrow.audit.Audit;
 import puffinbarrow.config.Problem;
 import puffinbarrow.day.Day;
-import puffinbarrow.day.Page;
+import puffinbarrow.day.DayReport;
 import puffinbarrow.day.Script;
 import puffinbarrow.memory.Kills;
 
-/** Long runs that prove something, kept out of the tests. */
+/** Benches and long-running checks that are too slow for the tests. */
 @Command(
         name = "bench",
         mixinStandardHelpOptions = true,
-        description = "Long runs that prove something.",
+        description = "Benches and long-running checks.",
         subcommands = {
             BenchCommands.MemoryKill.class,
             BenchCommands.MemoryDays.class,
-            LoadBench.class,
-            LoadMeasures.Rate.class,
-            LoadMeasures.Memory.class,
-            LoadMeasures.LongTrace.class,
-            LoadMeasures.Target.class,
+            LoadAccuracyBench.class,
+            LoadBenches.Rate.class,
+            LoadBenches.Memory.class,
+            LoadBenches.LongTrace.class,
+            LoadBenches.Target.class,
             LeaseBench.class,
             EmulatorBench.class,
             BenchCommands.MemoryWriter.class
@@ -42,11 +45,11 @@
 final class BenchCommands implements Callable<Integer> {
     @Override
     public Integer call() {
-        new picocli.CommandLine(this).usage(System.err);
+        new CommandLine(this).usage(System.err);
         return Commands.USAGE;
     }
 
-    /** The command line of this program, for a child process of its own. */
+    /** Returns the command line that runs this program in a child process. */
     static List<String> self(String... arguments) {
         List<String> command = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -62,12 +65,12 @@
     @Command(
             name = "memory-kill",
             mixinStandardHelpOptions = true,
-            description = "Kills a writing process again and again; every start must find a whole state.")
+            description = "Kills a writing process repeatedly; every start must find a complete state.")
     static final class MemoryKill implements Callable<Integer> {
-        @Option(names = "--rounds", paramLabel = "N", description = "how often (${DEFAULT-VALUE})")
+        @Option(names = "--rounds", paramLabel = "N", description = "number of kills (${DEFAULT-VALUE})")
         private int rounds = 1000;
 
-        @Option(names = "--seed", paramLabel = "N", description = "when to kill (${DEFAULT-VALUE})")
+        @Option(names = "--seed", paramLabel = "N", description = "seed of the times of kills (${DEFAULT-VALUE})")
         private long seed = 1;
 
         @Override
@@ -79,14 +82,14 @@
                     + " starts found a whole state, " + outcome.ignored() + " ignored what was there, "
                     + outcome.wrong() + " wrong");
             outcome.evidence().stream().limit(10).forEach(System.out::println);
-            return outcome.wrong() == 0 ? Commands.FINE : Commands.RULE;
+            return outcome.wrong() == 0 ? Commands.OK : Commands.RULE_BROKEN;
         }
     }
 
     @Command(
             name = "memory-days",
             mixinStandardHelpOptions = true,
-            description = "Days with a restart in the middle of flapping and drains, with memory against without.")
+            description = "Compares days with and without memory, with a restart during flapping and drains.")
     static final class MemoryDays implements Callable<Integer> {
         @Option(names = "--seeds", paramLabel = "N", description = "days of each kind (${DEFAULT-VALUE})")
         private int seeds = 10;
@@ -106,47 +109,61 @@
                 takeover 60s
                 at 10s coordinator 0 killed for 1s
                 """;
-        /** Memory is right: what flapped and drained goes on. Wrong: most of the fleet is replaced meanwhile. */
-        private static final java.util.Map<String, String> KINDS = new java.util.TreeMap<>(java.util.Map.of(
+        /**
+         * Faults of each kind of day. {@code right}: what is remembered still holds after the restart, as the same
+         * backends flap and drain. {@code wrong}: half of the fleet is replaced during the restart.
+         */
+        private static final Map<String, String> KINDS = new TreeMap<>(Map.of(
                 "right", "at 1s backends 3 flap 900ms every 3s for 18s\nat 8s backends 2 preempt for 6s\n",
                 "wrong", "at 1s backends 3 flap 900ms every 3s for 8s\nat 9500ms backends 50% preempt for 1s\n"));
 
+        /**
+         * The result of a day.
+         *
+         * @param after service in the 10 s after the restart
+         * @param struck attempts at flapping or drained backends in that time
+         */
         private record Run(double service, double after, long struck, List<Audit.Finding> broken) {}
 
         @Override
         public Integer call() throws Exception {
-            Logs.set(false, "off");
-            boolean sound = true;
+            LogSetup.configure(false, "off");
+            boolean allKept = true;
             ExecutorService runs = Executors.newFixedThreadPool(atOnce);
             for (var kind : KINDS.entrySet()) {
                 List<Future<Run[]>> pairs = new ArrayList<>();
                 for (int i = 0; i < seeds; i++) {
                     long seed = 100 + i;
-                    pairs.add(runs.submit(
-                            () -> new Run[] {day(kind.getValue(), seed, false), day(kind.getValue(), seed, true)}));
+                    pairs.add(runs.submit(() ->
+                            new Run[] {playDay(kind.getValue(), seed, false), playDay(kind.getValue(), seed, true)}));
                 }
-                List<Double> gain = new ArrayList<>();
+                List<Double> gains = new ArrayList<>();
                 double[] sums = new double[6];
                 for (Future<Run[]> pair : pairs) {
                     Run[] both = pair.get();
-                    gain.add(both[1].after() - both[0].after());
+                    gains.add(both[1].after() - both[0].after());
                     for (int k = 0; k < 2; k++) {
                         sums[3 * k] += both[k].service();
                         sums[3 * k + 1] += both[k].after();
                         sums[3 * k + 2] += both[k].struck();
-                        sound &= both[k].broken().isEmpty();
-                        String arm = kind.getKey() + (k == 0 ? " without" : " with");
-                        both[k].broken().forEach(f -> System.out.println("  " + arm + ": " + f));
+                        allKept &= both[k].broken().isEmpty();
+                        String variant = kind.getKey() + (k == 0 ? " without" : " with");
+                        both[k].broken().forEach(f -> System.out.println("  " + variant + ": " + f));
                     }
                 }
-                double mean =
-                        gain.stream().mapToDouble(Double::doubleValue).average().orElse(0);
-                double error = Math.sqrt(
-                        gain.stream().mapToDouble(g -> (g - mean) * (g - mean)).sum() / Math.max(1, seeds - 1) / seeds);
+                double mean = gains.stream()
+                        .mapToDouble(Double::doubleValue)
+                        .average()
+                        .orElse(0);
+                double standardError = Math.sqrt(
+                        gains.stream().mapToDouble(g -> (g - mean) * (g - mean)).sum()
+                                / Math.max(1, seeds - 1)
+                                / seeds);
                 System.out.printf(
                         Locale.ROOT,
                         "memory %s, %d seeds: service %.4f without, %.4f with; in the 10 s after the "
-                                + "restart %.4f, %.4f (difference %+.4f, standard error %.4f); sends to flapping or drained "
+                                + "restart %.4f, %.4f (difference %+.4f, standard error %.4f); sends to"
+                                + " flapping or drained "
                                 + "servers then %.1f, %.1f%n",
                         kind.getKey(),
                         seeds,
@@ -155,16 +172,17 @@
                         sums[1] / seeds,
                         sums[4] / seeds,
                         mean,
-                        error,
+                        standardError,
                         sums[2] / seeds,
                         sums[5] / seeds);
             }
             runs.shutdown();
-            System.out.println(sound ? "all rules kept" : "A RULE BROKE");
-            return sound ? Commands.FINE : Commands.RULE;
+            System.out.println(allKept ? "all rules kept" : "A RULE BROKE");
+            return allKept ? Commands.OK : Commands.RULE_BROKEN;
         }
 
-        private static Run day(String troubles, long seed, boolean memory) throws Exception {
+        /** Plays one day. */
+        private static Run playDay(String troubles, long seed, boolean memory) throws Exception {
             List<Problem> problems = new ArrayList<>();
             Script script = Script.parse("memory.day", FLEET + troubles + (memory ? "memory on\n" : ""), problems);
             if (!problems.isEmpty()) {
@@ -172,13 +190,15 @@
             }
             script.seed = seed;
             try (Day day = new Day(
-                    script, new PrintStream(OutputStream.nullOutputStream()), new Day.Bend(Logic::new, List.of()))) {
-                Page page = day.run();
+                    script,
+                    new PrintStream(OutputStream.nullOutputStream()),
+                    new Day.Overrides(Logic::new, List.of()))) {
+                DayReport report = day.run();
                 return new Run(
-                        page.service(),
-                        page.service(11_000_000_000L, 21_000_000_000L),
-                        page.sentToStruck(),
-                        page.verdict().findings());
+                        report.service(),
+                        report.service(11_000_000_000L, 21_000_000_000L),
+                        report.attemptsAtUnstable(),
+                        report.verdict().findings());
             }
         }
     }
@@ -191,7 +211,7 @@
         @Override
         public Integer call() throws IOException {
             Kills.write(folder, System.out);
-            return Commands.FINE;
+            return Commands.OK;
         }
     }
 }
--- a/src/main/java/puffinbarrow/cli/ChaosCommands.java
+++ b/src/main/java/puffinbarrow/cli/ChaosCommands.java
@@ -7,47 +7,48 @@
 import java.util.concurrent.Callable;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
+import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import puffinbarrow.Logic;
 import puffinbarrow.config.Problem;
 import puffinbarrow.day.Day;
-import puffinbarrow.day.Page;
+import puffinbarrow.day.DayReport;
 import puffinbarrow.day.Script;
 
-/** Drills that strike at random. */
+/** Drills that inject faults at random times. */
 @Command(
         name = "chaos",
         mixinStandardHelpOptions = true,
-        description = "Drills that strike at random, on loopback.",
+        description = "Drills with faults at random times, on loopback.",
         subcommands = ChaosCommands.Takeover.class)
 final class ChaosCommands implements Callable<Integer> {
     @Override
     public Integer call() {
-        new picocli.CommandLine(this).usage(System.err);
+        new CommandLine(this).usage(System.err);
         return Commands.USAGE;
     }
 
     @Command(
             name = "takeover",
             mixinStandardHelpOptions = true,
-            description =
-                    "Real coordinator processes are killed, stopped"
-                            + " and cut off at random; exit 3 if the audit finds two voices, an old order taken or another rule broken.")
+            description = "Kills, suspends and cuts off real coordinator processes"
+                    + " at random; exit 3 if the audit finds two coordinators in charge of a slice, an"
+                    + " outdated order applied or another broken rule.")
     static final class Takeover implements Callable<Integer> {
-        @Option(names = "--minutes", paramLabel = "N", description = "(${DEFAULT-VALUE})")
+        @Option(names = "--minutes", paramLabel = "N", description = "length of the drill (${DEFAULT-VALUE})")
         private double minutes = 5;
 
-        @Option(names = "--seed", paramLabel = "N", description = "(${DEFAULT-VALUE})")
+        @Option(names = "--seed", paramLabel = "N", description = "seed of the drill (${DEFAULT-VALUE})")
         private long seed = 1;
 
-        @Option(names = "--coordinators", paramLabel = "N", description = "(${DEFAULT-VALUE})")
+        @Option(names = "--coordinators", paramLabel = "N", description = "how many (${DEFAULT-VALUE})")
         private int coordinators = 3;
 
-        @Option(names = "--proxies", paramLabel = "N", description = "(${DEFAULT-VALUE})")
+        @Option(names = "--proxies", paramLabel = "N", description = "how many (${DEFAULT-VALUE})")
         private int proxies = 100;
 
-        @Option(names = "--slices", paramLabel = "N", description = "(${DEFAULT-VALUE})")
+        @Option(names = "--slices", paramLabel = "N", description = "how many (${DEFAULT-VALUE})")
         private int slices = 300;
 
         @Option(names = "--rate", paramLabel = "N", description = "flows a second (${DEFAULT-VALUE})")
@@ -63,22 +64,24 @@
                 problems.forEach(System.err::println);
                 return Commands.USAGE;
             }
-            Logs.set(false, "error");
-            try (Day day = new Day(script, System.out, new Day.Bend(Logic::new, List.of()), BenchCommands.self())) {
-                Page page = day.run();
-                System.out.print(page.text());
-                return !page.verdict().kept() ? Commands.RULE : page.sound() ? Commands.FINE : Commands.FAILED;
+            LogSetup.configure(false, "error");
+            try (Day day =
+                    new Day(script, System.out, new Day.Overrides(Logic::new, List.of()), BenchCommands.self())) {
+                DayReport report = day.run();
+                System.out.print(report.text());
+                return !report.verdict().kept() ? Commands.RULE_BROKEN : report.sound() ? Commands.OK : Commands.FAILED;
             }
         }
     }
 
-    /** The drill as a script: something happens to coordinators or store every few seconds, to backends now and then. */
+    /** Returns a drill as a script: a fault of a coordinator or the store every few seconds, of backends less often. */
     static String script(long seed, double seconds, int coordinators, int proxies, int slices, double rate) {
-        UniformRandomProvider chance = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
+        UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         StringBuilder text = new StringBuilder(String.format(
                 Locale.ROOT,
                 "coordinators %d%nproxies %d%nbackends 40 cores 4%n"
-                        + "slices %d%nrate %.0f%nlength %.0fs%nseed %d%nset pace 30000%nset queue 60000%nset messages 200 per 10s%n"
+                        + "slices %d%nrate %.0f%nlength %.0fs%nseed %d%n"
+                        + "set pace 30000%nset queue 60000%nset messages 200 per 10s%n"
                         + "set intake 3000%n",
                 coordinators,
                 proxies,
@@ -86,12 +89,12 @@
                 rate,
                 seconds,
                 seed));
-        int turn = 0;
-        for (double at = 4; at < seconds - 8; at += 2.5 + 5 * chance.nextDouble()) {
-            int number = chance.nextInt(coordinators);
-            double lasts = 0.5 + 6 * chance.nextDouble() * chance.nextDouble();
-            String what =
-                    switch (turn++ == 0 ? 0 : chance.nextInt(9)) {
+        int faults = 0;
+        for (double at = 4; at < seconds - 8; at += 2.5 + 5 * random.nextDouble()) {
+            int number = random.nextInt(coordinators);
+            double lengthSeconds = 0.5 + 6 * random.nextDouble() * random.nextDouble();
+            String fault =
+                    switch (faults++ == 0 ? 0 : random.nextInt(9)) {
                         case 0, 1 -> "coordinator " + number + " killed";
                         case 2 -> "coordinator " + number + " frozen";
                         case 3 -> "cut coordinator " + number + " from store";
@@ -101,14 +104,14 @@
                         case 7 -> "store slow 300ms";
                         default -> "store loses 50%";
                     };
-            lasts = what.endsWith("leaves") ? lasts + 3 : lasts;
-            text.append(String.format(Locale.ROOT, "at %.2fs %s for %.2fs%n", at, what, lasts));
-            if (chance.nextInt(4) == 0) {
+            lengthSeconds = fault.endsWith("leaves") ? lengthSeconds + 3 : lengthSeconds;
+            text.append(String.format(Locale.ROOT, "at %.2fs %s for %.2fs%n", at, fault, lengthSeconds));
+            if (random.nextInt(4) == 0) {
                 text.append(String.format(
                         Locale.ROOT,
                         "at %.2fs %s%n",
                         at + 1,
-                        chance.nextBoolean() ? "backends 2 die for 3s" : "release 10% batch 5% drain 3s"));
+                        random.nextBoolean() ? "backends 2 die for 3s" : "release 10% batch 5% drain 3s"));
             }
         }
         return text.toString();
--- a/src/main/java/puffinbarrow/cli/Commands.java
+++ b/src/main/java/puffinbarrow/cli/Commands.java
@@ -21,11 +21,14 @@
 import puffinbarrow.coordinator.Coordinator;
 import puffinbarrow.coordinator.Ports;
 import puffinbarrow.day.Day;
-import puffinbarrow.day.Page;
+import puffinbarrow.day.DayReport;
 import puffinbarrow.day.Script;
 import puffinbarrow.replay.Replay;
 
-/** The sub-commands. Exit codes: 0 fine, 1 failed, 2 usage or settings, 3 a rule broke. */
+/**
+ * The sub-commands. Each runs on the main thread and returns its exit code: {@link #OK}, {@link #FAILED},
+ * {@link #USAGE} or {@link #RULE_BROKEN}.
+ */
 @Command(
         name = "puffinbarrow",
         mixinStandardHelpOptions = true,
@@ -34,25 +37,36 @@
         exitCodeListHeading = "%nExit codes:%n",
         exitCodeList = {"0:fine", "1:failed", "2:usage or settings", "3:a rule broke"},
         subcommands = {
-            Commands.Run.class,
-            Commands.Check.class,
+            Commands.RunCoordinator.class,
+            Commands.CheckConfig.class,
             Commands.Status.class,
             Commands.PlayDay.class,
-            Commands.PlayTap.class,
+            Commands.ReplayRecording.class,
             MemoryCommands.class,
             BenchCommands.class,
             LoadCommands.class,
             ChaosCommands.class,
             EmulateCommands.class,
-            Commands.WireHelp.class
+            Commands.WireHostUsage.class
         })
 public final class Commands {
-    static final int FINE = 0, FAILED = 1, USAGE = 2, RULE = 3;
+    /** Exit code: done. */
+    static final int OK = 0;
+
+    /** Exit code: the command ran and failed. */
+    static final int FAILED = 1;
+
+    /** Exit code: wrong arguments or settings. */
+    static final int USAGE = 2;
+
+    /** Exit code: the audit found a broken rule. */
+    static final int RULE_BROKEN = 3;
 
     private Commands() {}
 
+    /** Runs the sub-command that the arguments name and returns its exit code. */
     static int run(String[] args) {
-        // The logging library's own word on its start is for its developers.
+        // Silences the informational messages that SLF4J prints at its start.
         System.setProperty("slf4j.internal.verbosity", "WARN");
         CommandLine line = new CommandLine(new Commands());
         line.setExecutionExceptionHandler((failure, command, parsed) -> {
@@ -66,56 +80,57 @@
         return line.execute(args);
     }
 
-    /** Prints every mistake; whether there was none. */
-    private static boolean sound(List<Problem> problems) {
+    /** Prints all problems to standard error and returns whether there are none. */
+    private static boolean valid(List<Problem> problems) {
         problems.forEach(p -> System.err.println(p));
         return problems.isEmpty();
     }
 
+    /** {@code coordinator}: runs a coordinator until a signal ends it. */
     @Command(
             name = "coordinator",
             mixinStandardHelpOptions = true,
-            description = "Runs a coordinator until it is told to end (TERM, INT); HUP reads its settings again.")
-    static final class Run implements Callable<Integer> {
+            description = "Runs a coordinator until TERM or INT; HUP reloads its settings.")
+    static final class RunCoordinator implements Callable<Integer> {
         @Option(
                 names = {"-c", "--config"},
                 required = true,
                 paramLabel = "FILE",
-                description = "its settings")
+                description = "the settings file")
         private Path file;
 
         @Override
         public Integer call() throws IOException, InterruptedException {
             List<Problem> problems = new ArrayList<>();
             CoordinatorConfig config = CoordinatorConfig.read(file, problems);
-            if (!sound(problems)) {
+            if (!valid(problems)) {
                 return USAGE;
             }
-            Logs.set(config.logJson, config.logLevel);
+            LogSetup.configure(config.logJson, config.logLevel);
             CountDownLatch end = new CountDownLatch(1);
-            AtomicInteger code = new AtomicInteger(FINE);
+            AtomicInteger code = new AtomicInteger(OK);
             Coordinator coordinator = new Coordinator(config, Logic::new);
-            coordinator.onGivingUp(with -> {
-                code.set(with);
+            coordinator.onGivingUp(exitCode -> {
+                code.set(exitCode);
                 end.countDown();
             });
             Signals.on("HUP", () -> {
-                List<Problem> again = new ArrayList<>();
-                CoordinatorConfig read = CoordinatorConfig.read(file, again);
-                if (sound(again)) {
-                    sound(coordinator.reload(read));
-                    Logs.set(config.logJson, config.logLevel);
+                List<Problem> reloadProblems = new ArrayList<>();
+                CoordinatorConfig reloaded = CoordinatorConfig.read(file, reloadProblems);
+                if (valid(reloadProblems)) {
+                    valid(coordinator.reload(reloaded));
+                    LogSetup.configure(config.logJson, config.logLevel);
                 }
             });
-            Runnable orderly = () -> {
+            Runnable shutDown = () -> {
                 if (end.getCount() == 0) {
-                    // Asked a second time: at once.
+                    // A second signal ends the process at once.
                     Runtime.getRuntime().halt(FAILED);
                 }
                 end.countDown();
             };
-            Signals.on("TERM", orderly);
-            Signals.on("INT", orderly);
+            Signals.on("TERM", shutDown);
+            Signals.on("INT", shutDown);
             coordinator.start();
             end.await();
             coordinator.close();
@@ -126,52 +141,55 @@
     @Command(
             name = "check-config",
             mixinStandardHelpOptions = true,
-            description = "Reads a coordinator's settings and prints every mistake with its line.")
-    static final class Check implements Callable<Integer> {
-        @Parameters(paramLabel = "FILE", description = "the settings")
+            description = "Checks a coordinator's settings and prints every error with its line.")
+    static final class CheckConfig implements Callable<Integer> {
+        @Parameters(paramLabel = "FILE", description = "the settings file")
         private Path file;
 
         @Override
         public Integer call() {
             List<Problem> problems = new ArrayList<>();
             CoordinatorConfig.read(file, problems);
-            if (!sound(problems)) {
+            if (!valid(problems)) {
                 return USAGE;
             }
             System.out.println(file + ": sound");
-            return FINE;
+            return OK;
         }
     }
 
     @Command(
             name = "status",
             mixinStandardHelpOptions = true,
-            description = "Asks a running coordinator how things stand, by its admin listener.")
+            description = "Prints the status of a running coordinator, from its admin listener.")
     static final class Status implements Callable<Integer> {
         @Parameters(paramLabel = "ADDRESS:PORT|PORT-FILE", description = "its admin listener, or its port-file")
-        private String where;
+        private String target;
 
-        @Option(names = "--pace", paramLabel = "SHARE", description = "for drills: sets the channel's pace instead")
+        @Option(
+                names = "--pace",
+                paramLabel = "SHARE",
+                description = "sets the pace of the order channel instead, for drills")
         private Double pace;
 
         @Override
         public Integer call() throws IOException {
             InetSocketAddress address;
             try {
-                address = Files.isRegularFile(Path.of(where))
-                        ? Ports.read(Path.of(where)).admin()
-                        : Ports.address(where);
-            } catch (IOException wrong) {
-                System.err.println("status: " + wrong.getMessage());
+                address = Files.isRegularFile(Path.of(target))
+                        ? Ports.read(Path.of(target)).admin()
+                        : Ports.address(target);
+            } catch (IOException e) {
+                System.err.println("status: " + e.getMessage());
                 return USAGE;
             }
             try {
                 String answer = Ports.ask(address, pace == null ? "status" : "pace " + pace);
                 System.out.print(answer);
-                return answer.isEmpty() || answer.startsWith("error") ? FAILED : FINE;
-            } catch (IOException silent) {
+                return answer.isEmpty() || answer.startsWith("error") ? FAILED : OK;
+            } catch (IOException e) {
                 System.err.println("status: no answer from " + address.getHostString() + ":" + address.getPort() + ": "
-                        + silent.getMessage());
+                        + e.getMessage());
                 return FAILED;
             }
         }
@@ -180,28 +198,28 @@
     @Command(
             name = "day",
             mixinStandardHelpOptions = true,
-            description = "Plays a scripted day on loopback against real coordinators and judges the five rules.")
+            description = "Plays a scripted day on loopback with real coordinators and checks the five rules.")
     static final class PlayDay implements Callable<Integer> {
         @Parameters(
                 arity = "0..1",
                 paramLabel = "FILE",
-                description = "the script, or default or" + " monday, which are built in (default: ${DEFAULT-VALUE})",
+                description = "the script, or default or monday for a built-in one (default: ${DEFAULT-VALUE})",
                 defaultValue = "default")
         private Path file;
 
-        @Option(names = "--seed", paramLabel = "N", description = "another seed than the script's")
+        @Option(names = "--seed", paramLabel = "N", description = "replaces the script's seed")
         private Long seed;
 
         @Option(
                 names = {"-o", "--out"},
                 paramLabel = "PAGE",
-                description = "writes figures, rules and charts as HTML")
+                description = "writes figures, rules and charts to an HTML file")
         private Path out;
 
         @Option(
                 names = "--log",
                 paramLabel = "LEVEL",
-                description = "what coordinators log (default: ${DEFAULT-VALUE})")
+                description = "log level of coordinators (default: ${DEFAULT-VALUE})")
         private String level = "error";
 
         @Override
@@ -210,25 +228,25 @@
             String builtIn = Files.exists(file) ? null : builtIn(file.toString());
             Script script =
                     builtIn == null ? Script.read(file, problems) : Script.parse(file + ".day", builtIn, problems);
-            script.forSockets(problems);
-            if (!sound(problems)) {
+            script.checkSocketLimits(problems);
+            if (!valid(problems)) {
                 return USAGE;
             }
             script.seed = seed == null ? script.seed : seed;
-            Logs.set(false, level);
-            try (Day day = new Day(script, System.out, new Day.Bend(Logic::new, List.of()))) {
-                Page page = day.run();
-                System.out.print(page.text());
+            LogSetup.configure(false, level);
+            try (Day day = new Day(script, System.out, new Day.Overrides(Logic::new, List.of()))) {
+                DayReport report = day.run();
+                System.out.print(report.text());
                 if (out != null) {
-                    page.html(out);
+                    report.html(out);
                     System.out.println("written to " + out);
                 }
-                return !page.verdict().kept() ? RULE : page.sound() ? FINE : FAILED;
+                return !report.verdict().kept() ? RULE_BROKEN : report.sound() ? OK : FAILED;
             }
         }
     }
 
-    /** A script that comes with the program, or null. */
+    /** Returns a script that comes with the program, or null if there is none of this name. */
     static String builtIn(String name) throws IOException {
         try (InputStream in = Commands.class.getResourceAsStream("/puffinbarrow/" + name + ".day")) {
             return in == null ? null : new String(in.readAllBytes(), StandardCharsets.UTF_8);
@@ -239,19 +257,19 @@
             name = "replay",
             mixinStandardHelpOptions = true,
             description = "Plays a recorded bench day through real coordinators and compares their orders.")
-    static final class PlayTap implements Callable<Integer> {
+    static final class ReplayRecording implements Callable<Integer> {
         @Parameters(paramLabel = "TAP", arity = "1..*", description = "files written with --tap")
-        private List<Path> taps;
+        private List<Path> recordings;
 
         @Override
         public Integer call() throws IOException {
-            Logs.set(false, "error");
-            int code = FINE;
-            for (Path tap : taps) {
-                Replay.Result result = Replay.play(tap, Logic::new);
+            LogSetup.configure(false, "error");
+            int code = OK;
+            for (Path recording : recordings) {
+                Replay.Result result = Replay.play(recording, Logic::new);
                 System.out.printf(
                         "%s: %d batches, %d coordinators, %d orders compared, %d timers and log lines inside%n",
-                        tap, result.batches(), result.coordinators(), result.orders(), result.inside());
+                        recording, result.batches(), result.coordinators(), result.orders(), result.inside());
                 System.out.println(result.equal() ? "equal" : "DIFFERENT: " + result.difference());
                 code = result.equal() ? code : FAILED;
             }
@@ -259,8 +277,11 @@
         }
     }
 
-    @Command(name = "wirehost", description = "Hosts the decisions on the bench's wire (takes no options).")
-    static final class WireHelp implements Callable<Integer> {
+    /** Lists {@code wirehost} in the help; {@link Main} runs it. */
+    @Command(
+            name = "wirehost",
+            description = "Hosts the decision logic on the bench's wire protocol (takes no options).")
+    static final class WireHostUsage implements Callable<Integer> {
         @Override
         public Integer call() {
             System.err.println("usage: puffinbarrow wirehost");
--- a/src/main/java/puffinbarrow/cli/EmulateCommands.java
+++ b/src/main/java/puffinbarrow/cli/EmulateCommands.java
@@ -8,6 +8,7 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.concurrent.Callable;
+import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
@@ -24,32 +25,33 @@
 import puffinbarrow.emulator.Sheet;
 import puffinbarrow.emulator.Token;
 
-/** Days in simulated time. */
+/** Commands that play days in the emulator, in simulated time. */
 @Command(
         name = "emulate",
         mixinStandardHelpOptions = true,
-        description = "Days in simulated time: the same decisions at" + " sizes that sockets do not reach.",
+        description = "Plays days in simulated time, with the same decision logic at sizes that sockets do not reach.",
         subcommands = {
-            EmulateCommands.Run.class,
-            EmulateCommands.Play.class,
-            EmulateCommands.Hunt.class,
-            EmulateCommands.Write.class
+            EmulateCommands.RunDay.class,
+            EmulateCommands.RunExperiment.class,
+            EmulateCommands.RunSearch.class,
+            EmulateCommands.WriteReport.class
         })
 final class EmulateCommands implements Callable<Integer> {
     @Override
     public Integer call() {
-        new picocli.CommandLine(this).usage(System.err);
+        new CommandLine(this).usage(System.err);
         return Commands.USAGE;
     }
 
     private static String builtIn(String name) {
         try {
             return Commands.builtIn(name);
-        } catch (IOException unreadable) {
-            throw new UncheckedIOException(unreadable);
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
         }
     }
 
+    /** Returns the policy of this name, or adds a problem and returns null. */
     private static Policy policy(String name, List<Problem> problems) {
         Policy policy = Policy.named(name);
         if (policy == null) {
@@ -63,17 +65,18 @@
         return policy;
     }
 
-    private static boolean sound(List<Problem> problems) {
+    /** Prints all problems to standard error and returns whether there are none. */
+    private static boolean valid(List<Problem> problems) {
         problems.forEach(System.err::println);
         return problems.isEmpty();
     }
 
-    /** Half the processors, as each run keeps a collector busy too. */
-    private static int usualThreads() {
+    /** Returns half the processors, as the garbage collector needs a processor for each run, too. */
+    private static int defaultThreads() {
         return Math.max(1, Runtime.getRuntime().availableProcessors() / 2);
     }
 
-    /** One line that is written over where there is somebody to see it, a line each where there is a file. */
+    /** Prints progress to standard error: on a terminal over the previous line, otherwise on a line of its own. */
     private static void progress(String text) {
         if (System.console() != null) {
             System.err.print("\r" + text + "\u001b[K");
@@ -82,8 +85,8 @@
         }
     }
 
-    @Command(name = "run", mixinStandardHelpOptions = true, description = "Plays one day and judges the rules.")
-    static final class Run implements Callable<Integer> {
+    @Command(name = "run", mixinStandardHelpOptions = true, description = "Plays one day and checks the rules.")
+    static final class RunDay implements Callable<Integer> {
         @Parameters(
                 arity = "0..1",
                 paramLabel = "FILE",
@@ -92,21 +95,27 @@
                         + " lines, or default or monday, which are built in (default: ${DEFAULT-VALUE})")
         private Path file;
 
-        @Option(names = "--token", paramLabel = "TOKEN", description = "a day as a search told it, in place of a file")
+        @Option(
+                names = "--token",
+                paramLabel = "TOKEN",
+                description = "a day as printed by a search, in place of a file")
         private String token;
 
-        @Option(names = "--seed", paramLabel = "N", description = "another seed than the script's")
+        @Option(names = "--seed", paramLabel = "N", description = "replaces the script's seed")
         private Long seed;
 
         @Option(
                 names = "--policy",
                 paramLabel = "NAME",
-                description = "what coordinators decide with: ours, random,"
+                description = "decision logic of coordinators: ours, random,"
                         + " least-loaded, two-choices, bounded-hash, oracle (${DEFAULT-VALUE})",
                 defaultValue = "ours")
         private String policy;
 
-        @Option(names = "--most-events", paramLabel = "N", description = "ends the run as failed (${DEFAULT-VALUE})")
+        @Option(
+                names = "--most-events",
+                paramLabel = "N",
+                description = "fails the run beyond this number of events (${DEFAULT-VALUE})")
         private long mostEvents = 2_000_000_000L;
 
         @Override
@@ -116,7 +125,7 @@
             if (token != null) {
                 String text = Token.text(token);
                 if (text == null) {
-                    problems.add(new Problem("--token", 0, "no token, expected one as a search tells it"));
+                    problems.add(new Problem("--token", 0, "invalid token, expected one as printed by a search"));
                 } else {
                     setup = Setup.parse("token", text, problems);
                 }
@@ -124,20 +133,21 @@
                 String builtIn = Files.exists(file) ? null : builtIn(file.toString());
                 setup = builtIn == null ? Setup.read(file, problems) : Setup.parse(file + ".day", builtIn, problems);
             }
-            Policy by = policy(policy, problems);
-            if (!sound(problems)) {
+            Policy decisions = policy(policy, problems);
+            if (!valid(problems)) {
                 return Commands.USAGE;
             }
-            Logs.set(false, "off");
+            LogSetup.configure(false, "off");
             setup.script().seed = seed == null ? setup.script().seed : seed;
             long began = System.nanoTime();
-            Outcome outcome = new Fleet(setup, by, new Heap(), mostEvents).run();
+            Outcome outcome = new Fleet(setup, decisions, new Heap(), mostEvents).run();
             double took = (System.nanoTime() - began) / 1e9;
             System.out.print(outcome.text());
             System.out.printf(
                     Locale.ROOT,
                     "%n%d events in %.1f s of this machine: %.2f million events/s, %.0f flows/s; up after %.1f s"
-                            + " of its own time; %d flows open at most; decisions %.1f%% of the time, %.1f us an event they were told%n",
+                            + " of its own time; %d flows open at most; decisions %.1f%% of the time,"
+                            + " %.1f us an event they were told%n",
                     outcome.events,
                     took,
                     outcome.events / took / 1e6,
@@ -148,77 +158,80 @@
                     outcome.decisionNs / 1e3 / Math.max(1, outcome.decisionEvents));
             return outcome.failed != null || !outcome.whole()
                     ? Commands.FAILED
-                    : outcome.verdict.kept() ? Commands.FINE : Commands.RULE;
+                    : outcome.verdict.kept() ? Commands.OK : Commands.RULE_BROKEN;
         }
     }
 
     @Command(
             name = "experiment",
             mixinStandardHelpOptions = true,
-            description = "Plays an experiment's runs side by side; goes" + " on where an earlier try was cut off.")
-    static final class Play implements Callable<Integer> {
-        @Parameters(paramLabel = "FILE", description = "the experiment")
+            description = "Plays an experiment's runs in parallel; resumes where an earlier attempt was interrupted.")
+    static final class RunExperiment implements Callable<Integer> {
+        @Parameters(paramLabel = "FILE", description = "the experiment file")
         private Path file;
 
         @Option(
                 names = {"-o", "--out"},
                 required = true,
                 paramLabel = "FOLDER",
-                description = "where results go")
+                description = "folder for the results")
         private Path out;
 
-        @Option(names = "--threads", paramLabel = "N", description = "runs at a time (half the processors)")
-        private int threads = usualThreads();
+        @Option(names = "--threads", paramLabel = "N", description = "parallel runs (default: half the processors)")
+        private int threads = defaultThreads();
 
         @Override
         public Integer call() throws IOException, InterruptedException {
             List<Problem> problems = new ArrayList<>();
             Experiment experiment = Experiment.read(file, EmulateCommands::builtIn, problems);
-            if (!sound(problems)) {
+            if (!valid(problems)) {
                 return Commands.USAGE;
             }
-            Logs.set(false, "off");
+            LogSetup.configure(false, "off");
             if (!new Runs(experiment, out, Math.max(1, threads), EmulateCommands::progress).play()) {
-                System.err.println(out + ": holds the results of another experiment, expected an empty folder");
+                System.err.println(out + ": contains the results of another experiment, expected an empty folder");
                 return Commands.USAGE;
             }
             Report report = new Report(Sheet.read(out.resolve("results.csv")));
             System.out.print(report.text());
             report.html(out.resolve("report.html"), experiment.name);
             System.out.println("written to " + out.resolve("report.html"));
-            return Commands.FINE;
+            return Commands.OK;
         }
     }
 
-    @Command(name = "report", mixinStandardHelpOptions = true, description = "Tells an experiment's results again.")
-    static final class Write implements Callable<Integer> {
-        @Parameters(paramLabel = "FOLDER", description = "where an experiment's results are")
+    @Command(
+            name = "report",
+            mixinStandardHelpOptions = true,
+            description = "Prints and writes an experiment's report again.")
+    static final class WriteReport implements Callable<Integer> {
+        @Parameters(paramLabel = "FOLDER", description = "folder with an experiment's results")
         private Path folder;
 
         @Override
         public Integer call() throws IOException {
             Path results = folder.resolve("results.csv");
             if (!Files.exists(results)) {
-                System.err.println(results + ": not there, expected the results of an experiment that came to its end");
+                System.err.println(results + ": not found, expected the results of a finished experiment");
                 return Commands.USAGE;
             }
             Report report = new Report(Sheet.read(results));
             System.out.print(report.text());
             report.html(folder.resolve("report.html"), folder.getFileName().toString());
-            return Commands.FINE;
+            return Commands.OK;
         }
     }
 
     @Command(
             name = "search",
             mixinStandardHelpOptions = true,
-            description = "Hunts an experiment's ranges for the day that"
-                    + " breaks a rule or loses most, and cuts it down to what matters; exit 3 if a rule broke.")
-    static final class Hunt implements Callable<Integer> {
-        @Parameters(paramLabel = "FILE", description = "the experiment; its levels are passed over")
+            description = "Searches an experiment's ranges for the day that"
+                    + " breaks a rule or loses most, and reduces it to the lines that matter; exit 3 if a rule broke.")
+    static final class RunSearch implements Callable<Integer> {
+        @Parameters(paramLabel = "FILE", description = "the experiment file; its levels are ignored")
         private Path file;
 
-        @Option(names = "--days", paramLabel = "N", description = "played before the cutting down (${DEFAULT-VALUE})")
+        @Option(names = "--days", paramLabel = "N", description = "days played before the reduction (${DEFAULT-VALUE})")
         private int days = 100;
 
         @Option(names = "--seed", paramLabel = "N", description = "(${DEFAULT-VALUE})")
@@ -230,41 +243,42 @@
         @Option(
                 names = "--against",
                 paramLabel = "NAME",
-                description = "what losses are counted against, or none: rules only" + " (${DEFAULT-VALUE})",
+                description = "policy that losses are counted against, or none to check rules only (${DEFAULT-VALUE})",
                 defaultValue = "oracle")
         private String against;
 
-        @Option(names = "--threads", paramLabel = "N", description = "runs at a time (half the processors)")
-        private int threads = usualThreads();
+        @Option(names = "--threads", paramLabel = "N", description = "parallel runs (default: half the processors)")
+        private int threads = defaultThreads();
 
         @Option(
                 names = {"-o", "--out"},
                 paramLabel = "FILE",
-                description = "writes the day there")
+                description = "writes the day found to this file")
         private Path out;
 
         @Override
         public Integer call() throws IOException, InterruptedException {
             List<Problem> problems = new ArrayList<>();
             Experiment experiment = Experiment.read(file, EmulateCommands::builtIn, problems);
-            Policy by = policy(policy, problems);
-            Policy other = against.equals("none") ? null : policy(against, problems);
-            if (!sound(problems)) {
+            Policy decisions = policy(policy, problems);
+            Policy baseline = against.equals("none") ? null : policy(against, problems);
+            if (!valid(problems)) {
                 return Commands.USAGE;
             }
-            Logs.set(false, "off");
-            Search.Find find =
-                    new Search(experiment, by, other, seed, Math.max(1, threads), EmulateCommands::progress).run(days);
+            LogSetup.configure(false, "off");
+            Search.Find find = new Search(
+                            experiment, decisions, baseline, seed, Math.max(1, threads), EmulateCommands::progress)
+                    .run(days);
             if (find == null) {
                 System.out.println("none of " + days + " days breaks a rule or loses anything");
-                return Commands.FINE;
+                return Commands.OK;
             }
             System.out.println(find.told() + "\n\n" + find.text());
             System.out.println("emulate run --policy " + policy + " --token " + Token.of(find.text()));
             if (out != null) {
                 Files.writeString(out, find.text());
             }
-            return find.broken().isEmpty() ? Commands.FINE : Commands.RULE;
+            return find.broken().isEmpty() ? Commands.OK : Commands.RULE_BROKEN;
         }
     }
 }
--- a/src/main/java/puffinbarrow/cli/EmulatorBench.java
+++ b/src/main/java/puffinbarrow/cli/EmulatorBench.java
@@ -17,7 +17,7 @@
 import puffinbarrow.Logic;
 import puffinbarrow.config.Problem;
 import puffinbarrow.day.Day;
-import puffinbarrow.day.Page;
+import puffinbarrow.day.DayReport;
 import puffinbarrow.day.Script;
 import puffinbarrow.emulator.Agenda;
 import puffinbarrow.emulator.Calendar;
@@ -28,13 +28,14 @@
 import puffinbarrow.emulator.Queueing;
 import puffinbarrow.emulator.Setup;
 
-/** How far the emulator can be trusted, and what its engine does. */
+/**
+ * Compares the emulator with queueing theory and with days on sockets, and measures the throughput of its event queues.
+ */
 @Command(
         name = "emulator",
         mixinStandardHelpOptions = true,
-        description =
-                "The event queues against each other, queueing"
-                        + " theory, and the default day on sockets against the same day in the emulator; exit 1 if an aim is missed.")
+        description = "Compares the event queues, checks the emulator against queueing"
+                + " theory and against the default day on sockets; exit 1 if a target is missed.")
 final class EmulatorBench implements Callable<Integer> {
     @Option(
             names = "--part",
@@ -42,16 +43,29 @@
             description = "queues, theory or calibration, or all (${DEFAULT-VALUE})")
     private String part = "all";
 
-    @Option(names = "--days", paramLabel = "N", description = "days of calibration, each a seed (${DEFAULT-VALUE})")
+    @Option(
+            names = "--days",
+            paramLabel = "N",
+            description = "days of calibration, each with its own seed (${DEFAULT-VALUE})")
     private int days = 3;
 
     @Option(names = "--day", paramLabel = "NAME", description = "built-in day of calibration (${DEFAULT-VALUE})")
     private String day = "default";
 
-    /** What the users ask: utility within 0.03, moves within a tenth, p99 within 15%. */
-    private static final double UTILITY_OFF = 0.03, MOVES_OFF = 0.10, P99_OFF = 0.15;
-    /** A mean of some hundred thousand sojourn times at load 0.8 is known to about 3%. */
-    private static final double THEORY_OFF = 0.04;
+    /** Largest difference of service between emulator and sockets. */
+    private static final double MAX_SERVICE_ERROR = 0.03;
+
+    /** Largest relative difference of moves. */
+    private static final double MAX_MOVES_ERROR = 0.10;
+
+    /** Largest relative difference of the p99 of latency. */
+    private static final double MAX_P99_ERROR = 0.15;
+
+    /**
+     * Largest relative error against theory. A mean of a few hundred thousand sojourn times at load 0.8 is accurate to
+     * about 3%.
+     */
+    private static final double MAX_THEORY_ERROR = 0.04;
 
     @Override
     public Integer call() throws IOException, InterruptedException {
@@ -59,10 +73,10 @@
             System.err.println("--part: found '" + part + "', expected queues, theory, calibration or all");
             return Commands.USAGE;
         }
-        Logs.set(false, "off");
-        boolean good = true;
+        LogSetup.configure(false, "off");
+        boolean allMet = true;
         if (part.equals("all") || part.equals("queues")) {
-            queues();
+            measureQueues();
         }
         if (part.equals("all") || part.equals("theory")) {
             for (Queueing.Check check : Queueing.all(1, 10_000)) {
@@ -74,21 +88,21 @@
                         check.measured(),
                         100 * check.off(),
                         check.formula());
-                good &= check.off() < THEORY_OFF;
+                allMet &= check.off() < MAX_THEORY_ERROR;
             }
         }
         if (part.equals("all") || part.equals("calibration")) {
-            good &= calibration();
+            allMet &= calibration();
         }
-        System.out.println(good ? "all aims met" : "NOT all aims met");
-        return good ? Commands.FINE : Commands.FAILED;
+        System.out.println(allMet ? "all aims met" : "NOT all aims met");
+        return allMet ? Commands.OK : Commands.FAILED;
     }
 
-    // ---- Queues: so many wait, the first is taken and one added, again and again ("hold model").
+    // ---- Queues: at a constant size, the first event is taken and one added, repeatedly ("hold model")
 
-    /** The library's binary heap, for comparison. */
-    private static final class Library implements Agenda {
-        private record Entry(long at, long number, Runnable what) implements Comparable<Entry> {
+    /** An agenda on the library's binary heap, for comparison. */
+    private static final class LibraryHeap implements Agenda {
+        private record Entry(long at, long number, Runnable work) implements Comparable<Entry> {
             @Override
             public int compareTo(Entry other) {
                 return at != other.at ? Long.compare(at, other.at) : Long.compare(number, other.number);
@@ -99,8 +113,8 @@
         private long added;
 
         @Override
-        public void add(long atNs, Runnable what) {
-            queue.add(new Entry(atNs, added++, what));
+        public void add(long atNs, Runnable work) {
+            queue.add(new Entry(atNs, added++, work));
         }
 
         @Override
@@ -110,7 +124,7 @@
 
         @Override
         public Runnable take() {
-            return queue.poll().what;
+            return queue.poll().work;
         }
 
         @Override
@@ -119,8 +133,9 @@
         }
     }
 
-    private static void queues() {
-        List<Supplier<Agenda>> kinds = List.of(Heap::new, Calendar::new, Library::new);
+    /** Prints the throughput of each queue by size and by distribution of delays. */
+    private static void measureQueues() {
+        List<Supplier<Agenda>> kinds = List.of(Heap::new, Calendar::new, LibraryHeap::new);
         String[] names = {"heap of four", "calendar queue", "library's binary heap"};
         for (boolean mixed : new boolean[] {false, true}) {
             for (int waiting : new int[] {1_000, 100_000, 1_000_000}) {
@@ -134,7 +149,7 @@
                     for (int i = 0; i < rates.length; i++) {
                         rates[i] = hold(kinds.get(kind).get(), waiting, mixed, i);
                     }
-                    // The first ones are compiled while they run.
+                    // The median passes over the first runs, which include just-in-time compilation.
                     Arrays.sort(rates);
                     line.append(String.format(Locale.ROOT, "  %s %.2f", names[kind], rates[rates.length / 2]));
                 }
@@ -143,28 +158,31 @@
         }
     }
 
+    /** Returns millions of events per second. */
     private static double hold(Agenda agenda, int waiting, boolean mixed, long seed) {
-        UniformRandomProvider chance = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
+        UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         Runnable nothing = () -> {};
         for (int i = 0; i < waiting; i++) {
-            agenda.add(gap(chance, mixed), nothing);
+            agenda.add(gap(random, mixed), nothing);
         }
         int events = 2_000_000;
         long began = System.nanoTime();
         for (int i = 0; i < events; i++) {
             long now = agenda.nextNs();
             agenda.take().run();
-            agenda.add(now + gap(chance, mixed), nothing);
+            agenda.add(now + gap(random, mixed), nothing);
         }
         return events * 1e3 / (System.nanoTime() - began);
     }
 
-    private static long gap(UniformRandomProvider chance, boolean mixed) {
-        return mixed && chance.nextInt(10) == 0 ? 5_000_000_000L : (long) (-Math.log(1 - chance.nextDouble()) * 1e7);
+    /** Draws the delay of an event, in ns: exponential with mean 10 ms; if mixed, a tenth are time-outs of 5 s. */
+    private static long gap(UniformRandomProvider random, boolean mixed) {
+        return mixed && random.nextInt(10) == 0 ? 5_000_000_000L : (long) (-Math.log(1 - random.nextDouble()) * 1e7);
     }
 
-    // ---- Calibration.
+    // ---- Calibration
 
+    /** Plays days on sockets and in the emulator and returns whether their means agree. */
     private boolean calibration() throws IOException, InterruptedException {
         String text = Commands.builtIn(day);
         double[][] sum = new double[2][6];
@@ -175,29 +193,36 @@
             List<Problem> problems = new ArrayList<>();
             Script script = Script.parse(day, text, problems);
             script.seed = seed;
-            Page page;
+            DayReport report;
             try (Day onSockets = new Day(
-                    script, new PrintStream(OutputStream.nullOutputStream()), new Day.Bend(Logic::new, List.of()))) {
-                page = onSockets.run();
+                    script,
+                    new PrintStream(OutputStream.nullOutputStream()),
+                    new Day.Overrides(Logic::new, List.of()))) {
+                report = onSockets.run();
             }
             double[] sockets = {
-                page.service(),
+                report.service(),
                 1
-                        - page.flows().stream().filter(f -> f.answered()).count()
-                                / (double) page.flows().size(),
-                page.moves(),
-                page.result().all.latency.getValueAtPercentile(50) / 1e3,
-                page.result().all.latency.getValueAtPercentile(90) / 1e3,
-                page.result().all.latency.getValueAtPercentile(99) / 1e3
+                        - report.flows().stream().filter(f -> f.answered()).count()
+                                / (double) report.flows().size(),
+                report.moves(),
+                report.result().all.latency.getValueAtPercentile(50) / 1e3,
+                report.result().all.latency.getValueAtPercentile(90) / 1e3,
+                report.result().all.latency.getValueAtPercentile(99) / 1e3
             };
-            tell(seed, "sockets", sockets, page.verdict().kept());
+            printRow(seed, "sockets", sockets, report.verdict().kept());
             Setup setup = Setup.parse(day, text, problems);
             setup.script().seed = seed;
-            Outcome o = new Fleet(setup, Policy.named("ours"), new Heap(), Long.MAX_VALUE).run();
+            Outcome outcome = new Fleet(setup, Policy.named("ours"), new Heap(), Long.MAX_VALUE).run();
             double[] emulated = {
-                o.service, (o.blocked + o.dropped) / (double) o.intended, o.moves, o.p50Ms, o.p90Ms, o.p99Ms
+                outcome.service,
+                (outcome.blocked + outcome.dropped) / (double) outcome.intended,
+                outcome.moves,
+                outcome.p50Ms,
+                outcome.p90Ms,
+                outcome.p99Ms
             };
-            tell(seed, "emulator", emulated, o.verdict.kept());
+            printRow(seed, "emulator", emulated, outcome.verdict.kept());
             for (int i = 0; i < sockets.length; i++) {
                 sum[0][i] += sockets[i] / days;
                 sum[1][i] += emulated[i] / days;
@@ -212,23 +237,23 @@
                 100 * (sum[1][3] / sum[0][3] - 1),
                 100 * (sum[1][4] / sum[0][4] - 1),
                 100 * (sum[1][5] / sum[0][5] - 1));
-        return Math.abs(sum[1][0] - sum[0][0]) <= UTILITY_OFF
-                && Math.abs(sum[1][2] / sum[0][2] - 1) <= MOVES_OFF
-                && Math.abs(sum[1][5] / sum[0][5] - 1) <= P99_OFF;
+        return Math.abs(sum[1][0] - sum[0][0]) <= MAX_SERVICE_ERROR
+                && Math.abs(sum[1][2] / sum[0][2] - 1) <= MAX_MOVES_ERROR
+                && Math.abs(sum[1][5] / sum[0][5] - 1) <= MAX_P99_ERROR;
     }
 
-    private static void tell(long seed, String where, double[] of, boolean kept) {
+    private static void printRow(long seed, String where, double[] figures, boolean kept) {
         System.out.printf(
                 Locale.ROOT,
                 "%-5d %-10s %8.3f %7.2f%% %8.0f %8.1f %8.1f %8.1f %8s%n",
                 seed,
                 where,
-                of[0],
-                100 * of[1],
-                of[2],
-                of[3],
-                of[4],
-                of[5],
+                figures[0],
+                100 * figures[1],
+                figures[2],
+                figures[3],
+                figures[4],
+                figures[5],
                 kept ? "kept" : "BROKEN");
     }
 }
--- a/src/main/java/puffinbarrow/cli/LeaseBench.java
+++ b/src/main/java/puffinbarrow/cli/LeaseBench.java
@@ -8,56 +8,59 @@
 import picocli.CommandLine.Option;
 import puffinbarrow.lease.Simulation;
 
-/** The lease core in simulated time: random troubles by the million steps, and what a take-over costs. */
+/**
+ * Runs the lease core in simulated time: millions of steps under random faults, then the cost of a takeover by the
+ * number of slices.
+ */
 @Command(
         name = "lease",
         mixinStandardHelpOptions = true,
-        description =
-                "Random kills, splits, pauses and delays against the"
-                        + " lease core in simulated time; exit 3 if two voices, a term that goes back or a lost slice is found.")
+        description = "Random kills, splits, pauses and delays against the"
+                + " lease core in simulated time; exit 3 if a slice has two owners,"
+                + " a term goes back or a slice is lost.")
 final class LeaseBench implements Callable<Integer> {
-    @Option(names = "--steps", paramLabel = "N", description = "in all (${DEFAULT-VALUE})")
+    @Option(names = "--steps", paramLabel = "N", description = "steps in all (${DEFAULT-VALUE})")
     private long steps = 1_000_000;
 
-    @Option(names = "--seed", paramLabel = "N", description = "of the first run (${DEFAULT-VALUE})")
+    @Option(names = "--seed", paramLabel = "N", description = "seed of the first run (${DEFAULT-VALUE})")
     private long seed = 1;
 
     private static final long LEASE_NS = 1_500_000_000L;
 
     @Override
     public Integer call() {
-        long done = 0;
+        long stepsDone = 0;
         long runs = 0;
         long refused = 0;
         long doubled = 0;
-        for (long at = seed; done < steps; at++, runs++) {
-            // Every fourth run with clocks that jump.
-            Simulation.Plan plan =
-                    Simulation.plan(at, 3 + (int) (at % 3), 24, LEASE_NS, 60 * LEASE_NS, 0.05, at % 4 == 0);
+        for (long runSeed = seed; stepsDone < steps; runSeed++, runs++) {
+            // Clocks jump in every fourth run.
+            Simulation.Plan plan = Simulation.plan(
+                    runSeed, 3 + (int) (runSeed % 3), 24, LEASE_NS, 60 * LEASE_NS, 0.05, runSeed % 4 == 0);
             Simulation.Outcome outcome = Simulation.run(plan);
-            done += outcome.steps();
+            stepsDone += outcome.steps();
             refused += outcome.refused();
             doubled += outcome.doubled();
             if (outcome.broken() != null) {
-                System.out.println("BROKEN, seed " + at + ": " + outcome.broken());
+                System.out.println("BROKEN, seed " + runSeed + ": " + outcome.broken());
                 Simulation.shrink(plan).faults().forEach(f -> System.out.println("  needed: " + f));
-                return Commands.RULE;
+                return Commands.RULE_BROKEN;
             }
         }
-        System.out.println(runs + " runs, " + done + " steps, nothing broken; " + refused
+        System.out.println(runs + " runs, " + stepsDone + " steps, nothing broken; " + refused
                 + " old orders refused by proxies, " + doubled + " repeated ones passed over");
-        kills(5, 300);
-        kills(5, 10_000);
-        return Commands.FINE;
+        measureTakeover(5, 300);
+        measureTakeover(5, 10_000);
+        return Commands.OK;
     }
 
-    /** One member dies, returns much later: how long its slices are silent, what moves, what the store is asked. */
-    private void kills(int members, int slices) {
-        Histogram silent = new Histogram(3_600_000, 3);
+    /** Kills one member, which returns much later, and prints how long its slices have no owner and what it costs. */
+    private void measureTakeover(int members, int slices) {
+        Histogram withoutOwnerMs = new Histogram(3_600_000, 3);
         long moves = 0;
-        long least = 0;
-        double writes = 0;
-        int uneven = 0;
+        long fewestMoves = 0;
+        double writesPerSecond = 0;
+        int unevenness = 0;
         int runs = slices > 1000 ? 2 : 20;
         for (int i = 0; i < runs; i++) {
             long length = 60 * LEASE_NS;
@@ -72,26 +75,27 @@
                     false,
                     List.of(new Simulation.Fault(Simulation.Kind.KILL, 30 * LEASE_NS, 20 * LEASE_NS, i % members)));
             Simulation.Outcome outcome = Simulation.run(plan);
-            silent.add(outcome.silentMs());
+            withoutOwnerMs.add(outcome.silentMs());
             moves += outcome.moves();
-            // All once, the dead one's part away and back again.
-            least += slices + 2L * slices / members;
-            writes += outcome.writes() / ((length + 46 * LEASE_NS) / 1e9);
-            uneven = Math.max(uneven, outcome.unevenness());
+            // Each slice is assigned once, and the killed member's share moves away and back.
+            fewestMoves += slices + 2L * slices / members;
+            writesPerSecond += outcome.writes() / ((length + 46 * LEASE_NS) / 1e9);
+            unevenness = Math.max(unevenness, outcome.unevenness());
         }
         System.out.printf(
                 Locale.ROOT,
                 "%d members, %d slices, a kill and a return: silent p50 %.0f ms, p99 %.0f ms, most %.0f"
-                        + " ms (a lease is %.0f ms); changes of voice %.2f of the least possible; %.1f writes/s; shares differ by %d"
+                        + " ms (a lease is %.0f ms); changes of voice %.2f of the least possible;"
+                        + " %.1f writes/s; shares differ by %d"
                         + " at most%n",
                 members,
                 slices,
-                (double) silent.getValueAtPercentile(50),
-                (double) silent.getValueAtPercentile(99),
-                (double) silent.getMaxValue(),
+                (double) withoutOwnerMs.getValueAtPercentile(50),
+                (double) withoutOwnerMs.getValueAtPercentile(99),
+                (double) withoutOwnerMs.getMaxValue(),
                 LEASE_NS / 1e6,
-                (double) moves / least,
-                writes / runs,
-                uneven);
+                (double) moves / fewestMoves,
+                writesPerSecond / runs,
+                unevenness);
     }
 }
--- a/src/main/java/puffinbarrow/cli/LoadBench.java
+++ b/src/main/java/puffinbarrow/cli/LoadAccuracyBench.java
@@ -2,6 +2,7 @@
 
 import java.io.IOException;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Locale;
@@ -19,21 +20,21 @@
 import puffinbarrow.load.Source;
 import puffinbarrow.standin.Delays;
 
-/** How true the load generator's figures are, against stand-ins whose delays are known. */
+/** Compares the load generator's figures with the known delays of stand-in targets. */
 @Command(
         name = "load-accuracy",
         mixinStandardHelpOptions = true,
-        description = "Reported percentiles against injected delays, a stall against its arithmetic, a busy host.")
-final class LoadBench implements Callable<Integer> {
+        description = "Compares reported percentiles with injected delays, shows a stalled target and a busy host.")
+final class LoadAccuracyBench implements Callable<Integer> {
     @Option(names = "--seeds", paramLabel = "N", description = "runs of each kind (${DEFAULT-VALUE})")
     private int seeds = 10;
 
     private static final double[] QUANTILES = {50, 90, 99, 99.9};
-    /** What the users ask: within a few percent. */
-    private static final double WITHIN = 0.03;
+    /** Largest relative error of a percentile. */
+    private static final double MAX_ERROR = 0.03;
 
     private static Scenario scenario(Delays target, long seed, String more) {
-        return LoadMeasures.scenario(target.address().getPort(), "seed " + seed + "\n" + more);
+        return LoadBenches.scenario(target.address().getPort(), "seed " + seed + "\n" + more);
     }
 
     private static Delays target(DoubleUnaryOperator delay, long seed) throws Exception {
@@ -42,7 +43,7 @@
 
     @Override
     public Integer call() throws Exception {
-        // Once unmeasured: a program just started is compiled while it runs, which no long run would show.
+        // Warm-up run: just-in-time compilation would distort the first measured one.
         try (Delays target = target(u -> 2e6, 99);
                 Engine engine = new Engine(scenario(target, 99, "rate 2000\nlength 4s\n"))) {
             engine.run(null);
@@ -55,7 +56,7 @@
         boolean within = true;
         for (Map.Entry<String, DoubleUnaryOperator> kind : kinds.entrySet()) {
             double[] worst = new double[QUANTILES.length];
-            double[][] off = new double[QUANTILES.length][seeds];
+            double[][] errors = new double[QUANTILES.length][seeds];
             Histogram lag = new Histogram(60_000_000, 3);
             for (int seed = 0; seed < seeds; seed++) {
                 try (Delays target = target(kind.getValue(), seed);
@@ -63,23 +64,23 @@
                     Result result = engine.run(null);
                     lag.add(result.lag);
                     for (int i = 0; i < worst.length; i++) {
-                        double told = result.all.latency.getValueAtPercentile(QUANTILES[i]);
+                        double reported = result.all.latency.getValueAtPercentile(QUANTILES[i]);
                         double injected = target.given().getValueAtPercentile(QUANTILES[i]);
-                        off[i][seed] = Math.abs(told - injected) / injected;
-                        worst[i] = Math.max(worst[i], off[i][seed]);
+                        errors[i][seed] = Math.abs(reported - injected) / injected;
+                        worst[i] = Math.max(worst[i], errors[i][seed]);
                     }
                 }
             }
             StringBuilder line = new StringBuilder(String.format("%-28s", kind.getKey()));
             for (int i = 0; i < worst.length; i++) {
-                java.util.Arrays.sort(off[i]);
+                Arrays.sort(errors[i]);
                 line.append(String.format(
                         Locale.ROOT,
                         " p%s off by %.2f%% (%.2f%%)",
                         QUANTILES[i],
-                        100 * off[i][seeds / 2],
+                        100 * errors[i][seeds / 2],
                         100 * worst[i]));
-                within &= worst[i] < WITHIN;
+                within &= worst[i] < MAX_ERROR;
             }
             System.out.printf(
                     Locale.ROOT,
@@ -92,13 +93,16 @@
         stall();
         busy();
         System.out.println(within ? "all percentiles within 3%" : "NOT all percentiles within 3%");
-        return within ? Commands.FINE : Commands.FAILED;
+        return within ? Commands.OK : Commands.FAILED;
     }
 
-    /** Below this a rate is offered: all but a hundredth of flows leave within it of their start. */
-    private static final long OFFERED_LATE_US = 5_000;
+    /** A rate counts as offered if 99% of flows are sent within this time of their intended start, in us. */
+    private static final long MAX_SEND_DELAY_US = 5_000;
 
-    /** Draws without sending, then sends to a stand-in in this very process at rising rates: a lower bound. */
+    /**
+     * Measures the rate that this host can offer: draws flows without sending, then sends to a stand-in in this process
+     * at rising rates, which gives a lower bound. Returns the exit code.
+     */
     static int dry(Scenario scenario) throws IOException {
         long drawn = 0;
         long began = System.nanoTime();
@@ -110,16 +114,16 @@
         System.out.printf(Locale.ROOT, "drawing alone: %.0f flows/s%n", drawn * 1e9 / (System.nanoTime() - began));
         double good = 0;
         double bad = 0;
-        // Doubled until it fails, then halved four times between: within a sixteenth.
-        for (int step = 0, halved = 0; step < 14 && halved < 4; step++) {
+        // Doubles the rate until it fails, then bisects four times: accurate to a sixteenth.
+        for (int step = 0, bisections = 0; step < 14 && bisections < 4; step++) {
             double rate = bad == 0 ? Math.max(1000, 2 * good) : (good + bad) / 2;
-            halved += bad == 0 ? 0 : 1;
+            bisections += bad == 0 ? 0 : 1;
             Result result;
             try (Delays target = new Delays(u -> 0, RandomSource.XO_RO_SHI_RO_128_PP.create(1));
                     Engine engine = new Engine(scenario.flat(rate, 2_000_000_000L, target.address()))) {
                 result = engine.run(null);
             }
-            boolean offered = result.lag.getValueAtPercentile(99) < OFFERED_LATE_US
+            boolean offered = result.lag.getValueAtPercentile(99) < MAX_SEND_DELAY_US
                     && result.all.count(Result.Outcome.IN_BUDGET) >= 0.99 * result.intended;
             System.out.printf(
                     Locale.ROOT,
@@ -139,40 +143,42 @@
                 good,
                 scenario.senders,
                 scenario.mostRate());
-        return good >= scenario.mostRate() ? Commands.FINE : Commands.FAILED;
+        return good >= scenario.mostRate() ? Commands.OK : Commands.FAILED;
     }
 
-    /** A stall of 2 s at a constant rate: a flow meant to start x before its end waits x. */
+    /** Prints percentiles of a target that stalls for 2 s at a constant rate, beside the calculated ones. */
     private static void stall() throws Exception {
         try (Delays target = target(u -> 2e6, 1);
                 Engine engine = new Engine(
                         scenario(target, 1, "rate 1000\nlength 10s\narrivals constant\n" + "connections 50\n"))) {
-            Thread still = new Thread(() -> {
+            Thread stallThread = new Thread(() -> {
                 try {
                     TimeUnit.SECONDS.sleep(3);
-                } catch (InterruptedException stop) {
+                } catch (InterruptedException e) {
                     return;
                 }
                 target.standStill(2_000_000_000L);
             });
-            still.start();
+            stallThread.start();
             Result result = engine.run(null);
-            // 2 s of 10 s of flows wait evenly between 0 and 2 s: the share above t is (2 - t) / 10.
+            // A flow meant to start x before the stall's end waits x. Of 10 s of flows, those of 2 s wait evenly
+            // distributed
+            // times of 0 to 2 s, so the share above t is (2 - t) / 10.
             for (double quantile : new double[] {85, 90, 95, 99}) {
-                double arithmetic = 2000 - (100 - quantile) / 100 * 10_000;
+                double expectedMs = 2000 - (100 - quantile) / 100 * 10_000;
                 System.out.printf(
                         Locale.ROOT,
                         "stall of 2 s, p%.0f: reported %.0f ms, by arithmetic %.0f ms; a closed loop "
                                 + "would show %.0f ms%n",
                         quantile,
                         result.all.latency.getValueAtPercentile(quantile) / 1e3,
-                        arithmetic,
+                        expectedMs,
                         result.all.service.getValueAtPercentile(quantile) / 1e3);
             }
         }
     }
 
-    /** The same target while burners take every core: the run must be marked. */
+    /** Runs on a quiet host and with threads that keep every core busy; the second run must be marked as disturbed. */
     private static void busy() throws Exception {
         for (boolean burn : new boolean[] {false, true}) {
             List<Thread> burners = new ArrayList<>();
@@ -190,13 +196,13 @@
             try (Delays target = target(u -> 2e6, 1);
                     Engine engine = new Engine(scenario(target, 1, "rate 1000\nlength 5s\n"))) {
                 Result result = engine.run(null);
-                Histogram own = result.hiccups;
+                Histogram wakeUpDelays = result.hiccups;
                 System.out.printf(
                         Locale.ROOT,
                         "%s host: p99 %.1f ms, its own wake-ups late by p99 %.1f ms, busy seconds %s%n",
                         burn ? "burning" : "quiet",
                         result.all.latency.getValueAtPercentile(99) / 1e3,
-                        own.getValueAtPercentile(99) / 1e3,
+                        wakeUpDelays.getValueAtPercentile(99) / 1e3,
                         result.hostBusy());
             } finally {
                 burners.forEach(Thread::interrupt);
--- a/src/main/java/puffinbarrow/cli/LoadMeasures.java
+++ b/src/main/java/puffinbarrow/cli/LoadBenches.java
@@ -24,11 +24,11 @@
 import puffinbarrow.load.TraceFlows;
 import puffinbarrow.standin.Delays;
 
-/** What the load generator reaches and costs, against a stand-in in a process of its own. */
-final class LoadMeasures {
-    private LoadMeasures() {}
+/** Benches of the load generator's rate and memory, against a stand-in target in a child process. */
+final class LoadBenches {
+    private LoadBenches() {}
 
-    /** A stand-in target as a process: says its port and runs until its input ends. */
+    /** The process of a stand-in target: prints its port and answers until its standard input ends. */
     @Command(name = "load-target", hidden = true)
     static final class Target implements Callable<Integer> {
         @Option(names = "--delay-ms")
@@ -39,23 +39,24 @@
             try (Delays target = new Delays(u -> delayMs * 1e6, RandomSource.XO_RO_SHI_RO_128_PP.create(1))) {
                 System.out.println(target.address().getPort());
                 while (System.in.read() >= 0) {
-                    // Until whoever started it has gone.
+                    // Blocks until the parent process has ended.
                 }
-                return Commands.FINE;
+                return Commands.OK;
             }
         }
     }
 
-    /** The child and the port that it said. */
-    record Child(Process process, int port) implements AutoCloseable {
-        static Child start(double delayMs) throws IOException {
+    /** A running stand-in target and its port. */
+    record TargetProcess(Process process, int port) implements AutoCloseable {
+        /** Starts a target that answers after a fixed delay, and waits for its port. */
+        static TargetProcess start(double delayMs) throws IOException {
             List<String> command = BenchCommands.self("bench", "load-target", "--delay-ms", Double.toString(delayMs));
             command.removeIf(word -> word.startsWith("-XX:"));
             Process process = new ProcessBuilder(command)
                     .redirectError(ProcessBuilder.Redirect.INHERIT)
                     .start();
-            BufferedReader said = new BufferedReader(new InputStreamReader(process.getInputStream()));
-            return new Child(process, Integer.parseInt(said.readLine().trim()));
+            BufferedReader output = new BufferedReader(new InputStreamReader(process.getInputStream()));
+            return new TargetProcess(process, Integer.parseInt(output.readLine().trim()));
         }
 
         @Override
@@ -64,6 +65,7 @@
         }
     }
 
+    /** Returns a scenario with one target and one group, and further lines. */
     static Scenario scenario(int port, String more) {
         List<Problem> problems = new ArrayList<>();
         Scenario scenario = Scenario.parse(
@@ -79,8 +81,7 @@
     @Command(
             name = "load-rate",
             mixinStandardHelpOptions = true,
-            description = "The rate reached, beside wrk's on the same "
-                    + "stand-in with the same connections, taken in turn.")
+            description = "Compares the rate with wrk's on the same stand-in and with as many connections, in turn.")
     static final class Rate implements Callable<Integer> {
         @Option(names = "--rounds", paramLabel = "N", description = "pairs (${DEFAULT-VALUE})")
         private int rounds = 5;
@@ -91,46 +92,48 @@
         @Option(names = "--senders", paramLabel = "N", description = "sending threads of each (${DEFAULT-VALUE})")
         private int senders = 2;
 
-        /** The users' aim. */
-        private static final double AIM = 0.7;
+        /** Required share of wrk's rate. */
+        private static final double MIN_RATIO = 0.7;
 
         @Override
         public Integer call() throws IOException, InterruptedException {
-            try (Child target = Child.start(0)) {
-                ours(target.port, 20_000);
-                wrk(target.port);
+            try (TargetProcess target = TargetProcess.start(0)) {
+                runOurs(target.port, 20_000);
+                runWrk(target.port);
                 List<Double> ratios = new ArrayList<>();
                 for (int i = 0; i < rounds; i++) {
-                    double theirs = wrk(target.port);
-                    if (theirs <= 0) {
-                        System.err.println("wrk cannot be run, expected it on the path (package wrk)");
+                    double wrkRate = runWrk(target.port);
+                    if (wrkRate <= 0) {
+                        System.err.println("cannot run wrk, expected it on the path (package wrk)");
                         return Commands.FAILED;
                     }
-                    // Asked for as much as wrk reached: what it answers a second is what is compared.
-                    Result result = ours(target.port, theirs);
-                    double reached = result.all.latency.getTotalCount() / took;
-                    ratios.add(reached / theirs);
+                    // Offers as much as wrk reached and compares the answers per second.
+                    Result result = runOurs(target.port, wrkRate);
+                    double reached = result.all.latency.getTotalCount() / tookSeconds;
+                    ratios.add(reached / wrkRate);
                     System.out.printf(
                             Locale.ROOT,
                             "wrk %.0f/s, ours %.0f/s of as many intended: %.2f; from the intended "
                                     + "start p50 %.2f ms, p99 %.2f ms; from the sending p50 %.2f ms%n",
-                            theirs,
+                            wrkRate,
                             reached,
-                            reached / theirs,
+                            reached / wrkRate,
                             result.all.latency.getValueAtPercentile(50) / 1e3,
                             result.all.latency.getValueAtPercentile(99) / 1e3,
                             result.all.service.getValueAtPercentile(50) / 1e3);
                 }
                 ratios.sort(null);
                 double median = ratios.get(ratios.size() / 2);
-                System.out.printf(Locale.ROOT, "median %.2f of wrk's rate, %.1f aimed at%n", median, AIM);
-                return median >= AIM ? Commands.FINE : Commands.FAILED;
+                System.out.printf(Locale.ROOT, "median %.2f of wrk's rate, %.1f aimed at%n", median, MIN_RATIO);
+                return median >= MIN_RATIO ? Commands.OK : Commands.FAILED;
             }
         }
 
-        private double took;
+        /** Length of the last run, in seconds. */
+        private double tookSeconds;
 
-        private Result ours(int port, double rate) throws IOException {
+        /** Runs this load generator for 5 s. */
+        private Result runOurs(int port, double rate) throws IOException {
             long began = System.nanoTime();
             try (Engine engine = new Engine(scenario(
                     port,
@@ -142,12 +145,13 @@
                             connections,
                             senders)))) {
                 Result result = engine.run(null);
-                took = Math.max(5, (System.nanoTime() - began) / 1e9);
+                tookSeconds = Math.max(5, (System.nanoTime() - began) / 1e9);
                 return result;
             }
         }
 
-        private double wrk(int port) throws IOException, InterruptedException {
+        /** Runs wrk for 5 s and returns its requests per second, or 0 if it cannot be run. */
+        private double runWrk(int port) throws IOException, InterruptedException {
             try {
                 Process process = new ProcessBuilder(
                                 "wrk", "-t" + senders, "-c" + connections, "-d5s", "http://127.0.0.1:" + port + "/")
@@ -155,15 +159,16 @@
                         .start();
                 String text = new String(process.getInputStream().readAllBytes());
                 process.waitFor();
-                Matcher m = Pattern.compile("Requests/sec:\\s*([0-9.]+)").matcher(text);
-                return m.find() ? Double.parseDouble(m.group(1)) : 0;
+                Matcher matcher = Pattern.compile("Requests/sec:\\s*([0-9.]+)").matcher(text);
+                return matcher.find() ? Double.parseDouble(matcher.group(1)) : 0;
             } catch (IOException absent) {
                 return 0;
             }
         }
     }
 
-    private static long heap() throws InterruptedException {
+    /** Returns the bytes of heap in use after garbage collection. */
+    private static long usedHeap() throws InterruptedException {
         for (int i = 0; i < 3; i++) {
             System.gc();
             TimeUnit.MILLISECONDS.sleep(50);
@@ -171,16 +176,19 @@
         return ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed();
     }
 
-    @Command(name = "load-memory", mixinStandardHelpOptions = true, description = "Heap with 10,000 flows in flight.")
+    @Command(
+            name = "load-memory",
+            mixinStandardHelpOptions = true,
+            description = "Measures the heap with 10,000 flows in flight.")
     static final class Memory implements Callable<Integer> {
         @Option(names = "--flows", paramLabel = "N", description = "in flight (${DEFAULT-VALUE})")
         private int flows = 10_000;
 
         @Override
         public Integer call() throws IOException, InterruptedException {
-            // Answers take 8 s, so that flows sent in 4 s are all open from then on.
-            try (Child target = Child.start(8000)) {
-                long before = heap();
+            // Answers take 8 s, so that all flows, sent within 4 s, are open at once.
+            try (TargetProcess target = TargetProcess.start(8000)) {
+                long before = usedHeap();
                 Scenario scenario = scenario(
                         target.port,
                         "rate " + flows / 4 + "\narrivals constant\nlength 4s\n" + "connections " + flows
@@ -193,7 +201,7 @@
                         TimeUnit.MILLISECONDS.sleep(50);
                     }
                     long open = engine.openFlows();
-                    long used = heap() - before;
+                    long used = usedHeap() - before;
                     System.out.printf(
                             Locale.ROOT,
                             "%d flows in flight: %.1f MB of heap, %.1f KB each%n",
@@ -202,7 +210,7 @@
                             used / 1e3 / Math.max(1, open));
                     run.join();
                     System.out.println("outcomes " + result[0].all.outcomes + (result[0].whole() ? "" : " NOT WHOLE"));
-                    return result[0].whole() && open >= flows * 0.99 ? Commands.FINE : Commands.FAILED;
+                    return result[0].whole() && open >= flows * 0.99 ? Commands.OK : Commands.FAILED;
                 }
             }
         }
@@ -211,8 +219,7 @@
     @Command(
             name = "load-trace",
             mixinStandardHelpOptions = true,
-            description =
-                    "Reads a long trace, a hundredth of it out " + "of order and some malformed, in bounded memory.")
+            description = "Reads a long trace, partly out of order and malformed, and measures heap and rate.")
     static final class LongTrace implements Callable<Integer> {
         @Option(names = "--lines", paramLabel = "N", description = "(${DEFAULT-VALUE})")
         private long lines = 10_000_000;
@@ -222,10 +229,10 @@
             Path file = Files.createTempFile("trace", ".log");
             try {
                 write(file);
-                long before = heap();
+                long before = usedHeap();
                 Scenario scenario = scenario(1, "trace " + file + " clf\nlength 6h\n");
                 long count = 0;
-                long most = 0;
+                long mostHeap = 0;
                 long began = System.nanoTime();
                 try (TraceFlows flows = new TraceFlows(scenario)) {
                     long last = 0;
@@ -234,10 +241,10 @@
                         ordered &= flow.startNs() >= last;
                         last = flow.startNs();
                         if (++count % (lines / 10) == 0) {
-                            most = Math.max(most, heap() - before);
+                            mostHeap = Math.max(mostHeap, usedHeap() - before);
                         }
                     }
-                    double s = (System.nanoTime() - began) / 1e9;
+                    double seconds = (System.nanoTime() - began) / 1e9;
                     boolean whole = count + flows.malformed() == flows.lines() && flows.lines() == lines && ordered;
                     System.out.printf(
                             Locale.ROOT,
@@ -249,19 +256,20 @@
                             flows.malformed(),
                             flows.late(),
                             ordered ? "in order" : "NOT IN ORDER",
-                            most / 1e6,
-                            lines / s);
-                    return whole ? Commands.FINE : Commands.FAILED;
+                            mostHeap / 1e6,
+                            lines / seconds);
+                    return whole ? Commands.OK : Commands.FAILED;
                 }
             } finally {
                 Files.delete(file);
             }
         }
 
+        /** Writes the trace in Common Log Format. */
         private void write(Path file) throws IOException {
             try (BufferedWriter out = Files.newBufferedWriter(file)) {
                 for (long i = 0; i < lines; i++) {
-                    // 2,000 lines a second; each hundredth is written up to 3 s late, one in 10,000 is cut.
+                    // 2,000 lines a second; one in 100 is up to 3 s late, one in 10,000 is truncated.
                     long second = i / 2000 - (i % 100 == 0 ? Math.min(i / 2000, i / 100 % 4) : 0);
                     String line = String.format(
                             "10.0.0.%d - - [06/Apr/2026:%02d:%02d:%02d +0200] \"GET /basket/%d HTTP/1.1\"" + " 200 %d",
--- a/src/main/java/puffinbarrow/cli/LoadCommands.java
+++ b/src/main/java/puffinbarrow/cli/LoadCommands.java
@@ -6,11 +6,15 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
+import java.util.Map;
+import java.util.TreeMap;
 import java.util.concurrent.Callable;
+import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import puffinbarrow.config.Problem;
+import puffinbarrow.load.Compare;
 import puffinbarrow.load.Engine;
 import puffinbarrow.load.Flow;
 import puffinbarrow.load.Report;
@@ -21,7 +25,10 @@
 import puffinbarrow.load.Trace;
 import puffinbarrow.load.TraceFlows;
 
-/** The load generator: open arrivals, latency from the intended start, loopback targets only. */
+/**
+ * Commands of the load generator, which sends flows at their intended times whether or not earlier ones have ended (an
+ * open workload), measures latency from the intended start, and accepts loopback targets only.
+ */
 @Command(
         name = "load",
         mixinStandardHelpOptions = true,
@@ -30,15 +37,16 @@
             LoadCommands.Run.class,
             LoadCommands.Shape.class,
             LoadCommands.FromTrace.class,
-            LoadCommands.Compare.class
+            LoadCommands.CompareResults.class
         })
 final class LoadCommands implements Callable<Integer> {
     @Override
     public Integer call() {
-        new picocli.CommandLine(this).usage(System.err);
+        new CommandLine(this).usage(System.err);
         return Commands.USAGE;
     }
 
+    /** Reads a scenario, or prints its problems and returns null. */
     private static Scenario read(Path file) {
         List<Problem> problems = new ArrayList<>();
         Scenario scenario = Scenario.read(file, problems);
@@ -49,24 +57,24 @@
     @Command(
             name = "run",
             mixinStandardHelpOptions = true,
-            description = "Sends a scenario; exit 1 if a flow was lost" + " from sight.")
+            description = "Sends a scenario; exit 1 if flows are unaccounted for or the run was cut short.")
     static final class Run implements Callable<Integer> {
-        @Parameters(paramLabel = "SCENARIO", description = "what to send")
+        @Parameters(paramLabel = "SCENARIO", description = "the scenario file")
         private Path file;
 
         @Option(
                 names = {"-o", "--out"},
                 paramLabel = "FOLDER",
-                description = "where results are written")
+                description = "folder for the results")
         private Path out;
 
         @Option(
                 names = "--record",
                 paramLabel = "FILE",
-                description = "writes the flows as a trace, to be sent exactly" + " so again (.gz zips)")
+                description = "records the flows as a trace that can be sent again exactly (.gz compresses)")
         private Path record;
 
-        @Option(names = "--dry", description = "sends nothing to the targets: says what rate this host can offer")
+        @Option(names = "--dry", description = "sends nothing to the targets; measures what rate this host can offer")
         private boolean dry;
 
         @Override
@@ -76,7 +84,7 @@
                 return Commands.USAGE;
             }
             if (dry) {
-                return LoadBench.dry(scenario);
+                return LoadAccuracyBench.dry(scenario);
             }
             if (scenario.targets.isEmpty()) {
                 System.err.println(file + ":0: no line 'target', expected at least one to send to");
@@ -92,13 +100,13 @@
                 Result result = engine.run(System.out);
                 System.out.print(Report.text(scenario, result));
                 if (trace != null) {
-                    told(trace);
+                    printTrace(trace);
                 }
                 if (out != null) {
                     Report.write(out, Files.readString(file), scenario, result);
                     System.out.println("written to " + out);
                 }
-                return result.whole() && result.cutShort == null ? Commands.FINE : Commands.FAILED;
+                return result.whole() && result.cutShort == null ? Commands.OK : Commands.FAILED;
             }
         }
     }
@@ -106,9 +114,9 @@
     @Command(
             name = "shape",
             mixinStandardHelpOptions = true,
-            description = "Draws a scenario's arrivals without sending.")
+            description = "Plots a scenario's arrivals without sending.")
     static final class Shape implements Callable<Integer> {
-        @Parameters(paramLabel = "SCENARIO", description = "what to draw")
+        @Parameters(paramLabel = "SCENARIO", description = "the scenario file")
         private Path file;
 
         @Override
@@ -118,20 +126,20 @@
                 return Commands.USAGE;
             }
             try (Source source = Engine.source(scenario)) {
-                draw(source);
+                plotArrivals(source);
                 if (source instanceof TraceFlows trace) {
-                    told(trace);
+                    printTrace(trace);
                 }
-                return Commands.FINE;
-            } catch (Trace.TooManyMalformed wrong) {
-                System.err.println(wrong.getMessage());
+                return Commands.OK;
+            } catch (Trace.TooManyMalformed e) {
+                System.err.println(e.getMessage());
                 return Commands.FAILED;
             }
         }
     }
 
-    /** A bar a second, or a longer step so that sixty lines hold it. */
-    private static void draw(Source source) throws IOException {
+    /** Prints a bar for each second, or for each longer step so that sixty lines suffice. */
+    private static void plotArrivals(Source source) throws IOException {
         List<Long> counts = new ArrayList<>();
         for (Flow flow = source.next(); flow != null; flow = source.next()) {
             int second = (int) (flow.startNs() / 1_000_000_000L);
@@ -156,7 +164,8 @@
                 "%d flows in %d s%n", counts.stream().mapToLong(Long::longValue).sum(), counts.size());
     }
 
-    private static void told(TraceFlows trace) {
+    /** Prints what was read from a trace and examples of what was malformed. */
+    private static void printTrace(TraceFlows trace) {
         System.out.printf(
                 "trace: %s, %d lines, %d malformed, %d later than could be put in order, %d of no group%n",
                 trace.format().name().toLowerCase(Locale.ROOT),
@@ -170,64 +179,73 @@
     @Command(
             name = "trace",
             mixinStandardHelpOptions = true,
-            description =
-                    "Reads a recorded trace and writes a scenario" + " to send it by; exit 1 if too much is malformed.")
+            description = "Reads a recorded trace and writes a scenario that sends it;"
+                    + " exit 1 if too many lines are malformed.")
     static final class FromTrace implements Callable<Integer> {
-        /** So many beginnings of paths become groups of their own. */
-        private static final int GROUPS = 5;
+        /** The most frequent path prefixes become traffic groups of their own, at most this many. */
+        private static final int MAX_GROUPS = 5;
+
+        /** Bounds memory on traces whose paths are all different. */
+        private static final int MAX_PREFIXES = 10_000;
 
         @Parameters(paramLabel = "FILE", description = "Common or Combined Log Format, CSV, JSON lines, HAR; .gz too")
         private Path file;
 
-        @Option(names = "--format", paramLabel = "clf|csv|json|har", description = "if its first bytes mislead")
+        @Option(
+                names = "--format",
+                paramLabel = "clf|csv|json|har",
+                description = "the trace's format, if its first bytes mislead")
         private String format;
 
         @Option(names = "--column", paramLabel = "FIELD=NAME", description = "names a column, such as time=started_at")
-        private java.util.Map<String, String> columns = java.util.Map.of();
+        private Map<String, String> columns = Map.of();
 
         @Option(
                 names = "--malformed",
                 paramLabel = "SHARE",
-                description = "the share of lines that may be (${DEFAULT-VALUE})")
-        private double malformed = 0.01;
+                description = "the largest share of malformed lines (${DEFAULT-VALUE})")
+        private double maxMalformed = 0.01;
 
         @Option(
                 names = {"-o", "--out"},
                 paramLabel = "SCENARIO",
-                description = "writes a scenario with a group for each" + " common beginning of paths")
+                description = "writes a scenario with a group for each common path prefix")
         private Path out;
 
         @Override
         public Integer call() throws IOException {
             Scenario.FromTrace plan = new Scenario.FromTrace();
             plan.file = file;
-            plan.malformedShare = malformed;
+            plan.malformedShare = maxMalformed;
             plan.columns.putAll(columns);
             if (format != null) {
                 try {
                     plan.format = Trace.Format.valueOf(format.toUpperCase(Locale.ROOT));
-                } catch (IllegalArgumentException wrong) {
+                } catch (IllegalArgumentException e) {
                     System.err.println("--format: '" + format + "', expected one of clf, csv, json, har");
                     return Commands.USAGE;
                 }
             }
-            java.util.Map<String, Long> paths = new java.util.TreeMap<>();
+            Map<String, Long> prefixes = new TreeMap<>();
             long count = 0;
             long first = Long.MAX_VALUE;
             long last = Long.MIN_VALUE;
-            int exit = Commands.FINE;
+            int exit = Commands.OK;
             try (Trace trace = new Trace(plan)) {
                 try {
-                    for (Trace.Entry e = trace.next(); e != null; e = trace.next()) {
+                    for (Trace.Entry entry = trace.next(); entry != null; entry = trace.next()) {
                         count++;
-                        first = Math.min(first, e.atNs());
-                        last = Math.max(last, e.atNs());
-                        String path = begin(e.path());
-                        // Only so many kinds are told apart: a trace of unlike paths must not fill the memory.
-                        paths.merge(paths.size() < 10_000 || paths.containsKey(path) ? path : "/", 1L, Long::sum);
+                        first = Math.min(first, entry.atNs());
+                        last = Math.max(last, entry.atNs());
+                        String prefix = pathPrefix(entry.path());
+                        // Beyond the limit, new prefixes count as "/".
+                        prefixes.merge(
+                                prefixes.size() < MAX_PREFIXES || prefixes.containsKey(prefix) ? prefix : "/",
+                                1L,
+                                Long::sum);
                     }
-                } catch (Trace.TooManyMalformed wrong) {
-                    System.err.println(wrong.getMessage());
+                } catch (Trace.TooManyMalformed e) {
+                    System.err.println(e.getMessage());
                     exit = Commands.FAILED;
                 }
                 double seconds = count == 0 ? 0 : (last - first) / 1e9;
@@ -241,25 +259,26 @@
                         seconds > 0 ? count / seconds : 0);
                 trace.shown().forEach(System.out::println);
             }
-            List<java.util.Map.Entry<String, Long>> most = new ArrayList<>(paths.entrySet());
-            most.sort(java.util.Map.Entry.<String, Long>comparingByValue().reversed());
-            for (var path : most.subList(0, Math.min(20, most.size()))) {
+            List<Map.Entry<String, Long>> prefixesByCount = new ArrayList<>(prefixes.entrySet());
+            prefixesByCount.sort(Map.Entry.<String, Long>comparingByValue().reversed());
+            for (var prefix : prefixesByCount.subList(0, Math.min(20, prefixesByCount.size()))) {
                 System.out.printf(
                         Locale.ROOT,
                         "%8d  %5.1f%%  %s%n",
-                        path.getValue(),
-                        100.0 * path.getValue() / count,
-                        path.getKey());
+                        prefix.getValue(),
+                        100.0 * prefix.getValue() / count,
+                        prefix.getKey());
             }
-            if (out != null && exit == Commands.FINE) {
-                Files.writeString(out, scenario(most.subList(0, Math.min(GROUPS, most.size()))));
+            if (out != null && exit == Commands.OK) {
+                Files.writeString(
+                        out, scenario(prefixesByCount.subList(0, Math.min(MAX_GROUPS, prefixesByCount.size()))));
                 System.out.println("written to " + out + "; add its targets, budgets and expiries");
             }
             return exit;
         }
 
-        /** The first part of a path, which is how most sites tell kinds of work apart. */
-        private static String begin(String path) {
+        /** Returns the first segment of a path, by which most sites tell kinds of work apart. */
+        private static String pathPrefix(String path) {
             if (path == null) {
                 return "/";
             }
@@ -270,7 +289,8 @@
             return path.substring(0, Math.min(end, path.length()));
         }
 
-        private String scenario(List<java.util.Map.Entry<String, Long>> most) {
+        /** Returns the text of a scenario that sends the trace. */
+        private String scenario(List<Map.Entry<String, Long>> commonPrefixes) {
             StringBuilder text = new StringBuilder("trace " + file + (format == null ? "" : " " + format) + "\n");
             columns.forEach((field, name) -> text.append("column ")
                     .append(field)
@@ -279,14 +299,14 @@
                     .append('\n'));
             text.append("target 127.0.0.1:8080\n");
             int number = 0;
-            for (var path : most) {
+            for (var prefix : commonPrefixes) {
                 text.append("group g")
                         .append(number++)
                         .append(" share ")
-                        .append(path.getValue())
+                        .append(prefix.getValue())
                         .append(" utility 1 budget 1s expiry 5s path ")
-                        .append(path.getKey());
-                text.append(path.getKey().equals("/") ? "\n" : " match " + path.getKey() + "\n");
+                        .append(prefix.getKey());
+                text.append(prefix.getKey().equals("/") ? "\n" : " match " + prefix.getKey() + "\n");
             }
             return text.append("group rest share 1 utility 1 budget 1s expiry 5s path /\n")
                     .toString();
@@ -296,8 +316,8 @@
     @Command(
             name = "compare",
             mixinStandardHelpOptions = true,
-            description = "Sets two result folders side by side and" + " says what is noise.")
-    static final class Compare implements Callable<Integer> {
+            description = "Compares two result folders and tells differences from noise.")
+    static final class CompareResults implements Callable<Integer> {
         @Parameters(index = "0", paramLabel = "A")
         private Path a;
 
@@ -306,8 +326,8 @@
 
         @Override
         public Integer call() throws IOException {
-            System.out.print(puffinbarrow.load.Compare.text(a, b, 1));
-            return Commands.FINE;
+            System.out.print(Compare.text(a, b, 1));
+            return Commands.OK;
         }
     }
 }
--- a/src/main/java/puffinbarrow/cli/Logs.java
+++ b/src/main/java/puffinbarrow/cli/LogSetup.java
@@ -10,23 +10,24 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Sets the log's form and level: text for people or a JSON object a line, to standard error. */
-final class Logs {
-    private Logs() {}
+/** Configures logging to standard error: text or one JSON object per line, at a level. */
+final class LogSetup {
+    private LogSetup() {}
 
-    static void set(boolean json, String level) {
+    /** Replaces the logging configuration; an unknown level counts as info. */
+    static void configure(boolean json, String level) {
         LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
         context.reset();
         Encoder<ILoggingEvent> encoder;
         if (json) {
-            LogstashEncoder lines = new LogstashEncoder();
-            lines.setContext(context);
-            encoder = lines;
+            LogstashEncoder jsonEncoder = new LogstashEncoder();
+            jsonEncoder.setContext(context);
+            encoder = jsonEncoder;
         } else {
-            PatternLayoutEncoder lines = new PatternLayoutEncoder();
-            lines.setContext(context);
-            lines.setPattern("%d{HH:mm:ss.SSS} %-5level %logger{0} - %msg %kvp%n");
-            encoder = lines;
+            PatternLayoutEncoder textEncoder = new PatternLayoutEncoder();
+            textEncoder.setContext(context);
+            textEncoder.setPattern("%d{HH:mm:ss.SSS} %-5level %logger{0} - %msg %kvp%n");
+            encoder = textEncoder;
         }
         encoder.start();
         ConsoleAppender<ILoggingEvent> appender = new ConsoleAppender<>();
--- a/src/main/java/puffinbarrow/cli/Main.java
+++ b/src/main/java/puffinbarrow/cli/Main.java
@@ -7,10 +7,14 @@
 import puffinbarrow.wire.MalformedBatch;
 import puffinbarrow.wire.WireHost;
 
-/** The command line's door. {@code wirehost} and {@code serve} go straight to their rooms and load nothing else. */
+/**
+ * Entry point of the program. {@code wirehost} and {@code serve} are handled here, without loading the command-line
+ * library; everything else goes to {@link Commands}.
+ */
 public final class Main {
     private Main() {}
 
+    /** Runs the command that the arguments name and exits with its code. */
     public static void main(String[] args) throws IOException {
         if (args.length == 1 && args[0].equals("wirehost")) {
             wirehost();
@@ -21,49 +25,54 @@
         }
     }
 
-    /** In the foreground until it is told to end; the platform says all else by the file that RELAY_CONFIG names. */
+    /**
+     * Runs the service in the foreground until it is told to end, with the configuration file that the environment
+     * variable RELAY_CONFIG names. Returns the exit code.
+     */
     private static int serve() {
         String file = System.getenv("RELAY_CONFIG");
         if (file == null) {
-            System.err.println("puffinbarrow: serve wants RELAY_CONFIG, the configuration's file");
+            System.err.println("puffinbarrow: serve needs the path of its configuration file in RELAY_CONFIG");
             return 2;
         }
-        // Before anything else: the machine's own answer to either would end the process as if it had failed.
+        // Installed before anything else: by default the JVM ends with a failure code on either signal.
         Signals.on("TERM", () -> Runtime.getRuntime().halt(0));
         Reloads reloads = new Reloads();
-        if (!Signals.on("HUP", reloads::signalled)) {
-            System.out.println("signals.ignored HUP: started with it ignored; new configurations wait for a restart");
+        if (!Signals.on("HUP", reloads::request)) {
+            System.out.println(
+                    "signals.ignored HUP: ignored since the start of the process; a new configuration needs a restart");
         }
         try (Service service = new Service(Path.of(file), Logic::new)) {
-            reloads.goTo(service);
+            reloads.attach(service);
             return service.run() ? 1 : 0;
-        } catch (IOException | RuntimeException wrong) {
-            System.err.println("puffinbarrow: " + file + ": " + wrong);
+        } catch (IOException | RuntimeException e) {
+            System.err.println("puffinbarrow: " + file + ": " + e);
             return 2;
         }
     }
 
-    /** Signals to read the configuration again; one that comes before the service stands is kept for it. */
+    /** Passes requests to reload the configuration to the service; one from before its start is kept until then. */
     private static final class Reloads {
         private Service service;
-        private boolean missed;
+        private boolean pending;
 
-        synchronized void signalled() {
+        synchronized void request() {
             if (service == null) {
-                missed = true;
+                pending = true;
             } else {
                 service.reload();
             }
         }
 
-        synchronized void goTo(Service up) {
-            service = up;
-            if (missed) {
-                up.reload();
+        synchronized void attach(Service started) {
+            service = started;
+            if (pending) {
+                started.reload();
             }
         }
     }
 
+    /** Hosts the decision logic on standard input and output. */
     private static void wirehost() throws IOException {
         try {
             new WireHost(Logic::new).run(System.in, System.out);
--- a/src/main/java/puffinbarrow/cli/MemoryCommands.java
+++ b/src/main/java/puffinbarrow/cli/MemoryCommands.java
@@ -5,17 +5,18 @@
 import java.util.Locale;
 import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
+import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import puffinbarrow.memory.Facts;
 import puffinbarrow.memory.Inspect;
 
-/** Looks into a coordinator's memory folder, live or dead; only {@code compact} writes. */
+/** Inspects the memory folder of a running or stopped coordinator; only {@code compact} writes to it. */
 @Command(
         name = "memory",
         mixinStandardHelpOptions = true,
-        description = "Looks into a coordinator's memory.",
+        description = "Inspects a coordinator's memory.",
         subcommands = {
             MemoryCommands.Show.class,
             MemoryCommands.Verify.class,
@@ -25,13 +26,13 @@
 final class MemoryCommands implements Callable<Integer> {
     @Override
     public Integer call() {
-        new picocli.CommandLine(this).usage(System.err);
+        new CommandLine(this).usage(System.err);
         return Commands.USAGE;
     }
 
-    @Command(name = "show", mixinStandardHelpOptions = true, description = "What is kept, in a few lines.")
+    @Command(name = "show", mixinStandardHelpOptions = true, description = "Prints a summary of the memory.")
     static final class Show implements Callable<Integer> {
-        @Parameters(paramLabel = "FOLDER", description = "the memory's folder")
+        @Parameters(paramLabel = "FOLDER", description = "the memory folder")
         private Path folder;
 
         @Override
@@ -64,55 +65,55 @@
                     .map(f -> (Facts.OfServer) f)
                     .forEach(s -> System.out.println("  " + s.id() + " " + s.standing() + ", fell "
                             + s.falls().size() + " times, hold " + s.holdNs() / 1_000_000 + " ms"));
-            return Commands.FINE;
+            return Commands.OK;
         }
     }
 
     @Command(
             name = "verify",
             mixinStandardHelpOptions = true,
-            description = "Whether there is a whole state; exit 1 if not.")
+            description = "Checks that a complete state can be read; exit 1 if not.")
     static final class Verify implements Callable<Integer> {
-        @Parameters(paramLabel = "FOLDER", description = "the memory's folder")
+        @Parameters(paramLabel = "FOLDER", description = "the memory folder")
         private Path folder;
 
         @Override
         public Integer call() throws IOException {
             Inspect.Found found = Inspect.look(folder);
             found.words().forEach(System.out::println);
-            return found.whole() ? Commands.FINE : Commands.FAILED;
+            return found.whole() ? Commands.OK : Commands.FAILED;
         }
     }
 
     @Command(
             name = "compact",
             mixinStandardHelpOptions = true,
-            description = "Writes one snapshot of what is believed; the folder must be nobody's.")
+            description = "Rewrites the memory as one snapshot; no coordinator may be using the folder.")
     static final class Compact implements Callable<Integer> {
-        @Parameters(paramLabel = "FOLDER", description = "the memory's folder")
+        @Parameters(paramLabel = "FOLDER", description = "the memory folder")
         private Path folder;
 
-        @Option(names = "--at-most", paramLabel = "BYTES", description = "the most it may take (${DEFAULT-VALUE})")
-        private long cap = 64 << 20;
+        @Option(names = "--at-most", paramLabel = "BYTES", description = "largest size (${DEFAULT-VALUE})")
+        private long maxBytes = 64 << 20;
 
         @Override
         public Integer call() throws IOException {
             Inspect.look(folder);
-            Inspect.compact(folder, cap).forEach(System.out::println);
-            return Commands.FINE;
+            Inspect.compact(folder, maxBytes).forEach(System.out::println);
+            return Commands.OK;
         }
     }
 
-    @Command(name = "export", mixinStandardHelpOptions = true, description = "All facts as JSON, one a line.")
+    @Command(name = "export", mixinStandardHelpOptions = true, description = "Prints all facts as JSON, one per line.")
     static final class Export implements Callable<Integer> {
-        @Parameters(paramLabel = "FOLDER", description = "the memory's folder")
+        @Parameters(paramLabel = "FOLDER", description = "the memory folder")
         private Path folder;
 
         @Override
         public Integer call() throws IOException {
             Inspect.export(Inspect.look(folder).image(), System.out);
             System.out.flush();
-            return Commands.FINE;
+            return Commands.OK;
         }
     }
 }
--- a/src/main/java/puffinbarrow/cli/Signals.java
+++ b/src/main/java/puffinbarrow/cli/Signals.java
@@ -1,21 +1,26 @@
 package puffinbarrow.cli;
 
-import sun.misc.Signal;
-import sun.misc.SignalHandler;
+import org.slf4j.LoggerFactory;
 
-/** Signals of the system; where one is not to be had, the daemon goes without it. */
+/** Handles signals of the operating system; a signal that the system does not have is logged and passed over. */
 final class Signals {
     private Signals() {}
 
-    /** False if it will never be heard: whoever started the process had it ignored, as nohup does with HUP. */
+    /**
+     * Runs the work on each arrival of a signal, on a thread of the JVM. Returns false if the signal will never arrive:
+     * the system does not have it, or the process was started with it ignored, as nohup does with HUP.
+     *
+     * @param name without SIG, such as TERM
+     */
     static boolean on(String name, Runnable work) {
         try {
-            return Signal.handle(new Signal(name), signal -> work.run()) != SignalHandler.SIG_IGN;
-        } catch (IllegalArgumentException unknownHere) {
-            org.slf4j.LoggerFactory.getLogger("puffinbarrow.coordinator")
+            return sun.misc.Signal.handle(new sun.misc.Signal(name), signal -> work.run())
+                    != sun.misc.SignalHandler.SIG_IGN;
+        } catch (IllegalArgumentException unsupported) {
+            LoggerFactory.getLogger("puffinbarrow.coordinator")
                     .atWarn()
                     .addKeyValue("signal", name)
-                    .log("not handled on this system");
+                    .log("signal not supported on this system");
             return false;
         }
     }
--- a/src/main/java/puffinbarrow/day/Day.java
+++ b/src/main/java/puffinbarrow/day/Day.java
@@ -12,8 +12,10 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
+import java.util.Objects;
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
+import java.util.stream.IntStream;
 import java.util.stream.Stream;
 import puffinbarrow.audit.Audit;
 import puffinbarrow.audit.Recorder;
@@ -34,74 +36,123 @@
 
 /**
  * Plays a scripted day on loopback: real coordinators between stand-in backends, proxies, clients, registry and store,
- * all in one process and on one clock. What the sockets carried is recorded and judged at the end.
+ * all on one clock. Coordinators run in this process or as child processes, everything else in this process. What the
+ * sockets carried is recorded and audited at the end.
+ *
+ * <p>The command line and the tests call {@link #run} on their own thread, which waits for the day's end; faults are
+ * applied on the timer thread of {@link Net}, and load is sent on threads of the load generator.
  */
 public final class Day implements AutoCloseable {
-    /** How a day may be bent to prove that the audit sees it: other decisions, or other limits in the coordinator. */
-    public record Bend(Controller.Factory decisions, List<String> settings) {}
-
-    /** A million records are a minute at a few hundred flows a second; a day that needs more says so. */
-    private static final long RECORDS = 8_000_000;
-
+    /**
+     * What the coordinators of a day run with. Tests replace it by faulty decisions or other limits to prove that the
+     * audit notices.
+     *
+     * @param decisions makes the decision logic of each coordinator
+     * @param settings lines that replace coordinator settings; the audit judges by the unchanged ones
+     */
+    public record Overrides(Controller.Factory decisions, List<String> settings) {}
+
+    /**
+     * Capacity of the recorder. A minute at a few hundred flows a second takes a million records; the report of a day
+     * that needs more than the capacity says so.
+     */
+    private static final long MAX_RECORDS = 8_000_000;
+
+    /** Nanoseconds in a second. */
     private static final long SECOND = 1_000_000_000L;
 
     private final Script script;
-    private final List<String> processes;
-    private final Path folder;
+    /** This program's command line, for coordinators as child processes; null for coordinators in this process. */
+    private final List<String> command;
+
+    /** Settings, port-files and logs of child processes; null without them. */
+    private final Path processFolder;
+
     private final PrintStream out;
-    private final Bend bend;
-    private final Recorder recorder = new Recorder(RECORDS);
+    private final Overrides overrides;
+    private final Recorder recorder = new Recorder(MAX_RECORDS);
     private final Net net;
     private final Registry registry;
     private final Store store;
-    private final CoordinatorConfig judged;
-    private final Map<Integer, Runner> coordinators = new TreeMap<>();
+
+    /** Settings without overrides, which stand-ins and the audit go by. */
+    private final CoordinatorConfig config;
+
+    private final Map<Integer, CoordinatorHandle> coordinators = new TreeMap<>();
+
+    /** Addresses of coordinators by number, kept when one ends so that it restarts at the same address. */
     private final Map<Integer, InetSocketAddress> addresses = new TreeMap<>();
+
     private final List<PlainProxy> proxies = new ArrayList<>();
-    /** In the order they were made, not of their ports: the same seed strikes the same ones in every run. */
+    /**
+     * By id, in the order of creation and not of their ports, so that the same seed strikes the same backends in every
+     * run.
+     */
     private final Map<String, Backend> backends = new LinkedHashMap<>();
 
-    private final Path memories;
+    /** Memory folders of coordinators; null if the script keeps no memory. */
+    private final Path memoryFolder;
+
     private final Strikes strikes;
+
+    /** What was done to the fleet, one line for each step. */
     private final List<String> log = Collections.synchronizedList(new ArrayList<>());
+
     private final Plan plan;
+
+    /** Flows that ended, in the order of their ends. */
     private final List<Ended> ended = Collections.synchronizedList(new ArrayList<>());
-    private final List<Double> parts = new ArrayList<>();
+
+    /** Each proxy's weight in the traffic. */
+    private final List<Double> weights = new ArrayList<>();
+
     private Engine clients;
-    private int made;
+
+    /** Number of backends created so far. */
+    private int backendsCreated;
+
+    /** When the day began, in ns of {@link System#nanoTime}. */
     private long beganAt;
 
-    public Day(Script script, PrintStream out, Bend bend) throws IOException {
-        this(script, out, bend, null);
+    /** Prepares a day whose coordinators run in this process. */
+    public Day(Script script, PrintStream out, Overrides overrides) throws IOException {
+        this(script, out, overrides, null);
     }
 
-    /** @param processes null, or this program's command line: each coordinator is a process of its own */
-    public Day(Script script, PrintStream out, Bend bend, List<String> processes) throws IOException {
-        this.processes = processes;
-        this.folder = processes == null ? null : Files.createTempDirectory("puffinbarrow-processes");
+    /**
+     * Prepares a day.
+     *
+     * @param out receives progress and what is done to the fleet
+     * @param command the command line of this program, which makes each coordinator a child process; null to run
+     *     coordinators in this process
+     */
+    public Day(Script script, PrintStream out, Overrides overrides, List<String> command) throws IOException {
+        this.command = command;
+        this.processFolder = command == null ? null : Files.createTempDirectory("puffinbarrow-processes");
         this.script = script;
         this.out = out;
-        this.bend = bend;
+        this.overrides = overrides;
         this.plan = new Plan(script);
-        this.strikes = new Strikes(new OnSockets(), plan.chance());
-        this.memories = script.memory ? Files.createTempDirectory("puffinbarrow-day") : null;
+        this.strikes = new Strikes(new SocketFleet(), plan.chance());
+        this.memoryFolder = script.memory ? Files.createTempDirectory("puffinbarrow-day") : null;
         this.net = new Net("fleet", 4);
-        this.judged = plan.config(0, List.of());
-        this.registry = new Registry(net, recorder, plan.source(2), script.noticeLowNs, script.noticeHighNs);
+        this.config = plan.config(0, List.of());
+        this.registry = new Registry(net, recorder, plan.randomSource(2), script.noticeLowNs, script.noticeHighNs);
         this.store = new Store(
-                net, recorder, script.slices, script.coordinators, judged.soleOwner, script.takeoverNs / 1_000_000);
+                net, recorder, script.slices, script.coordinators, config.soleOwner, script.takeoverNs / 1_000_000);
     }
 
-    private CoordinatorConfig config(int number, List<String> more) {
-        return Plan.parse(lines(number, more));
+    private CoordinatorConfig coordinatorConfig(int number, List<String> more) {
+        return Plan.parse(settingsLines(number, more));
     }
 
-    private List<String> lines(int number, List<String> more) {
+    /** Returns a coordinator's settings with the addresses of this day. */
+    private List<String> settingsLines(int number, List<String> more) {
         List<String> lines = plan.settings(number, more);
         lines.add("registry " + Net.text(registry.address()) + (script.ask ? " ask" : " push"));
         lines.add("store " + Net.text(store.address()));
-        if (memories != null) {
-            lines.add("memory " + memories.resolve("c" + number));
+        if (memoryFolder != null) {
+            lines.add("memory " + memoryFolder.resolve("c" + number));
         }
         if (addresses.containsKey(number)) {
             lines.add("listen " + Net.text(addresses.get(number)));
@@ -109,17 +160,17 @@
         return lines;
     }
 
-    // ---- Setting up.
+    // ---- Fleet
 
-    private Backend backend() throws IOException {
-        int zone = made % script.zones;
+    private Backend createBackend() throws IOException {
+        int zone = backendsCreated % script.zones;
         double speed = plan.speed();
         Backend backend = new Backend(
                 net,
                 new Backend.Shape(
                         zone,
                         0,
-                        made / 4,
+                        backendsCreated / 4,
                         script.cores,
                         speed,
                         script.cores * 8,
@@ -128,35 +179,37 @@
                         script.coldNs,
                         0.3,
                         60 * script.cores,
-                        Plan.dedupNs(judged)),
+                        Plan.dedupNs(config)),
                 recorder,
-                plan.source(1000 + made),
-                judged.fallMultiple,
-                judged.fallNs);
-        made++;
+                plan.randomSource(1000 + backendsCreated),
+                config.fallMultiple,
+                config.fallNs);
+        backendsCreated++;
         backends.put(backend.id(), backend);
         return backend;
     }
 
-    private void start(int number) throws IOException {
-        Runner coordinator;
+    /** Starts a coordinator and tells it the addresses of those that run. */
+    private void startCoordinator(int number) throws IOException {
+        CoordinatorHandle coordinator;
         try {
-            coordinator = processes == null
-                    ? Runner.within(config(number, bend.settings()), bend.decisions())
-                    : Runner.process(
+            coordinator = command == null
+                    ? CoordinatorHandle.inProcess(
+                            coordinatorConfig(number, overrides.settings()), overrides.decisions())
+                    : CoordinatorHandle.childProcess(
                             number,
-                            String.join("\n", lines(number, bend.settings())) + "\n",
-                            processes,
-                            folder,
+                            String.join("\n", settingsLines(number, overrides.settings())) + "\n",
+                            command,
+                            processFolder,
                             store::cut);
-        } catch (InterruptedException stopped) {
+        } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             return;
         }
         synchronized (coordinators) {
             coordinators.put(number, coordinator);
             addresses.put(number, coordinator.address());
-            coordinators.forEach((other, there) -> {
+            coordinators.forEach((other, handle) -> {
                 if (other != number) {
                     coordinator.connectPeer(other, addresses.get(other));
                 }
@@ -164,71 +217,75 @@
         }
     }
 
-    /** Starts the fleet, plays the script to its end and answers what came of it. */
-    public Page run() throws IOException, InterruptedException {
+    /**
+     * Starts the fleet, plays the script to its end and returns the report. Blocks for the length of the day and until
+     * all flows have ended.
+     */
+    public DayReport run() throws IOException, InterruptedException {
         out.println("seed " + script.seed);
         for (int i = 0; i < script.backends; i++) {
-            registry.set(Plan.entry(machine(backend()), Event.Listed.READY));
+            registry.set(Plan.entry(machine(createBackend()), Event.Listed.READY));
         }
         List<String> ids = new ArrayList<>(backends.keySet());
         for (int i = 0; i < script.slices; i++) {
             store.begin(i, ids.get(i % ids.size()));
         }
         for (int i = 0; i < script.coordinators; i++) {
-            start(i);
+            startCoordinator(i);
         }
-        // Peers that started before a later one learn its address now.
+        // Coordinators learn the addresses of those that started after them.
         coordinators.forEach((number, coordinator) -> addresses.forEach((other, address) -> {
             if (other > number) {
                 coordinator.connectPeer(other, address);
             }
         }));
-        PlainProxy.Habits habits =
+        PlainProxy.Habits proxyHabits =
                 new PlainProxy.Habits(script.transitNs, 30_000, script.sumsLateNs, 8, 4 * SECOND, 200_000_000L, 1.2);
         for (int i = 0; i < script.proxies; i++) {
-            PlainProxy proxy =
-                    new PlainProxy(net, i, i % script.zones, judged, habits, recorder, plan.source(5000 + i));
+            PlainProxy proxy = new PlainProxy(
+                    net, i, i % script.zones, config, proxyHabits, recorder, plan.randomSource(5000 + i));
             proxies.add(proxy);
             proxy.start(store.address(), addresses);
-            parts.add(plan.part());
+            weights.add(plan.part());
         }
-        settle();
+        awaitReady();
         Scenario scenario =
-                plan.traffic(judged, proxies.stream().map(PlainProxy::address).toList(), parts);
+                plan.traffic(config, proxies.stream().map(PlainProxy::address).toList(), weights);
         clients = new Engine(scenario, new Arrivals(scenario), ended::add);
         clients.prepare();
         beganAt = System.nanoTime();
         Result[] result = new Result[1];
-        Thread sending = new Thread(() -> result[0] = clients.run(null, beganAt), "day-clients");
-        sending.setDaemon(true);
-        sending.start();
-        for (Script.Trouble trouble : script.troubles) {
-            net.timer().schedule(() -> strikes.strike(trouble), trouble.atNs(), TimeUnit.NANOSECONDS);
-        }
-        follow();
-        // Each flow ends by its expiry at the latest, by the generator's own time-outs.
-        sending.join(Plan.longestExpiry(judged) / 1_000_000 + 10_000);
+        Thread clientThread = new Thread(() -> result[0] = clients.run(null, beganAt), "day-clients");
+        clientThread.setDaemon(true);
+        clientThread.start();
+        for (Script.Trouble fault : script.troubles) {
+            net.timer().schedule(() -> strikes.strike(fault), fault.atNs(), TimeUnit.NANOSECONDS);
+        }
+        printProgress();
+        // The load generator times each flow out by its expiry.
+        clientThread.join(Plan.longestExpiry(config) / 1_000_000 + 10_000);
         if (result[0] == null) {
-            throw new IllegalStateException(clients.openFlows() + " flows open after their expiry");
+            throw new IllegalStateException(
+                    clients.openFlows() + " flows are still open 10 s after the longest expiry");
         }
-        Map<Integer, Map<String, Double>> figures = new TreeMap<>();
-        coordinators.forEach((number, c) -> figures.put(number, c.figures()));
+        Map<Integer, Map<String, Double>> metrics = new TreeMap<>();
+        coordinators.forEach((number, c) -> metrics.put(number, c.metrics()));
         List<Seen> seen = recorder.all();
         List<Ended> flows = List.copyOf(ended);
         Audit.Verdict verdict = Audit.judge(plan.stretched(), seen, beganAt);
-        return new Page(
+        return new DayReport(
                 script,
-                judged,
+                config,
                 verdict,
                 flows,
                 scenario,
                 result[0],
                 beganAt,
                 recorder.lost(),
-                figures,
+                metrics,
                 List.copyOf(log),
-                Signs.of(script, seen, flows, beganAt),
-                script.leaseNs > 0 ? Silence.of(script, seen, beganAt) : "",
+                FaultEffects.summary(script, seen, flows, beganAt),
+                script.leaseNs > 0 ? TakeoverTimes.summary(script, seen, beganAt) : "",
                 store.handed(),
                 store.moves(),
                 store.refusedWrites(),
@@ -237,146 +294,152 @@
                         .filter(Backend::fell)
                         .map(Backend::id)
                         .toList(),
-                sentToStruck(seen));
+                attemptsAtUnstable(seen));
     }
 
-    /** Attempts at servers that flap or were drained, in the ten seconds after each coordinator's restart. */
-    private long sentToStruck(List<Seen> seen) {
+    /** Counts attempts at servers that were made to flap or drain, in the 10 s after each coordinator's restart. */
+    private long attemptsAtUnstable(List<Seen> seen) {
         long count = 0;
-        for (Script.Trouble t : script.troubles) {
-            long from = beganAt + t.atNs() + t.forNs();
-            count += t.kind() != Script.Kind.KILL
+        for (Script.Trouble fault : script.troubles) {
+            long from = beganAt + fault.atNs() + fault.forNs();
+            count += fault.kind() != Script.Kind.KILL
                     ? 0
                     : seen.stream()
                             .filter(s -> s instanceof Seen.Sent sent
                                     && sent.at() >= from
                                     && sent.at() < from + 10 * SECOND
-                                    && strikes.struck().contains(sent.server()))
+                                    && strikes.unstable().contains(sent.server()))
                             .count();
         }
         return count;
     }
 
-    /** Until each proxy has each table and its streams, half a minute at most, as a loaded machine takes several seconds. */
-    private void settle() throws InterruptedException {
+    /**
+     * Blocks until each proxy has its tables and its streams, 30 s at most, as a machine under load takes several
+     * seconds.
+     */
+    private void awaitReady() throws InterruptedException {
         long until = System.nanoTime() + 30 * SECOND;
         while (System.nanoTime() < until) {
             boolean ready = proxies.stream()
                             .allMatch(p -> !p.open(script.slices - 1).isEmpty()
                                     && !p.open(0).isEmpty())
-                    && java.util.stream.IntStream.range(0, script.slices).allMatch(slice -> store.owner(slice) >= 0)
+                    && IntStream.range(0, script.slices).allMatch(slice -> store.owner(slice) >= 0)
                     && coordinators.values().stream()
-                            .allMatch(c -> c.figures().getOrDefault("streams.joined", 0.0) == script.proxies);
+                            .allMatch(c -> c.metrics().getOrDefault("streams.joined", 0.0) == script.proxies);
             if (ready) {
                 Thread.sleep(300);
                 return;
             }
             Thread.sleep(20);
         }
-        throw new IllegalStateException("the fleet did not come up within 30 s");
+        throw new IllegalStateException("the fleet was not ready within 30 s");
     }
 
-    private void follow() throws InterruptedException {
+    /** Prints a line every five seconds until the day's end. */
+    private void printProgress() throws InterruptedException {
         long next = beganAt;
-        int seen = 0;
+        int printed = 0;
         while (System.nanoTime() - beganAt < script.lengthNs) {
             Thread.sleep(50);
             if (System.nanoTime() >= next + 5 * SECOND) {
                 next += 5 * SECOND;
-                List<Ended> so = List.copyOf(ended);
-                long good = so.subList(seen, so.size()).stream()
+                List<Ended> flows = List.copyOf(ended);
+                long inBudget = flows.subList(printed, flows.size()).stream()
                         .filter(f -> f.outcome() == Result.Outcome.IN_BUDGET)
                         .count();
                 out.printf(
                         Locale.ROOT,
                         "%4.0f s  %5d flows ended, %5.1f%% delivered in budget, %d open%n",
                         (next - beganAt) / 1e9,
-                        so.size() - seen,
-                        so.size() == seen ? 100 : 100.0 * good / (so.size() - seen),
+                        flows.size() - printed,
+                        flows.size() == printed ? 100 : 100.0 * inBudget / (flows.size() - printed),
                         clients.openFlows());
-                seen = so.size();
+                printed = flows.size();
             }
         }
     }
 
-    // ---- What goes wrong.
+    // ---- Faults
 
+    /** Adds a line to the day's log and prints it. */
     private void note(String text) {
         String line = String.format(Locale.ROOT, "%6.2f s  %s", (System.nanoTime() - beganAt) / 1e9, text);
         log.add(line);
         out.println(line);
     }
 
-    private static Machine machine(Backend b) {
+    private static Machine machine(Backend backend) {
         return new Machine() {
             @Override
             public String id() {
-                return b.id();
+                return backend.id();
             }
 
             @Override
             public int zone() {
-                return b.shape().zone();
+                return backend.shape().zone();
             }
 
             @Override
             public int cell() {
-                return b.shape().cell();
+                return backend.shape().cell();
             }
 
             @Override
             public long startedAt() {
-                return b.startedAt();
+                return backend.startedAt();
             }
 
             @Override
             public boolean up() {
-                return b.up();
+                return backend.up();
             }
 
             @Override
             public boolean draining() {
-                return b.draining();
+                return backend.draining();
             }
 
             @Override
             public void die() {
-                b.die();
+                backend.die();
             }
 
             @Override
             public void startCold() {
-                b.startCold();
+                backend.startCold();
             }
 
             @Override
             public void drain(boolean on) {
-                b.drain(on);
+                backend.drain(on);
             }
 
             @Override
             public void fail(double share) {
-                b.fail(share);
+                backend.fail(share);
             }
 
             @Override
             public void loseAnswers(double share) {
-                b.loseAnswers(share);
+                backend.loseAnswers(share);
             }
 
             @Override
             public void slowBy(double factor) {
-                b.slowBy(factor);
+                backend.slowBy(factor);
             }
 
             @Override
             public void pause(long ns) {
-                b.pause(ns);
+                backend.pause(ns);
             }
         };
     }
 
-    private final class OnSockets implements Stage {
+    /** Applies faults to the fleet on sockets, on the timer thread. */
+    private final class SocketFleet implements Stage {
         @Override
         public void after(long ns, Runnable work) {
             net.timer().schedule(work, ns, TimeUnit.NANOSECONDS);
@@ -395,11 +458,11 @@
         @Override
         public Machine fresh() {
             try {
-                Backend backend = backend();
+                Backend backend = createBackend();
                 backend.beginCold();
                 return machine(backend);
-            } catch (IOException full) {
-                throw new IllegalStateException("no new backend: " + full.getMessage(), full);
+            } catch (IOException e) {
+                throw new IllegalStateException("cannot start a backend: " + e.getMessage(), e);
             }
         }
 
@@ -421,9 +484,10 @@
         @Override
         public void restart(int coordinator) {
             try {
-                start(coordinator);
+                startCoordinator(coordinator);
                 Day.this.note("coordinator " + coordinator + " started again");
-            } catch (IOException held) {
+            } catch (IOException e) {
+                // Its port may still be in use by its predecessor.
                 after(50_000_000L, () -> restart(coordinator));
             }
         }
@@ -437,9 +501,8 @@
         public void freeze(int coordinator, boolean on) {
             try {
                 coordinators.get(coordinator).freeze(on);
-            } catch (IOException gone) {
-                throw new IllegalStateException(
-                        "could not " + (on ? "stop" : "wake") + " it: " + gone.getMessage(), gone);
+            } catch (IOException e) {
+                throw new IllegalStateException("cannot " + (on ? "suspend" : "resume") + " it: " + e.getMessage(), e);
             }
         }
 
@@ -450,7 +513,7 @@
 
         @Override
         public void cut(int number, String from, boolean on) {
-            Runner coordinator = coordinators.get(number);
+            CoordinatorHandle coordinator = coordinators.get(number);
             switch (from) {
                 case "store" -> coordinator.cutStore(on);
                 case "registry" -> coordinator.cutRegistry(on);
@@ -463,8 +526,8 @@
         }
 
         @Override
-        public void unheard(int some, boolean on) {
-            proxies.subList(0, some).forEach(p -> p.cut(on));
+        public void unheard(int count, boolean on) {
+            proxies.subList(0, count).forEach(p -> p.cut(on));
         }
 
         @Override
@@ -493,18 +556,18 @@
         if (clients != null) {
             clients.close();
         }
-        coordinators.values().forEach(Runner::kill);
+        coordinators.values().forEach(CoordinatorHandle::kill);
         proxies.forEach(PlainProxy::close);
         registry.close();
         store.close();
         backends.values().forEach(Backend::die);
         net.close();
-        for (Path made :
-                Stream.of(memories, folder).filter(java.util.Objects::nonNull).toList()) {
-            try (Stream<Path> all = Files.walk(made)) {
-                all.sorted(Comparator.reverseOrder()).forEach(p -> p.toFile().delete());
-            } catch (IOException left) {
-                out.println("left behind: " + made);
+        for (Path folder :
+                Stream.of(memoryFolder, processFolder).filter(Objects::nonNull).toList()) {
+            try (Stream<Path> files = Files.walk(folder)) {
+                files.sorted(Comparator.reverseOrder()).forEach(p -> p.toFile().delete());
+            } catch (IOException e) {
+                out.println("could not delete " + folder);
             }
         }
     }
--- a/src/main/java/puffinbarrow/day/Page.java
+++ b/src/main/java/puffinbarrow/day/DayReport.java
@@ -14,8 +14,26 @@
 import puffinbarrow.load.Result;
 import puffinbarrow.load.Scenario;
 
-/** The figures of a day, and the page that shows them. All figures are of stand-in servers on one machine. */
-public record Page(
+/**
+ * The figures of a day and the report that shows them, as text or as an HTML page. All figures come from stand-in
+ * servers on one machine. {@link Day#run} makes it at the end of a day; it does not change afterwards.
+ *
+ * @param config the settings that the rules are judged by
+ * @param flows all flows that ended, in the order of their ends
+ * @param beganAt when the day began, in ns of {@link System#nanoTime}
+ * @param recordsLost records that did not fit the recorder; above 0 the verdict is incomplete
+ * @param coordinators the last metrics of each coordinator, by its number
+ * @param faultLog what was done to the fleet, one line for each step
+ * @param faultEffects what was seen while each fault lasted, a line each
+ * @param takeoverTimes how long slices were without a coordinator, as a line of the report; empty without leases
+ * @param chargesHandedOver changes of the coordinator in charge of a slice, after its first one
+ * @param moves orders that brought a server into a slice's table
+ * @param refusedWrites writes that the store refused
+ * @param proxyRetries attempts that proxies repeated
+ * @param overloadedCold ids of backends that failed by overload while cold
+ * @param attemptsAtUnstable attempts at flapping or drained backends in the 10 s after each coordinator's restart
+ */
+public record DayReport(
         Script script,
         CoordinatorConfig config,
         Audit.Verdict verdict,
@@ -25,37 +43,41 @@
         long beganAt,
         long recordsLost,
         Map<Integer, Map<String, Double>> coordinators,
-        List<String> troubles,
-        List<String> signs,
-        String silence,
-        long handed,
+        List<String> faultLog,
+        List<String> faultEffects,
+        String takeoverTimes,
+        long chargesHandedOver,
         long moves,
         long refusedWrites,
-        long retried,
-        List<String> fell,
-        long sentToStruck) {
+        long proxyRetries,
+        List<String> overloadedCold,
+        long attemptsAtUnstable) {
 
+    /** Nanoseconds in a second. */
     private static final long SECOND = 1_000_000_000L;
+
+    /** Length of the sliding window of the worst service, in ns. */
     private static final long WINDOW = 10 * SECOND;
 
-    /** Utility answered within the latency budget over utility asked for; a flow late earns a fifth. */
+    /** Returns utility answered within the latency budget over utility asked for; a late answer earns a fifth. */
     public double service() {
         return service(flows);
     }
 
-    private double service(List<Ended> of) {
+    private double service(List<Ended> some) {
         double asked = 0;
-        double got = 0;
-        for (Ended flow : of) {
+        double earned = 0;
+        for (Ended flow : some) {
             double utility = config.groups.get(flow.group()).utility();
             asked += utility;
-            got += flow.outcome() == Result.Outcome.IN_BUDGET
+            earned += flow.outcome() == Result.Outcome.IN_BUDGET
                     ? utility
                     : flow.outcome() == Result.Outcome.LATE ? utility / 5 : 0;
         }
-        return asked == 0 ? 1 : got / asked;
+        return asked == 0 ? 1 : earned / asked;
     }
 
+    /** Returns the lowest service of any 10 s of the day, by the start of flows. */
     public double worstWindow() {
         double worst = 1;
         for (long from = 0; from + WINDOW <= script.lengthNs; from += SECOND) {
@@ -64,7 +86,7 @@
         return worst;
     }
 
-    /** The same for flows begun within that part of the day. */
+    /** Returns the service of flows that began within this part of the day, in ns from its beginning. */
     public double service(long fromNs, long toNs) {
         return service(between(fromNs, toNs));
     }
@@ -75,28 +97,29 @@
                 .toList();
     }
 
-    /** Whether every flow has one end, every record was kept, and the rules are. */
+    /** Returns whether every flow has exactly one end, no record was lost, and all rules are kept. */
     public boolean sound() {
         return verdict.kept() && recordsLost == 0 && result.whole() && result.intended == flows.size();
     }
 
+    /** Returns the report as text. */
     public String text() {
-        StringBuilder page =
+        StringBuilder report =
                 new StringBuilder("\nThe day, as its sockets saw it (stand-in servers on one machine)\n\n");
-        page.append(String.format(
+        report.append(String.format(
                 Locale.ROOT,
                 "service %.3f   worst 10 s %.3f   flows %d intended, %d ended%n",
                 service(),
                 worstWindow(),
                 result.intended,
                 flows.size()));
-        page.append(String.format(
+        report.append(String.format(
                 "%n%-18s %8s %9s %7s %8s %8s %8s %8s%n",
                 "group", "service", "delivered", "late", "blocked", "dropped", "p50 ms", "p99 ms"));
         for (int group = 0; group < config.groups.size(); group++) {
             int number = group;
             List<Ended> own = flows.stream().filter(f -> f.group() == number).toList();
-            page.append(String.format(
+            report.append(String.format(
                     Locale.ROOT,
                     "%-18s %8.3f %9d %7d %8d %8d %8.0f %8.0f%n",
                     config.groups.get(group).name(),
@@ -105,60 +128,60 @@
                     count(own, Result.Outcome.LATE),
                     count(own, Result.Outcome.BLOCKED),
                     dropped(own),
-                    percentile(own, 0.5),
-                    percentile(own, 0.99)));
+                    percentileMs(own, 0.5),
+                    percentileMs(own, 0.99)));
         }
-        page.append("\n   from    flows  service   p99 ms  what went wrong\n");
+        report.append("\n   from    flows  service   p99 ms  what went wrong\n");
         for (long from = 0; from < script.lengthNs; from += 2 * SECOND) {
             List<Ended> some = between(from, from + 2 * SECOND);
             double service = service(some);
             long begins = from;
-            List<String> struck = new ArrayList<>();
-            for (Script.Trouble t : script.troubles) {
-                if (t.atNs() >= begins && t.atNs() < begins + 2 * SECOND) {
-                    struck.add(t.text());
+            List<String> begun = new ArrayList<>();
+            for (Script.Trouble fault : script.troubles) {
+                if (fault.atNs() >= begins && fault.atNs() < begins + 2 * SECOND) {
+                    begun.add(fault.text());
                 }
             }
-            page.append(String.format(
+            report.append(String.format(
                     Locale.ROOT,
                     "%5.0f s  %7d  %7.3f  %7.0f  %s%n",
                     from / 1e9,
                     some.size(),
                     service,
-                    percentile(some, 0.99),
-                    String.join("; ", struck)));
+                    percentileMs(some, 0.99),
+                    String.join("; ", begun)));
         }
-        page.append("\nwhat was done\n");
-        troubles.forEach(line -> page.append("  ").append(line).append('\n'));
-        page.append("\nwhat showed on the sockets while each lasted, and 3 s after (lines and masks at proxy 0)\n");
-        signs.forEach(line -> page.append("  ").append(line).append('\n'));
-        page.append(String.format(
+        report.append("\nwhat was done\n");
+        faultLog.forEach(line -> report.append("  ").append(line).append('\n'));
+        report.append("\nwhat showed on the sockets while each lasted, and 3 s after (lines and masks at proxy 0)\n");
+        faultEffects.forEach(line -> report.append("  ").append(line).append('\n'));
+        report.append(String.format(
                 Locale.ROOT,
                 "%norders %d messages   tries again by proxies %d   charges handed on %d   "
                         + "writes refused by the store %d%n",
                 verdict.ordersFrames(),
-                retried,
-                handed,
+                proxyRetries,
+                chargesHandedOver,
                 refusedWrites));
-        page.append(silence);
-        coordinators.forEach((number, values) -> page.append(String.format(
+        report.append(takeoverTimes);
+        coordinators.forEach((number, values) -> report.append(String.format(
                 Locale.ROOT,
                 "coordinator %d: lines sent %.0f, most waiting %.0f, decision failures %.0f%n",
                 number,
                 values.getOrDefault("channel.lines.sent", 0.0),
                 values.getOrDefault("channel.lines.most", 0.0),
                 values.getOrDefault("decision.failures", 0.0))));
-        if (!fell.isEmpty()) {
-            page.append("fell over cold: ").append(fell).append('\n');
+        if (!overloadedCold.isEmpty()) {
+            report.append("fell over cold: ").append(overloadedCold).append('\n');
         }
-        rules(page);
-        return page.toString();
+        appendRules(report);
+        return report.toString();
     }
 
-    /** One file with the figures, the rules and the load generator's charts. */
+    /** Writes one HTML file with the figures, the rules and the load generator's charts. */
     public void html(Path file) throws IOException {
         List<String> rules = new ArrayList<>();
-        worst().forEach((rule, line) -> rules.add((verdict.broke(rule) ? "BROKEN: " : "kept: ") + line));
+        ruleSummaries().forEach((rule, line) -> rules.add((verdict.broke(rule) ? "BROKEN: " : "kept: ") + line));
         Html.write(
                 file,
                 String.format(
@@ -174,46 +197,46 @@
                 text());
     }
 
-    private void rules(StringBuilder page) {
-        page.append("\nthe rules, from what passed on the sockets\n");
-        Map<Audit.Rule, String> worst = worst();
+    private void appendRules(StringBuilder report) {
+        report.append("\nthe rules, from what passed on the sockets\n");
+        Map<Audit.Rule, String> summaries = ruleSummaries();
         for (Audit.Rule rule : Audit.rules()) {
-            page.append(verdict.broke(rule) ? "  BROKEN " : "  kept   ")
-                    .append(worst.get(rule))
+            report.append(verdict.broke(rule) ? "  BROKEN " : "  kept   ")
+                    .append(summaries.get(rule))
                     .append('\n');
-            verdict.findings().stream().filter(f -> f.rule() == rule).limit(5).forEach(f -> page.append("           ")
+            verdict.findings().stream().filter(f -> f.rule() == rule).limit(5).forEach(f -> report.append("           ")
                     .append(f.evidence())
                     .append('\n'));
         }
         if (recordsLost > 0) {
-            page.append("  ").append(recordsLost).append(" records did not fit: the verdict does not hold\n");
+            report.append("  ").append(recordsLost).append(" records did not fit: the verdict does not hold\n");
         }
     }
 
-    private Map<Audit.Rule, String> worst() {
-        Map<Audit.Rule, String> worst = new TreeMap<>();
-        worst.put(
+    private Map<Audit.Rule, String> ruleSummaries() {
+        Map<Audit.Rule, String> summaries = new TreeMap<>();
+        summaries.put(
                 Audit.Rule.BARE,
                 String.format(
                         Locale.ROOT,
                         "nobody left without a backend: longest %.2f s of %.2f s",
                         verdict.longestBareNs() / 1e9,
                         config.bareNs / 1e9));
-        worst.put(Audit.Rule.TWICE, "no effect twice: " + verdict.attempts() + " attempts looked at");
-        worst.put(
+        summaries.put(Audit.Rule.TWICE, "no effect twice: " + verdict.attempts() + " attempts looked at");
+        summaries.put(
                 Audit.Rule.DRAIN,
                 String.format(
                         Locale.ROOT,
                         "drains kept: the last send %.2f s after the word, %.2f s " + "allowed",
                         verdict.latestDrainNs() / 1e9,
                         config.graceNs / 1e9));
-        worst.put(
+        summaries.put(
                 Audit.Rule.COLD,
                 String.format(
                         Locale.ROOT,
                         "no cold backend pushed over: at most %.2f of the budget",
                         verdict.mostColdPart()));
-        worst.put(
+        summaries.put(
                 Audit.Rule.QUEUE,
                 String.format(
                         Locale.ROOT,
@@ -222,24 +245,28 @@
                         config.queueLines,
                         verdict.mostMessages(),
                         config.messages > 0 ? " of " + config.messages : ""));
-        worst.put(Audit.Rule.VOICE, "one voice: no slice had two under one term, no proxy took an older one");
-        return worst;
+        summaries.put(Audit.Rule.VOICE, "one voice: no slice had two under one term, no proxy took an older one");
+        return summaries;
     }
 
-    /** Neither answered nor blocked: by whatever cause. */
-    private static long dropped(List<Ended> of) {
-        return of.stream()
+    /** Counts flows that were neither answered nor blocked, whatever the cause. */
+    private static long dropped(List<Ended> some) {
+        return some.stream()
                 .filter(f -> !f.answered() && f.outcome() != Result.Outcome.BLOCKED)
                 .count();
     }
 
-    private static long count(List<Ended> of, Result.Outcome outcome) {
-        return of.stream().filter(f -> f.outcome() == outcome).count();
+    private static long count(List<Ended> some, Result.Outcome outcome) {
+        return some.stream().filter(f -> f.outcome() == outcome).count();
     }
 
-    /** Of answered flows, from their intended start. */
-    private static double percentile(List<Ended> of, double part) {
-        long[] took = of.stream()
+    /**
+     * Returns a percentile of the latency of answered flows from their intended start, in ms.
+     *
+     * @param part 0 to 1
+     */
+    private static double percentileMs(List<Ended> some, double part) {
+        long[] took = some.stream()
                 .filter(Ended::answered)
                 .mapToLong(Ended::tookNs)
                 .sorted()
--- a/src/main/java/puffinbarrow/day/Machine.java
+++ b/src/main/java/puffinbarrow/day/Machine.java
@@ -1,33 +1,44 @@
 package puffinbarrow.day;
 
-/** A backend of a day, on sockets or in the emulator, and what can be done to it. */
+/**
+ * A backend of a day, on sockets or in the emulator, with the faults that {@link Strikes} can apply to it. Called on
+ * the thread that applies faults.
+ */
 public interface Machine {
+    /** Returns the server id, under which it is listed. */
     String id();
 
     int zone();
 
     int cell();
 
-    /** When its process started, or 0 for one that ran before the day began. */
+    /** Returns when its process started, in ns of the day's clock, or 0 if it ran before the day began. */
     long startedAt();
 
+    /** Returns whether its process runs. */
     boolean up();
 
+    /** Returns whether it drains. */
     boolean draining();
 
+    /** Ends its process at once. */
     void die();
 
-    /** Comes back under the same id, cold. */
+    /** Starts it again under the same id, cold. */
     void startCold();
 
+    /** Sets its own draining flag; a draining backend is not selected for further faults. */
     void drain(boolean on);
 
+    /** Makes it fail this share (0 to 1) of flows. */
     void fail(double share);
 
+    /** Makes it lose the answers of this share (0 to 1) of flows. */
     void loseAnswers(double share);
 
+    /** Multiplies its service times by this factor; 1 is normal. */
     void slowBy(double factor);
 
-    /** Stands still for so long. */
+    /** Suspends it for this time; 0 resumes it. */
     void pause(long ns);
 }
--- a/src/main/java/puffinbarrow/day/Plan.java
+++ b/src/main/java/puffinbarrow/day/Plan.java
@@ -12,39 +12,47 @@
 import puffinbarrow.load.Scenario;
 import puffinbarrow.net.Net;
 
-/** What follows from a script alone, on sockets and in the emulator alike: settings, traffic, speeds and parts. Pure. */
+/**
+ * Derives settings, traffic, server speeds and proxies' shares of traffic from a script, for sockets and the emulator
+ * alike. {@link Day} and the emulator create one for each day; it does no input or output.
+ */
 public final class Plan {
     private static final long SECOND = 1_000_000_000L;
 
     private final Script script;
-    private final UniformRandomProvider chance;
+    private final UniformRandomProvider random;
 
+    /** Makes a plan with random numbers seeded by the script. */
     public Plan(Script script) {
         this.script = script;
-        this.chance = source(1);
+        this.random = randomSource(1);
     }
 
-    /** A stream of its own for each part, so that one more part does not change the others. */
-    UniformRandomProvider source(long part) {
-        return RandomSource.XO_RO_SHI_RO_128_PP.create(script.seed * 1_000_003 + part);
+    /** Returns a random stream for one component; each has its own, so that a new one does not change the others. */
+    UniformRandomProvider randomSource(long component) {
+        return RandomSource.XO_RO_SHI_RO_128_PP.create(script.seed * 1_000_003 + component);
     }
 
-    /** The stream that speeds, parts and the choice of who is struck are drawn from, in this order. */
+    /** Returns the stream that speeds, shares of traffic and the backends to strike are drawn from, in this order. */
     public UniformRandomProvider chance() {
-        return chance;
+        return random;
     }
 
-    /** The next server's speed. */
+    /** Draws the next server's speed, as a multiple of the nominal one. */
     public double speed() {
-        return script.speedLow + (script.speedHigh - script.speedLow) * chance.nextDouble();
+        return script.speedLow + (script.speedHigh - script.speedLow) * random.nextDouble();
     }
 
-    /** The next proxy's part of the traffic: most clients' proxies carry little, some far more. */
+    /** Draws the next proxy's weight in the traffic, 0.3 to 2.3: most proxies carry little, a few far more. */
     public double part() {
-        return 0.3 + 2 * Math.pow(chance.nextDouble(), 3);
+        return 0.3 + 2 * Math.pow(random.nextDouble(), 3);
     }
 
-    /** A coordinator's settings but for addresses. */
+    /**
+     * Returns a coordinator's settings without addresses.
+     *
+     * @param more further settings, which replace those of the script
+     */
     public List<String> settings(int number, List<String> more) {
         List<String> lines = new ArrayList<>(List.of(
                 "coordinator " + number + " of " + script.coordinators,
@@ -71,13 +79,13 @@
         if (script.leaseNs > 0) {
             lines.add("lease " + script.leaseNs / 1_000_000 + "ms");
         }
-        List<String> own = new ArrayList<>(script.settings);
-        own.addAll(more);
-        for (String line : own) {
+        List<String> overrides = new ArrayList<>(script.settings);
+        overrides.addAll(more);
+        for (String line : overrides) {
             String keyword = line.split(" ")[0];
             boolean group = keyword.equals("group");
             // A script's own groups replace the built-in ones; other keywords replace their line.
-            lines.removeIf(l -> l.startsWith(keyword + " ") && (!group || !own.contains(l)));
+            lines.removeIf(existing -> existing.startsWith(keyword + " ") && (!group || !overrides.contains(existing)));
             lines.add(line);
         }
         return lines;
@@ -91,7 +99,7 @@
         return names.toString().trim();
     }
 
-    /** Settings for the audit and for what runs without addresses. */
+    /** Returns settings with placeholder addresses, for the audit and for whatever opens no sockets. */
     public CoordinatorConfig config(int number, List<String> more) {
         List<String> lines = settings(number, more);
         lines.add("registry 127.0.0.1:1 " + (script.ask ? "ask" : "push"));
@@ -99,38 +107,43 @@
         return parse(lines);
     }
 
+    /** Parses settings that must be valid. */
     static CoordinatorConfig parse(List<String> lines) {
         List<Problem> problems = new ArrayList<>();
         CoordinatorConfig config = CoordinatorConfig.parse("day", String.join("\n", lines) + "\n", problems);
         if (!problems.isEmpty()) {
-            throw new IllegalArgumentException("settings of the day: " + problems);
+            throw new IllegalArgumentException("invalid settings of the day: " + problems);
         }
         return config;
     }
 
-    /** The day's rules: where a channel was slow or stood, times in the rules grow, as WIRE's fifth rule says. */
+    /**
+     * Returns the settings that the audit judges by: where a channel was slowed or stopped, the times in the rules grow
+     * accordingly, as the fifth rule of WIRE says.
+     */
     public CoordinatorConfig stretched() {
-        double part = 1;
-        long stops = 0;
-        long silent = 0;
-        for (Script.Trouble trouble : script.troubles) {
-            part = trouble.kind() == Script.Kind.PACE ? Math.min(part, trouble.share()) : part;
-            stops += trouble.kind() == Script.Kind.STOP ? trouble.forNs() : 0;
-            // One that stands still keeps its charges for a lease at most, and is taken over in little more.
-            silent = trouble.kind() == Script.Kind.FREEZE ? Math.min(trouble.forNs(), 2 * script.leaseNs) : silent;
+        double pace = 1;
+        long stoppedNs = 0;
+        long suspendedNs = 0;
+        for (Script.Trouble fault : script.troubles) {
+            pace = fault.kind() == Script.Kind.PACE ? Math.min(pace, fault.share()) : pace;
+            stoppedNs += fault.kind() == Script.Kind.STOP ? fault.forNs() : 0;
+            // A suspended coordinator keeps its slices for a lease at most, and they are taken over soon after.
+            suspendedNs =
+                    fault.kind() == Script.Kind.FREEZE ? Math.min(fault.forNs(), 2 * script.leaseNs) : suspendedNs;
         }
         CoordinatorConfig config = config(0, List.of());
-        config.graceNs = (long) (config.graceNs / part) + stops + silent;
-        config.bareNs = (long) (config.bareNs / part) + stops + silent;
+        config.graceNs = (long) (config.graceNs / pace) + stoppedNs + suspendedNs;
+        config.bareNs = (long) (config.bareNs / pace) + stoppedNs + suspendedNs;
         return config;
     }
 
-    /** A machine's line in the list. The size is the nominal one; what a machine really does differs by its speed. */
+    /** Returns a backend's entry in the server list, with its nominal size; its real capacity differs by its speed. */
     public static Event.Entry entry(Machine machine, Event.Listed listed) {
         return new Event.Entry(machine.id(), machine.zone(), 0, machine.cell(), listed, 1, machine.startedAt());
     }
 
-    /** How long the longest repeat of a deduped flow is known. */
+    /** Returns the longest time for which servers recognize repeats of a deduped flow, in ns. */
     public static long dedupNs(CoordinatorConfig config) {
         return config.groups.stream()
                 .mapToLong(CoordinatorConfig.Group::windowNs)
@@ -138,6 +151,7 @@
                 .orElse(0);
     }
 
+    /** Returns the longest expiry of any traffic group, in ns. */
     public static long longestExpiry(CoordinatorConfig config) {
         return config.groups.stream()
                 .mapToLong(CoordinatorConfig.Group::expiryNs)
@@ -146,10 +160,12 @@
     }
 
     /**
-     * The day's traffic as the load generator takes it: shorter budgets go with less work, as in the deployments, a
-     * fifth of the budget on one core; work and slices uneven as theirs; what strikes traffic is part of the arrivals.
+     * Returns the day's traffic as a scenario of the load generator. The mean work of a flow is a fifth of its group's
+     * latency budget on one core, and work and slices are as uneven as in the deployments. Faults that change the
+     * traffic become part of the scenario.
      *
-     * @param parts of the traffic, a proxy each, at the targets in the same order
+     * @param targets the proxies' addresses
+     * @param parts the weight of each target in the traffic, in the same order
      */
     public Scenario traffic(CoordinatorConfig judged, List<InetSocketAddress> targets, List<Double> parts) {
         StringBuilder text = new StringBuilder(String.format(
@@ -178,27 +194,28 @@
                     script.workSpread > 0 ? " spread " + script.workSpread : "",
                     group.repeats() == CoordinatorConfig.Repeats.RETRIABLE ? "" : " non-retriable"));
         }
-        for (Script.Trouble t : script.troubles) {
-            String lasts = t.atNs() / 1_000_000 + "ms for " + t.forNs() / 1_000_000 + "ms";
-            switch (t.kind()) {
-                case TRAFFIC -> text.append(String.format(Locale.ROOT, "shape jump x %s at %s%n", t.factor(), lasts));
+        for (Script.Trouble fault : script.troubles) {
+            String period = fault.atNs() / 1_000_000 + "ms for " + fault.forNs() / 1_000_000 + "ms";
+            switch (fault.kind()) {
+                case TRAFFIC -> text.append(
+                        String.format(Locale.ROOT, "shape jump x %s at %s%n", fault.factor(), period));
                 case PEAK -> text.append(String.format(
                         Locale.ROOT,
                         "shape peak x %s at %dms width %dms%n",
-                        t.factor(),
-                        (t.atNs() + t.forNs() / 2) / 1_000_000,
-                        t.forNs() / 1_000_000));
-                case HOT -> text.append(
-                        String.format(Locale.ROOT, "hot %d keys %.4f%% at %s%n", t.number(), 100 * t.share(), lasts));
-                case HEAVY -> text.append(
-                        String.format(Locale.ROOT, "heavy %.4f%% x %s at %s%n", 100 * t.share(), t.factor(), lasts));
+                        fault.factor(),
+                        (fault.atNs() + fault.forNs() / 2) / 1_000_000,
+                        fault.forNs() / 1_000_000));
+                case HOT -> text.append(String.format(
+                        Locale.ROOT, "hot %d keys %.4f%% at %s%n", fault.number(), 100 * fault.share(), period));
+                case HEAVY -> text.append(String.format(
+                        Locale.ROOT, "heavy %.4f%% x %s at %s%n", 100 * fault.share(), fault.factor(), period));
                 default -> {}
             }
         }
         List<Problem> problems = new ArrayList<>();
         Scenario scenario = Scenario.parse("traffic", text.toString(), problems);
         if (!problems.isEmpty()) {
-            throw new IllegalArgumentException("traffic of the day: " + problems);
+            throw new IllegalArgumentException("invalid traffic of the day: " + problems);
         }
         return scenario;
     }
