--- a/src/main/java/puffinbarrow/day/Script.java
+++ b/src/main/java/puffinbarrow/day/Script.java
@@ -11,9 +11,26 @@
 import puffinbarrow.config.Statement;
 import puffinbarrow.config.Words;
 
-/** A scripted day: the fleet, its traffic, and what goes wrong when. docs/day.md lists the lines. */
+/**
+ * A scripted day: the fleet, its traffic, and the faults with their times. Read by {@link Day} and the emulator before
+ * a day begins; docs/day.md lists the lines of a script.
+ */
 public final class Script {
-    /** Something that goes wrong; which fields mean something depends on the kind. */
+    /**
+     * A scripted fault, which may also be a change of traffic. Fields that its kind does not use are 0, empty or
+     * {@link Pick#NONE}.
+     *
+     * @param atNs when it begins, in ns from the day's beginning
+     * @param forNs how long it lasts, in ns; for RELEASE how long a batch drains
+     * @param pick the backends it strikes
+     * @param share 0 to 1: of flows, answers, proxies, traffic or pace; for RELEASE the share of backends in a batch
+     * @param factor a multiple of work, time or traffic; for PAUSE and FLAP the length of each outage and for
+     *     STORE_SLOW the added delay, in ns
+     * @param everyNs PAUSE and FLAP: the time from one outage to the next, in ns
+     * @param number the coordinator's number; for HOT the number of keys
+     * @param from CUT: what the coordinator is cut from
+     * @param text the line of the script without its time, for the log
+     */
     public record Trouble(
             Kind kind,
             long atNs,
@@ -26,6 +43,10 @@
             String from,
             String text) {}
 
+    /**
+     * The kinds of faults. {@code die}, {@code vanish} and {@code preempt} of a script are the constants in lower case.
+     * STOP sets the pace of a coordinator's order channel to almost 0, FREEZE suspends its whole process.
+     */
     public enum Kind {
         TRAFFIC,
         PEAK,
@@ -55,12 +76,18 @@
         STORE_SLOW,
         STORE_LOSES;
 
-        boolean ofCoordinator() {
+        boolean strikesCoordinator() {
             return this == KILL || this == PACE || this == STOP || this == FREEZE || this == LEAVE || this == CUT;
         }
     }
 
-    /** Which backends: a count, a share, all of a zone, or all of so many cells (a few of one zone that share a fate). */
+    /**
+     * Selects backends: a count, a share, all of a zone, or all of a number of cells. A cell is a few backends of one
+     * zone that fail together.
+     *
+     * @param share 0 to 1
+     * @param zone the zone's number, or -1 for any
+     */
     public record Pick(int count, double share, int zone, int cells) {
         static final Pick NONE = new Pick(0, 0, -1);
 
@@ -73,29 +100,62 @@
     public int proxies = 8;
     public int backends = 18;
     public int zones = 3;
+    /** Cores of each backend. */
     public int cores = 4;
-    public double speedLow = 0.85, speedHigh = 1.15;
+
+    /** Speed of the slowest backend, as a multiple of the nominal one. */
+    public double speedLow = 0.85;
+
+    /** Speed of the fastest backend, as a multiple of the nominal one. */
+    public double speedHigh = 1.15;
+
     public int slices = 72;
+    /** Flows a second. */
     public double rate = 150;
+
     public long lengthNs = 60_000_000_000L;
     public long seed = 7;
+    /** How often a client repeats a flow by itself. */
     public int retries = 1;
-    /** Of the log-normal work of flows; 0: exponential. */
+
+    /** Spread of the log-normal work of flows; 0: exponential work. */
     public double workSpread = 0.47;
 
+    /** How long a backend stays cold after its start. */
     public long coldNs = 9_000_000_000L;
+
+    /** Share of its capacity that a backend has at a cold start, 0 to 1. */
     public double coldFrom = 0.3;
+
+    /** Mean delay of a message to a proxy. */
     public long transitNs = 120_000_000L;
+
+    /** How late the sums of proxies arrive. */
     public long sumsLateNs = 250_000_000L;
-    public long noticeLowNs = 400_000_000L, noticeHighNs = 1_500_000_000L;
+
+    /** Shortest delay until the server list shows a change. */
+    public long noticeLowNs = 400_000_000L;
+
+    /** Longest delay until the server list shows a change. */
+    public long noticeHighNs = 1_500_000_000L;
+
+    /** Length of a coordinator's lease; 0 without leases. */
     public long leaseNs = 1_500_000_000L;
-    /** Above 0: no leases, the store hands on the charges of one that has gone after that time. */
+
+    /** Above 0: there are no leases, and the store reassigns the slices of a coordinator that is gone for this time. */
     public long takeoverNs;
 
+    /** Whether coordinators poll the registry in place of being sent its list. */
     public boolean ask;
+
+    /** Whether coordinators keep their memory on disk across restarts. */
     public boolean memory;
+
+    /** Coordinator settings that replace the built-in ones. */
     public final List<String> settings = new ArrayList<>();
+
     public final Map<String, double[]> work = new TreeMap<>();
+    /** In the order of the script. */
     public final List<Trouble> troubles = new ArrayList<>();
 
     private static final List<String> KEYWORDS = List.of(
@@ -120,120 +180,123 @@
             "set",
             "at");
 
+    /** Reads a script from a file and adds what is wrong with it to the problems. */
     public static Script read(Path file, List<Problem> problems) {
         return of(Lines.read(file, problems), problems);
     }
 
+    /** Reads a script from text; {@code name} stands for the file in problems. */
     public static Script parse(String name, String text, List<Problem> problems) {
         return of(Lines.parse(name, text, problems), problems);
     }
 
-    /** What one machine's sockets can play; the emulator takes more. */
-    public void forSockets(List<Problem> problems) {
+    /** Adds a problem for each size beyond what one machine can play on sockets; the emulator takes more. */
+    public void checkSocketLimits(List<Problem> problems) {
         String[] names = {"coordinators", "proxies", "backends", "slices", "rate"};
-        double[] asked = {coordinators, proxies, backends, slices, rate};
+        double[] wanted = {coordinators, proxies, backends, slices, rate};
         int[] most = {5, 400, 400, 4000, 5000};
         for (int i = 0; i < names.length; i++) {
-            if (asked[i] > most[i]) {
+            if (wanted[i] > most[i]) {
                 problems.add(new Problem(
                         "script",
                         0,
-                        names[i] + " " + (long) asked[i] + ", expected " + most[i]
+                        names[i] + " " + (long) wanted[i] + ", expected " + most[i]
                                 + " at most on sockets (the emulator takes more)"));
             }
         }
     }
 
+    /** Reads a script from statements and adds what is wrong with it to the problems. */
     public static Script of(List<Statement> statements, List<Problem> problems) {
         Script script = new Script();
         for (Statement statement : statements) {
-            Words w = new Words(statement, problems);
-            script.take(statement, w);
-            w.end();
+            Words words = new Words(statement, problems);
+            script.readStatement(statement, words);
+            words.end();
         }
-        for (Trouble trouble : script.troubles) {
-            if (trouble.atNs() > script.lengthNs) {
+        for (Trouble fault : script.troubles) {
+            if (fault.atNs() > script.lengthNs) {
                 problems.add(new Problem(
                         "script",
                         0,
-                        "'" + trouble.text() + "' begins after the day's end, expected " + script.lengthNs / 1e9
+                        "'" + fault.text() + "' begins after the day's end, expected " + script.lengthNs / 1e9
                                 + "s at most"));
             }
-            if (trouble.number() >= script.coordinators && trouble.kind().ofCoordinator()) {
+            if (fault.number() >= script.coordinators && fault.kind().strikesCoordinator()) {
                 problems.add(new Problem(
                         "script",
                         0,
-                        "'" + trouble.text() + "' names coordinator " + trouble.number() + ", expected one below "
+                        "'" + fault.text() + "' names coordinator " + fault.number() + ", expected one below "
                                 + script.coordinators));
             }
         }
         return script;
     }
 
-    private void take(Statement statement, Words w) {
+    private void readStatement(Statement statement, Words words) {
         switch (statement.keyword()) {
-            case "coordinators" -> coordinators = (int) w.whole("how many coordinators", 1, 50);
-            case "proxies" -> proxies = (int) w.whole("how many proxies", 1, 10_000);
+            case "coordinators" -> coordinators = (int) words.whole("how many coordinators", 1, 50);
+            case "proxies" -> proxies = (int) words.whole("how many proxies", 1, 10_000);
             case "backends" -> {
-                backends = (int) w.whole("how many backends", 1, 10_000);
-                if (w.take("cores")) {
-                    cores = (int) w.whole("their cores", 1, 64);
+                backends = (int) words.whole("how many backends", 1, 10_000);
+                if (words.take("cores")) {
+                    cores = (int) words.whole("their cores", 1, 64);
                 }
-                if (w.take("speed")) {
-                    speedLow = w.number("the slowest's speed", 0.05, 20);
-                    w.expect("to");
-                    speedHigh = w.number("the fastest's speed", speedLow, 20);
+                if (words.take("speed")) {
+                    speedLow = words.number("the slowest's speed", 0.05, 20);
+                    words.expect("to");
+                    speedHigh = words.number("the fastest's speed", speedLow, 20);
                 }
             }
-            case "zones" -> zones = (int) w.whole("how many zones", 1, 9);
-            case "slices" -> slices = (int) w.whole("how many slices", 1, 65_534);
-            case "rate" -> rate = w.number("flows a second", 0.1, 200_000);
-            case "length" -> lengthNs = w.time("the day's length");
-            case "seed" -> seed = w.whole("a seed", 0, Long.MAX_VALUE);
+            case "zones" -> zones = (int) words.whole("how many zones", 1, 9);
+            case "slices" -> slices = (int) words.whole("how many slices", 1, 65_534);
+            case "rate" -> rate = words.number("flows a second", 0.1, 200_000);
+            case "length" -> lengthNs = words.time("the day's length");
+            case "seed" -> seed = words.whole("a seed", 0, Long.MAX_VALUE);
             case "work" -> {
-                if (w.oneOf("spread", "exponential").equals("spread")) {
-                    workSpread = w.number("the log-normal spread of flows' work", 0.001, 3);
+                if (words.oneOf("spread", "exponential").equals("spread")) {
+                    workSpread = words.number("the log-normal spread of flows' work", 0.001, 3);
                 } else {
                     workSpread = 0;
                 }
             }
-            case "retries" -> retries = (int) w.whole("a client's own retries", 0, 5);
+            case "retries" -> retries = (int) words.whole("a client's own retries", 0, 5);
             case "cold" -> {
-                coldFrom = w.share("the part a cold backend can do");
-                w.expect("for");
-                coldNs = w.time("until it is warm");
+                coldFrom = words.share("the share that a cold backend can do");
+                words.expect("for");
+                coldNs = words.time("until it is warm");
             }
-            case "transit" -> transitNs = w.time("a message's mean way");
-            case "sums-late" -> sumsLateNs = w.time("how late sums are");
+            case "transit" -> transitNs = words.time("the mean delay of a message");
+            case "sums-late" -> sumsLateNs = words.time("how late sums arrive");
             case "notice" -> {
-                noticeLowNs = w.time("the soonest that the list tells");
-                w.expect("to");
-                noticeHighNs = w.time("the latest");
-                if (w.sound() && noticeHighNs < noticeLowNs) {
-                    w.wrong("a latest before the soonest", "a longer time");
+                noticeLowNs = words.time("the shortest delay of the server list");
+                words.expect("to");
+                noticeHighNs = words.time("the longest delay");
+                if (words.sound() && noticeHighNs < noticeLowNs) {
+                    words.wrong("a longest delay below the shortest", "a longer time");
                 }
             }
             case "takeover" -> {
-                takeoverNs = w.time("until the store hands charges on");
+                takeoverNs = words.time("until the store reassigns slices");
                 leaseNs = 0;
             }
-            case "lease" -> leaseNs = w.time("a coordinator's lease");
-            case "memory" -> memory = w.onOff();
-            case "list" -> ask = w.oneOf("push", "ask").equals("ask");
+            case "lease" -> leaseNs = words.time("a coordinator's lease");
+            case "memory" -> memory = words.onOff();
+            case "list" -> ask = words.oneOf("push", "ask").equals("ask");
             case "set" -> {
                 StringBuilder line = new StringBuilder();
-                while (w.more()) {
-                    line.append(w.text("a setting")).append(' ');
+                while (words.more()) {
+                    line.append(words.text("a setting")).append(' ');
                 }
                 settings.add(line.toString().trim());
             }
-            case "at" -> trouble(statement, w);
-            default -> w.unknown(KEYWORDS);
+            case "at" -> readFault(statement, words);
+            default -> words.unknown(KEYWORDS);
         }
     }
 
-    private void trouble(Statement statement, Words w) {
-        long at = w.time("when it begins");
+    private void readFault(Statement statement, Words words) {
+        long at = words.time("when it begins");
         String text = String.join(
                 " ",
                 statement
@@ -241,134 +304,165 @@
                         .subList(
                                 Math.min(2, statement.words().size()),
                                 statement.words().size()));
-        switch (w.oneOf(
+        switch (words.oneOf(
                 "traffic", "hot", "heavy", "backends", "release", "list", "coordinator", "cut", "proxies", "store")) {
             case "traffic" -> {
-                Kind kind = w.take("peak") ? Kind.PEAK : Kind.TRAFFIC;
-                w.expect("x");
-                double factor = w.number("times the usual", 0, 100);
-                add(kind, at, lasts(w), Pick.NONE, 0, factor, 0, 0, "", text);
+                Kind kind = words.take("peak") ? Kind.PEAK : Kind.TRAFFIC;
+                words.expect("x");
+                double factor = words.number("times the usual", 0, 100);
+                add(kind, at, readDuration(words), Pick.NONE, 0, factor, 0, 0, "", text);
             }
             case "hot" -> {
-                int keys = (int) w.whole("how many keys", 1, 100);
-                w.expect("keys");
-                double share = w.share("their share of traffic");
-                add(Kind.HOT, at, lasts(w), Pick.NONE, share, 0, 0, keys, "", text);
+                int keys = (int) words.whole("how many keys", 1, 100);
+                words.expect("keys");
+                double share = words.share("their share of traffic");
+                add(Kind.HOT, at, readDuration(words), Pick.NONE, share, 0, 0, keys, "", text);
             }
             case "heavy" -> {
-                double share = w.share("which share of flows");
-                w.expect("x");
-                double factor = w.number("times the usual work", 1, 1000);
-                add(Kind.HEAVY, at, lasts(w), Pick.NONE, share, factor, 0, 0, "", text);
+                double share = words.share("which share of flows");
+                words.expect("x");
+                double factor = words.number("times the usual work", 1, 1000);
+                add(Kind.HEAVY, at, readDuration(words), Pick.NONE, share, factor, 0, 0, "", text);
             }
             case "release" -> {
-                double share = w.share("which share of backends");
-                w.expect("batch");
-                double batch = w.share("the share in one batch");
-                w.expect("drain");
-                long drain = w.time("a batch's drain");
+                double share = words.share("which share of backends");
+                words.expect("batch");
+                double batch = words.share("the share in one batch");
+                words.expect("drain");
+                long drain = words.time("a batch's drain");
                 add(Kind.RELEASE, at, drain, new Pick(0, share, -1), batch, 0, 0, 0, "", text);
             }
             case "list" -> {
-                if (w.oneOf("lies", "breaks").equals("breaks")) {
+                if (words.oneOf("lies", "breaks").equals("breaks")) {
                     add(Kind.LIST_BREAKS, at, 0, Pick.NONE, 0, 0, 0, 0, "", text);
                 } else {
-                    w.expect("about");
-                    Pick pick = pick(w);
-                    add(Kind.LIST_LIES, at, lasts(w), pick, 0, 0, 0, 0, "", text);
+                    words.expect("about");
+                    Pick pick = readPick(words);
+                    add(Kind.LIST_LIES, at, readDuration(words), pick, 0, 0, 0, 0, "", text);
                 }
             }
             case "coordinator" -> {
-                int number = (int) w.whole("its number", 0, 49);
-                switch (w.oneOf("killed", "pace", "stops", "frozen", "leaves")) {
-                    case "frozen" -> add(Kind.FREEZE, at, lasts(w), Pick.NONE, 0, 0, 0, number, "", text);
-                    case "leaves" -> add(Kind.LEAVE, at, lasts(w), Pick.NONE, 0, 0, 0, number, "", text);
-                    case "killed" -> add(Kind.KILL, at, lasts(w), Pick.NONE, 0, 0, 0, number, "", text);
+                int number = (int) words.whole("its number", 0, 49);
+                switch (words.oneOf("killed", "pace", "stops", "frozen", "leaves")) {
+                    case "frozen" -> add(Kind.FREEZE, at, readDuration(words), Pick.NONE, 0, 0, 0, number, "", text);
+                    case "leaves" -> add(Kind.LEAVE, at, readDuration(words), Pick.NONE, 0, 0, 0, number, "", text);
+                    case "killed" -> add(Kind.KILL, at, readDuration(words), Pick.NONE, 0, 0, 0, number, "", text);
                     case "pace" -> {
-                        double share = w.share("the part of its pace");
-                        add(Kind.PACE, at, lasts(w), Pick.NONE, Math.max(0.01, share), 0, 0, number, "", text);
+                        double share = words.share("the part of its pace");
+                        add(
+                                Kind.PACE,
+                                at,
+                                readDuration(words),
+                                Pick.NONE,
+                                Math.max(0.01, share),
+                                0,
+                                0,
+                                number,
+                                "",
+                                text);
                     }
-                    default -> add(Kind.STOP, at, lasts(w), Pick.NONE, 0, 0, 0, number, "", text);
+                    default -> add(Kind.STOP, at, readDuration(words), Pick.NONE, 0, 0, 0, number, "", text);
                 }
             }
             case "cut" -> {
-                w.expect("coordinator");
-                int number = (int) w.whole("its number", 0, 49);
-                w.expect("from");
-                String from = w.oneOf("peers", "store", "registry", "proxies", "all");
-                add(Kind.CUT, at, lasts(w), Pick.NONE, 0, 0, 0, number, from, text);
+                words.expect("coordinator");
+                int number = (int) words.whole("its number", 0, 49);
+                words.expect("from");
+                String from = words.oneOf("peers", "store", "registry", "proxies", "all");
+                add(Kind.CUT, at, readDuration(words), Pick.NONE, 0, 0, 0, number, from, text);
             }
             case "store" -> {
-                switch (w.oneOf("away", "slow", "loses")) {
-                    case "away" -> add(Kind.STORE_AWAY, at, lasts(w), Pick.NONE, 0, 0, 0, 0, "", text);
+                switch (words.oneOf("away", "slow", "loses")) {
+                    case "away" -> add(Kind.STORE_AWAY, at, readDuration(words), Pick.NONE, 0, 0, 0, 0, "", text);
                     case "slow" -> {
-                        long by = w.time("by how much");
-                        add(Kind.STORE_SLOW, at, lasts(w), Pick.NONE, 0, by, 0, 0, "", text);
+                        long by = words.time("by how much");
+                        add(Kind.STORE_SLOW, at, readDuration(words), Pick.NONE, 0, by, 0, 0, "", text);
                     }
                     default -> {
-                        double share = w.share("which share of its answers");
-                        add(Kind.STORE_LOSES, at, lasts(w), Pick.NONE, share, 0, 0, 0, "", text);
+                        double share = words.share("which share of its answers");
+                        add(Kind.STORE_LOSES, at, readDuration(words), Pick.NONE, share, 0, 0, 0, "", text);
                     }
                 }
             }
             case "proxies" -> {
-                double share = w.share("which share of proxies");
-                w.expect("unheard");
-                add(Kind.UNHEARD, at, lasts(w), Pick.NONE, share, 0, 0, 0, "", text);
+                double share = words.share("which share of proxies");
+                words.expect("unheard");
+                add(Kind.UNHEARD, at, readDuration(words), Pick.NONE, share, 0, 0, 0, "", text);
             }
-            default -> backends(at, w, text);
+            default -> readBackendFault(at, words, text);
         }
     }
 
-    private void backends(long at, Words w, String text) {
-        if (w.take("add")) {
-            int count = (int) w.whole("how many", 1, 10_000);
+    private void readBackendFault(long at, Words words, String text) {
+        if (words.take("add")) {
+            int count = (int) words.whole("how many", 1, 10_000);
             add(Kind.ADD, at, 0, new Pick(count, 0, -1), 0, 0, 0, 0, "", text);
             return;
         }
-        Pick pick = pick(w);
-        String what = w.oneOf("die", "vanish", "fail", "slow", "pause", "lose", "flap", "age", "preempt");
+        Pick pick = readPick(words);
+        String what = words.oneOf("die", "vanish", "fail", "slow", "pause", "lose", "flap", "age", "preempt");
         switch (what) {
             case "fail", "lose" -> {
-                double share = w.share("which share of flows");
-                add(what.equals("fail") ? Kind.FAIL : Kind.LOSE, at, lasts(w), pick, share, 0, 0, 0, "", text);
+                double share = words.share("which share of flows");
+                add(
+                        what.equals("fail") ? Kind.FAIL : Kind.LOSE,
+                        at,
+                        readDuration(words),
+                        pick,
+                        share,
+                        0,
+                        0,
+                        0,
+                        "",
+                        text);
             }
             case "slow", "age" -> {
-                w.expect("x");
-                double factor = w.number("times slower", 1, 1000);
-                add(what.equals("slow") ? Kind.SLOW : Kind.AGE, at, lasts(w), pick, 0, factor, 0, 0, "", text);
+                words.expect("x");
+                double factor = words.number("times slower", 1, 1000);
+                add(
+                        what.equals("slow") ? Kind.SLOW : Kind.AGE,
+                        at,
+                        readDuration(words),
+                        pick,
+                        0,
+                        factor,
+                        0,
+                        0,
+                        "",
+                        text);
             }
             case "pause", "flap" -> {
-                long each = w.time("how long each time");
-                w.expect("every");
-                long every = w.time("how often");
-                long lasts = lasts(w);
-                add(what.equals("pause") ? Kind.PAUSE : Kind.FLAP, at, lasts, pick, 0, each, every, 0, "", text);
+                long outage = words.time("how long each time");
+                words.expect("every");
+                long every = words.time("how often");
+                long lasts = readDuration(words);
+                add(what.equals("pause") ? Kind.PAUSE : Kind.FLAP, at, lasts, pick, 0, outage, every, 0, "", text);
             }
-            default -> add(Kind.valueOf(what.toUpperCase(Locale.ROOT)), at, lasts(w), pick, 0, 0, 0, 0, "", text);
+            default -> add(
+                    Kind.valueOf(what.toUpperCase(Locale.ROOT)), at, readDuration(words), pick, 0, 0, 0, 0, "", text);
         }
     }
 
-    private static long lasts(Words w) {
-        w.expect("for");
-        return w.time("how long it lasts");
+    private static long readDuration(Words words) {
+        words.expect("for");
+        return words.time("how long it lasts");
     }
 
-    private Pick pick(Words w) {
-        if (w.take("zone")) {
-            return new Pick(0, 0, (int) w.whole("the zone's number", 0, zones - 1));
+    private Pick readPick(Words words) {
+        if (words.take("zone")) {
+            return new Pick(0, 0, (int) words.whole("the zone's number", 0, zones - 1));
         }
-        if (w.take("cells")) {
-            return new Pick(0, 0, -1, (int) w.whole("how many cells", 1, 1000));
+        if (words.take("cells")) {
+            return new Pick(0, 0, -1, (int) words.whole("how many cells", 1, 1000));
         }
-        String word = w.text("a count, a share such as 25%, zone NUMBER or cells COUNT");
+        String word = words.text("a count, a share such as 25%, zone NUMBER or cells COUNT");
         try {
             if (word.endsWith("%")) {
                 return new Pick(0, Double.parseDouble(word.substring(0, word.length() - 1)) / 100, -1);
             }
             return new Pick(Integer.parseInt(word), 0, -1);
-        } catch (NumberFormatException notOne) {
-            w.wrong("'" + word + "'", "a count, a share such as 25%, zone NUMBER or cells COUNT");
+        } catch (NumberFormatException notANumber) {
+            words.wrong("'" + word + "'", "a count, a share such as 25%, zone NUMBER or cells COUNT");
             return Pick.NONE;
         }
     }
@@ -376,7 +470,7 @@
     private void add(
             Kind kind,
             long at,
-            long lasts,
+            long forNs,
             Pick pick,
             double share,
             double factor,
@@ -384,6 +478,6 @@
             int number,
             String from,
             String text) {
-        troubles.add(new Trouble(kind, at, lasts, pick, share, factor, every, number, from, text));
+        troubles.add(new Trouble(kind, at, forNs, pick, share, factor, every, number, from, text));
     }
 }
--- a/src/main/java/puffinbarrow/day/Stage.java
+++ b/src/main/java/puffinbarrow/day/Stage.java
@@ -4,45 +4,59 @@
 import java.util.List;
 import puffinbarrow.control.Event;
 
-/** Where a script's troubles strike: a fleet on sockets, or one in the emulator. */
+/**
+ * The fleet that {@link Strikes} applies faults to: on sockets or in the emulator. On sockets its methods are called by
+ * the day's timer thread, in the emulator by the simulation's thread.
+ */
 public interface Stage {
+    /** Runs the work after a delay on the same thread as the faults. */
     void after(long ns, Runnable work);
 
+    /** Adds a line to the day's log. */
     void note(String text);
 
-    /** In the order they were made. */
+    /** Returns all backends in the order of their creation. */
     Collection<? extends Machine> machines();
 
-    /** A new one, cold from now on, not listed yet. */
+    /** Creates a backend that starts cold now and is not in the server list yet. */
     Machine fresh();
 
+    /** Shows these backends with this state in the server list, after the list's usual delay. */
     void list(List<? extends Machine> some, Event.Listed as);
 
-    /** The next list that goes out breaks off in its middle. */
+    /** Truncates the next server list that is sent. */
     void breakList();
 
+    /** Ends a coordinator without an orderly shutdown. */
     void kill(int coordinator);
 
+    /** Starts a coordinator again that was killed. */
     void restart(int coordinator);
 
+    /** Sets the pace of a coordinator's order channel to this part (0 to 1) of the configured one. */
     void pace(int coordinator, double part);
 
+    /** Suspends or resumes a coordinator. */
     void freeze(int coordinator, boolean on);
 
-    /** It hands its charges on. */
+    /** Makes a coordinator hand over the slices it is in charge of. */
     void leave(int coordinator);
 
-    /** From the store, the registry, its peers or the proxies. */
+    /** Cuts a coordinator from {@code store}, {@code registry}, {@code peers} or {@code proxies}, or reconnects it. */
     void cut(int coordinator, String from, boolean on);
 
-    /** Cuts the first so many proxies from all coordinators, or heals them. */
+    /** Cuts the first {@code proxies} proxies from all coordinators, or reconnects them. */
     void unheard(int proxies, boolean on);
 
+    /** Returns the number of proxies. */
     int proxies();
 
+    /** Makes the store unreachable, or reachable again. */
     void storeAway(boolean on);
 
+    /** Delays the store's answers by this time; 0 ends the delay. */
     void storeSlow(long ns);
 
+    /** Makes the store lose this share (0 to 1) of its answers. */
     void storeLoses(double share);
 }
--- a/src/main/java/puffinbarrow/day/Strikes.java
+++ b/src/main/java/puffinbarrow/day/Strikes.java
@@ -10,229 +10,266 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import puffinbarrow.control.Event;
 
-/** What a script's troubles do to a fleet, wherever that stands. */
+/**
+ * Applies a script's faults to a fleet and ends each after its time. {@link Day} calls {@link #strike} on its timer
+ * thread, the emulator on the simulation's thread.
+ */
 public final class Strikes {
     private static final long SECOND = 1_000_000_000L;
 
-    private final Stage stage;
-    private final UniformRandomProvider chance;
-    private final Set<String> troubled = Collections.synchronizedSet(new HashSet<>());
-    private final Set<String> struck = Collections.synchronizedSet(new HashSet<>());
+    private final Stage fleet;
+    private final UniformRandomProvider random;
+    /** Ids of backends that a fault lasts on; no other fault selects them. */
+    private final Set<String> affected = Collections.synchronizedSet(new HashSet<>());
 
-    public Strikes(Stage stage, UniformRandomProvider chance) {
-        this.stage = stage;
-        this.chance = chance;
+    /** Ids of backends that were made to flap or to drain, over the whole day. */
+    private final Set<String> unstable = Collections.synchronizedSet(new HashSet<>());
+
+    /**
+     * Makes an injector for one day.
+     *
+     * @param random decides which backends are struck
+     */
+    public Strikes(Stage fleet, UniformRandomProvider random) {
+        this.fleet = fleet;
+        this.random = random;
     }
 
-    /** Servers that were made to flap or to drain. */
-    public Set<String> struck() {
-        return struck;
+    /** Returns the ids of backends that were made to flap or to drain so far. */
+    public Set<String> unstable() {
+        return unstable;
     }
 
+    /** Draws backends that run, do not drain and are under no other fault. */
     private List<Machine> choose(Script.Pick pick) {
-        List<Machine> open = new ArrayList<>(stage.machines().stream()
-                .filter(b -> b.up()
-                        && !b.draining()
-                        && !troubled.contains(b.id())
-                        && (pick.zone() < 0 || b.zone() == pick.zone()))
+        List<Machine> eligible = new ArrayList<>(fleet.machines().stream()
+                .filter(backend -> backend.up()
+                        && !backend.draining()
+                        && !affected.contains(backend.id())
+                        && (pick.zone() < 0 || backend.zone() == pick.zone()))
                 .toList());
         if (pick.zone() >= 0) {
-            return open;
+            return eligible;
         }
         if (pick.cells() > 0) {
             List<Integer> cells = new ArrayList<>(
-                    new TreeSet<>(open.stream().map(Machine::cell).toList()));
-            Set<Integer> some = new HashSet<>();
-            while (some.size() < pick.cells() && !cells.isEmpty()) {
-                some.add(cells.remove(chance.nextInt(cells.size())));
+                    new TreeSet<>(eligible.stream().map(Machine::cell).toList()));
+            Set<Integer> chosenCells = new HashSet<>();
+            while (chosenCells.size() < pick.cells() && !cells.isEmpty()) {
+                chosenCells.add(cells.remove(random.nextInt(cells.size())));
             }
-            return open.stream().filter(b -> some.contains(b.cell())).toList();
+            return eligible.stream()
+                    .filter(backend -> chosenCells.contains(backend.cell()))
+                    .toList();
         }
         int count = pick.count() > 0
                 ? pick.count()
-                : (int) Math.round(pick.share() * stage.machines().size());
-        for (int i = open.size() - 1; i > 0; i--) {
-            Collections.swap(open, i, chance.nextInt(i + 1));
+                : (int) Math.round(pick.share() * fleet.machines().size());
+        for (int i = eligible.size() - 1; i > 0; i--) {
+            Collections.swap(eligible, i, random.nextInt(i + 1));
         }
-        return open.subList(0, Math.min(count, open.size()));
+        return eligible.subList(0, Math.min(count, eligible.size()));
     }
 
-    private static String names(List<Machine> chosen) {
+    /** Returns the ids without the loopback address, for the day's log. */
+    private static String shortIds(List<Machine> chosen) {
         return chosen.stream()
-                .map(b -> b.id().replace("127.0.0.1", ""))
+                .map(backend -> backend.id().replace("127.0.0.1", ""))
                 .toList()
                 .toString();
     }
 
-    private void during(Script.Trouble t, List<Machine> chosen, Consumer<Machine> on, Consumer<Machine> off) {
-        chosen.forEach(b -> troubled.add(b.id()));
-        chosen.forEach(on);
-        stage.note(t.text() + "  " + names(chosen));
-        stage.after(t.forNs(), () -> {
-            chosen.forEach(off);
-            chosen.forEach(b -> troubled.remove(b.id()));
-            stage.note("over: " + t.text());
+    /** Applies a fault to backends and ends it after its time. */
+    private void during(Script.Trouble fault, List<Machine> chosen, Consumer<Machine> begin, Consumer<Machine> end) {
+        chosen.forEach(backend -> affected.add(backend.id()));
+        chosen.forEach(begin);
+        fleet.note(fault.text() + "  " + shortIds(chosen));
+        fleet.after(fault.forNs(), () -> {
+            chosen.forEach(end);
+            chosen.forEach(backend -> affected.remove(backend.id()));
+            fleet.note("over: " + fault.text());
         });
     }
 
-    private void during(Script.Trouble t, Runnable on, Runnable off) {
-        stage.note(t.text());
-        on.run();
-        stage.after(t.forNs(), () -> {
-            off.run();
-            stage.note("over: " + t.text());
+    /** Applies a fault to the rest of the fleet and ends it after its time. */
+    private void during(Script.Trouble fault, Runnable begin, Runnable end) {
+        fleet.note(fault.text());
+        begin.run();
+        fleet.after(fault.forNs(), () -> {
+            end.run();
+            fleet.note("over: " + fault.text());
         });
     }
 
-    public void strike(Script.Trouble t) {
+    /** Begins a fault; one that cannot be applied is noted in the day's log and passed over. */
+    public void strike(Script.Trouble fault) {
         try {
-            switch (t.kind()) {
-                case TRAFFIC, PEAK, HOT, HEAVY -> stage.note(t.text());
-                case DIE -> during(t, choose(t.pick()), this::dies, this::returns);
-                case VANISH -> during(t, choose(t.pick()), this::vanishes, this::returns);
-                case FAIL -> during(t, choose(t.pick()), b -> b.fail(t.share()), b -> b.fail(0));
-                case LOSE -> during(t, choose(t.pick()), b -> b.loseAnswers(t.share()), b -> b.loseAnswers(0));
-                case SLOW -> during(t, choose(t.pick()), b -> b.slowBy(t.factor()), b -> b.slowBy(1));
+            switch (fault.kind()) {
+                case TRAFFIC, PEAK, HOT, HEAVY -> fleet.note(fault.text());
+                case DIE -> during(fault, choose(fault.pick()), this::die, this::restart);
+                case VANISH -> during(fault, choose(fault.pick()), this::vanish, this::restart);
+                case FAIL -> during(
+                        fault,
+                        choose(fault.pick()),
+                        backend -> backend.fail(fault.share()),
+                        backend -> backend.fail(0));
+                case LOSE -> during(
+                        fault,
+                        choose(fault.pick()),
+                        backend -> backend.loseAnswers(fault.share()),
+                        backend -> backend.loseAnswers(0));
+                case SLOW -> during(
+                        fault,
+                        choose(fault.pick()),
+                        backend -> backend.slowBy(fault.factor()),
+                        backend -> backend.slowBy(1));
                 case PAUSE -> {
-                    List<Machine> chosen = choose(t.pick());
-                    during(t, chosen, b -> {}, b -> {});
-                    for (long at = 0; at < t.forNs(); at += t.everyNs()) {
-                        stage.after(at, () -> chosen.forEach(b -> b.pause((long) t.factor())));
+                    List<Machine> chosen = choose(fault.pick());
+                    during(fault, chosen, backend -> {}, backend -> {});
+                    for (long at = 0; at < fault.forNs(); at += fault.everyNs()) {
+                        fleet.after(at, () -> chosen.forEach(backend -> backend.pause((long) fault.factor())));
                     }
                 }
                 case FLAP -> {
-                    List<Machine> chosen = choose(t.pick());
-                    chosen.forEach(b -> struck.add(b.id()));
-                    during(t, chosen, b -> {}, this::returns);
-                    for (long at = 0; at + (long) t.factor() < t.forNs(); at += t.everyNs()) {
-                        stage.after(at, () -> chosen.forEach(this::dies));
-                        stage.after(at + (long) t.factor(), () -> chosen.forEach(this::returns));
+                    List<Machine> chosen = choose(fault.pick());
+                    chosen.forEach(backend -> unstable.add(backend.id()));
+                    during(fault, chosen, backend -> {}, this::restart);
+                    for (long at = 0; at + (long) fault.factor() < fault.forNs(); at += fault.everyNs()) {
+                        fleet.after(at, () -> chosen.forEach(this::die));
+                        fleet.after(at + (long) fault.factor(), () -> chosen.forEach(this::restart));
                     }
                 }
                 case AGE -> {
-                    List<Machine> chosen = choose(t.pick());
-                    during(t, chosen, b -> {}, b -> {
-                        dies(b);
-                        stage.after(2 * SECOND, () -> returns(b));
+                    List<Machine> chosen = choose(fault.pick());
+                    during(fault, chosen, backend -> {}, backend -> {
+                        die(backend);
+                        fleet.after(2 * SECOND, () -> restart(backend));
                     });
                     for (int step = 1; step <= 10; step++) {
-                        double factor = 1 + (t.factor() - 1) * step / 10;
-                        stage.after(t.forNs() * step / 11, () -> chosen.forEach(b -> b.slowBy(factor)));
+                        double factor = 1 + (fault.factor() - 1) * step / 10;
+                        fleet.after(fault.forNs() * step / 11, () -> chosen.forEach(backend -> backend.slowBy(factor)));
                     }
                 }
                 case ADD -> {
                     List<Machine> fresh = new ArrayList<>();
-                    for (int i = 0; i < t.pick().count(); i++) {
-                        Machine backend = stage.fresh();
-                        stage.list(List.of(backend), Event.Listed.READY);
+                    for (int i = 0; i < fault.pick().count(); i++) {
+                        Machine backend = fleet.fresh();
+                        fleet.list(List.of(backend), Event.Listed.READY);
                         fresh.add(backend);
                     }
-                    stage.note(t.text() + "  " + names(fresh));
+                    fleet.note(fault.text() + "  " + shortIds(fresh));
                 }
                 case PREEMPT -> {
-                    List<Machine> chosen = choose(t.pick());
-                    stage.note(t.text() + "  " + names(chosen));
-                    drains(chosen);
-                    stage.after(
-                            t.forNs(),
-                            () -> chosen.forEach(b -> {
-                                dies(b);
+                    List<Machine> chosen = choose(fault.pick());
+                    fleet.note(fault.text() + "  " + shortIds(chosen));
+                    drain(chosen);
+                    fleet.after(
+                            fault.forNs(),
+                            () -> chosen.forEach(backend -> {
+                                die(backend);
                                 replace();
                             }));
                 }
-                case RELEASE -> release(t);
+                case RELEASE -> release(fault);
                 case LIST_LIES -> {
-                    List<Machine> chosen = choose(t.pick());
-                    during(t, chosen, b -> {}, b -> stage.list(List.of(b), Event.Listed.READY));
-                    stage.list(chosen, Event.Listed.GONE);
+                    List<Machine> chosen = choose(fault.pick());
+                    during(fault, chosen, backend -> {}, backend -> fleet.list(List.of(backend), Event.Listed.READY));
+                    fleet.list(chosen, Event.Listed.GONE);
                 }
                 case LIST_BREAKS -> {
-                    stage.note(t.text());
-                    stage.breakList();
+                    fleet.note(fault.text());
+                    fleet.breakList();
                 }
-                case KILL -> during(t, () -> stage.kill(t.number()), () -> stage.restart(t.number()));
-                    // Standing still is a pace at which nothing leaves in the time it lasts.
+                case KILL -> during(fault, () -> fleet.kill(fault.number()), () -> fleet.restart(fault.number()));
+                    // STOP is a pace at which no order leaves while it lasts.
                 case PACE, STOP -> during(
-                        t,
-                        () -> stage.pace(t.number(), t.kind() == Script.Kind.PACE ? t.share() : 1e-6),
-                        () -> stage.pace(t.number(), 1));
-                case FREEZE -> during(t, () -> stage.freeze(t.number(), true), () -> stage.freeze(t.number(), false));
-                case LEAVE -> during(t, () -> stage.leave(t.number()), () -> {
-                    stage.kill(t.number());
-                    stage.restart(t.number());
+                        fault,
+                        () -> fleet.pace(fault.number(), fault.kind() == Script.Kind.PACE ? fault.share() : 1e-6),
+                        () -> fleet.pace(fault.number(), 1));
+                case FREEZE -> during(
+                        fault, () -> fleet.freeze(fault.number(), true), () -> fleet.freeze(fault.number(), false));
+                case LEAVE -> during(fault, () -> fleet.leave(fault.number()), () -> {
+                    fleet.kill(fault.number());
+                    fleet.restart(fault.number());
                 });
-                case STORE_AWAY -> during(t, () -> stage.storeAway(true), () -> stage.storeAway(false));
-                case STORE_SLOW -> during(t, () -> stage.storeSlow((long) t.factor()), () -> stage.storeSlow(0));
-                case STORE_LOSES -> during(t, () -> stage.storeLoses(t.share()), () -> stage.storeLoses(0));
+                case STORE_AWAY -> during(fault, () -> fleet.storeAway(true), () -> fleet.storeAway(false));
+                case STORE_SLOW -> during(
+                        fault, () -> fleet.storeSlow((long) fault.factor()), () -> fleet.storeSlow(0));
+                case STORE_LOSES -> during(fault, () -> fleet.storeLoses(fault.share()), () -> fleet.storeLoses(0));
                 case CUT -> {
-                    List<String> parts = t.from().equals("all")
+                    List<String> counterparts = fault.from().equals("all")
                             ? List.of("store", "registry", "peers", "proxies")
-                            : List.of(t.from());
+                            : List.of(fault.from());
                     during(
-                            t,
-                            () -> parts.forEach(part -> stage.cut(t.number(), part, true)),
-                            () -> parts.forEach(part -> stage.cut(t.number(), part, false)));
+                            fault,
+                            () -> counterparts.forEach(counterpart -> fleet.cut(fault.number(), counterpart, true)),
+                            () -> counterparts.forEach(counterpart -> fleet.cut(fault.number(), counterpart, false)));
                 }
                 case UNHEARD -> {
-                    int some = (int) Math.round(t.share() * stage.proxies());
-                    during(t, () -> stage.unheard(some, true), () -> stage.unheard(some, false));
+                    int proxies = (int) Math.round(fault.share() * fleet.proxies());
+                    during(fault, () -> fleet.unheard(proxies, true), () -> fleet.unheard(proxies, false));
                 }
-                default -> throw new IllegalStateException(t.kind().name());
+                default -> throw new IllegalStateException(fault.kind().name());
             }
-        } catch (RuntimeException failed) {
-            stage.note("could not: " + t.text() + ": " + failed);
+        } catch (RuntimeException e) {
+            fleet.note("could not apply: " + fault.text() + ": " + e);
         }
     }
 
-    private void dies(Machine backend) {
+    /** Ends a backend's process and removes it from the server list. */
+    private void die(Machine backend) {
         backend.die();
-        stage.list(List.of(backend), Event.Listed.GONE);
+        fleet.list(List.of(backend), Event.Listed.GONE);
     }
 
-    /** Silent first; the list learns of it later than of a process that ended. */
-    private void vanishes(Machine backend) {
+    /** Suspends a backend; the server list drops it 3 s later, as a lost host is noticed late. */
+    private void vanish(Machine backend) {
         backend.pause(600 * SECOND);
-        stage.after(3 * SECOND, () -> {
+        fleet.after(3 * SECOND, () -> {
             backend.die();
             backend.pause(0);
-            stage.list(List.of(backend), Event.Listed.GONE);
+            fleet.list(List.of(backend), Event.Listed.GONE);
         });
     }
 
-    private void returns(Machine backend) {
+    /** Starts a backend again, cold, and lists it 100 ms later. */
+    private void restart(Machine backend) {
         backend.pause(0);
         backend.startCold();
-        stage.after(100_000_000L, () -> {
+        fleet.after(100_000_000L, () -> {
             if (backend.up()) {
-                stage.list(List.of(backend), Event.Listed.READY);
+                fleet.list(List.of(backend), Event.Listed.READY);
             }
         });
     }
 
-    private void drains(List<Machine> chosen) {
-        chosen.forEach(b -> struck.add(b.id()));
-        chosen.forEach(b -> b.drain(false));
-        stage.list(chosen, Event.Listed.DRAINING);
+    /** Lists backends as draining. */
+    private void drain(List<Machine> chosen) {
+        chosen.forEach(backend -> unstable.add(backend.id()));
+        chosen.forEach(backend -> backend.drain(false));
+        fleet.list(chosen, Event.Listed.DRAINING);
     }
 
+    /** Adds a new backend in place of one that was preempted. */
     private void replace() {
-        stage.list(List.of(stage.fresh()), Event.Listed.READY);
+        fleet.list(List.of(fleet.fresh()), Event.Listed.READY);
     }
 
-    /** Batch after batch: told to drain, ended after the drain, started again cold under the same id. */
-    private void release(Script.Trouble t) {
-        List<Machine> all = choose(t.pick());
-        int batch = Math.max(1, (int) Math.round(t.share() * stage.machines().size()));
-        stage.note(t.text() + "  " + all.size() + " backends, " + batch + " at a time");
-        all.forEach(b -> troubled.add(b.id()));
-        long pause = t.forNs() + 2 * SECOND;
+    /** Restarts backends batch by batch: each drains, ends after the drain and starts cold under the same id. */
+    private void release(Script.Trouble fault) {
+        List<Machine> all = choose(fault.pick());
+        int batch =
+                Math.max(1, (int) Math.round(fault.share() * fleet.machines().size()));
+        fleet.note(fault.text() + "  " + all.size() + " backends, " + batch + " at a time");
+        all.forEach(backend -> affected.add(backend.id()));
+        long intervalNs = fault.forNs() + 2 * SECOND;
         for (int from = 0, turn = 0; from < all.size(); from += batch, turn++) {
-            List<Machine> some = List.copyOf(all.subList(from, Math.min(all.size(), from + batch)));
-            stage.after(turn * pause, () -> drains(some));
-            stage.after(turn * pause + t.forNs(), () -> some.forEach(this::dies));
-            stage.after(turn * pause + t.forNs() + SECOND, () -> {
-                some.forEach(this::returns);
-                some.forEach(b -> troubled.remove(b.id()));
+            List<Machine> members = List.copyOf(all.subList(from, Math.min(all.size(), from + batch)));
+            fleet.after(turn * intervalNs, () -> drain(members));
+            fleet.after(turn * intervalNs + fault.forNs(), () -> members.forEach(this::die));
+            fleet.after(turn * intervalNs + fault.forNs() + SECOND, () -> {
+                members.forEach(this::restart);
+                members.forEach(backend -> affected.remove(backend.id()));
             });
         }
     }
--- /dev/null
+++ b/src/main/java/puffinbarrow/day/TakeoverTimes.java
@@ -0,0 +1,55 @@
+package puffinbarrow.day;
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Locale;
+import java.util.Map;
+import org.HdrHistogram.Histogram;
+import puffinbarrow.audit.Seen;
+
+/**
+ * Measures how long slices had no coordinator in charge after theirs was killed, suspended or told to leave, from what
+ * the store sent. {@link Day} calls it once at the end of a day; it has no state and no side effects.
+ */
+final class TakeoverTimes {
+    private TakeoverTimes() {}
+
+    /** @param beganAt when the day began, in ns of {@link System#nanoTime} */
+    static String summary(Script script, List<Seen> seen, long beganAt) {
+        Histogram lost = new Histogram(3);
+        Histogram left = new Histogram(3);
+        for (Script.Trouble fault : script.troubles) {
+            // A suspension shorter than two leases may end before another coordinator takes over.
+            Histogram times = fault.kind() == Script.Kind.KILL
+                            || fault.kind() == Script.Kind.FREEZE && fault.forNs() > 2 * script.leaseNs
+                    ? lost
+                    : fault.kind() == Script.Kind.LEAVE ? left : null;
+            if (times == null) {
+                continue;
+            }
+            Map<Integer, Integer> inCharge = new HashMap<>();
+            for (Seen event : seen) {
+                if (!(event instanceof Seen.ChargeTold charge) || !charge.given()) {
+                    continue;
+                }
+                if (charge.at() < beganAt + fault.atNs()) {
+                    inCharge.put(charge.slice(), charge.coordinator());
+                } else if (inCharge.getOrDefault(charge.slice(), -1) == fault.number()) {
+                    times.recordValue((charge.at() - beganAt - fault.atNs()) / 1_000_000);
+                    inCharge.remove(charge.slice());
+                }
+            }
+        }
+        return String.format(
+                Locale.ROOT,
+                "until another spoke, %d slices of killed or stopped coordinators: p50 %.2f s, p99 %.2f s, "
+                        + "most %.2f s (a lease is %.2f s); %d of leaving ones: p99 %.2f s%n",
+                lost.getTotalCount(),
+                lost.getValueAtPercentile(50) / 1e3,
+                lost.getValueAtPercentile(99) / 1e3,
+                lost.getMaxValue() / 1e3,
+                script.leaseNs / 1e9,
+                left.getTotalCount(),
+                left.getValueAtPercentile(99) / 1e3);
+    }
+}
--- a/src/main/resources/puffinbarrow/experiment.ftlh
+++ b/src/main/resources/puffinbarrow/experiment.ftlh
@@ -11,7 +11,7 @@
 </head>
 <body>
 <h1>${title}</h1>
-<p>Simulated servers. Intervals are of 95%, by the bootstrap over seeds; pairs are the same day under two policies.</p>
+<p>Simulated servers. Intervals are 95% confidence intervals, bootstrapped over seeds; pairs are the same day under two policies.</p>
 <table>
 <tr><#list columns as column><th>${column}</th></#list></tr>
 <#list rows as row>
--- a/src/main/resources/puffinbarrow/page.ftlh
+++ b/src/main/resources/puffinbarrow/page.ftlh
@@ -18,9 +18,9 @@
 <body>
 <h1>${title}</h1>
 <p class="note">${note}</p>
-<#if !whole><p class="bad">Outcomes do not add up to the flows intended: these figures do not hold.</p></#if>
+<#if !whole><p class="bad">Outcomes do not add up to the flows intended: these figures are not valid.</p></#if>
 <#if busy?has_content>
-<p class="bad">This host itself was busy in the seconds <#list busy as second>${second}<#sep>, </#list>: their tails are not the target's alone.</p>
+<p class="bad">This host itself was busy in the seconds <#list busy as second>${second}<#sep>, </#list>: high latencies in them are not only the target's.</p>
 </#if>
 <table>
 <tr><#list columns as column><th>${column}</th></#list></tr>
--- a/src/test/java/puffinbarrow/HouseTest.java
+++ b/src/test/java/puffinbarrow/PackageDependencyTest.java
@@ -8,11 +8,11 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** The few arrows between rooms that must not turn. */
-class HouseTest {
+/** Checks which packages may depend on which. */
+class PackageDependencyTest {
     @Test
-    void importsPointInOneDirection() {
-        JavaClasses all = new ClassFileImporter()
+    void packagesDependOnlyOnPermittedPackages() {
+        JavaClasses program = new ClassFileImporter()
                 .withImportOption(new ImportOption.DoNotIncludeTests())
                 .importPackages("puffinbarrow");
         classes()
@@ -21,28 +21,28 @@
                 .should()
                 .onlyDependOnClassesThat()
                 .resideInAnyPackage("puffinbarrow.control", "java..")
-                .check(all);
+                .check(program);
         classes()
                 .that()
                 .resideInAPackage("puffinbarrow")
                 .should()
                 .onlyDependOnClassesThat()
                 .resideInAnyPackage("puffinbarrow", "puffinbarrow.control", "java..")
-                .check(all);
+                .check(program);
         classes()
                 .that()
                 .resideInAPackage("puffinbarrow.net")
                 .should()
                 .onlyDependOnClassesThat()
                 .resideInAnyPackage("puffinbarrow.net", "java..")
-                .check(all);
+                .check(program);
         classes()
                 .that()
                 .resideInAPackage("puffinbarrow.resp")
                 .should()
                 .onlyDependOnClassesThat()
                 .resideInAnyPackage("puffinbarrow.resp", "java..")
-                .check(all);
+                .check(program);
         classes()
                 .that()
                 .resideInAPackage("puffinbarrow.platform")
@@ -57,14 +57,14 @@
                         "puffinbarrow.coordinator",
                         "com.fasterxml.jackson.core",
                         "java..")
-                .check(all);
+                .check(program);
         classes()
                 .that()
                 .resideInAPackage("puffinbarrow.proto")
                 .should()
                 .onlyDependOnClassesThat()
                 .resideInAnyPackage("puffinbarrow.proto", "puffinbarrow.control", "java..")
-                .check(all);
+                .check(program);
         noClasses()
                 .that()
                 .resideInAPackage("puffinbarrow.lease")
@@ -78,7 +78,7 @@
                         "java.nio..",
                         "java.util.concurrent..",
                         "org.slf4j")
-                .check(all);
+                .check(program);
         noClasses()
                 .that()
                 .resideInAnyPackage("puffinbarrow.wire", "puffinbarrow.config")
@@ -86,27 +86,27 @@
                 .dependOnClassesThat()
                 .resideInAnyPackage(
                         "puffinbarrow.net", "puffinbarrow.coordinator", "org.slf4j", "picocli", "io.micrometer..")
-                .check(all);
+                .check(program);
         noClasses()
                 .that()
                 .resideOutsideOfPackages("puffinbarrow.standin", "puffinbarrow.day", "puffinbarrow.cli")
                 .should()
                 .dependOnClassesThat()
                 .resideInAPackage("puffinbarrow.standin")
-                .check(all);
+                .check(program);
         noClasses()
                 .that()
                 .resideOutsideOfPackage("puffinbarrow.cli")
                 .should()
                 .dependOnClassesThat()
                 .resideInAPackage("puffinbarrow.cli")
-                .check(all);
+                .check(program);
         noClasses()
                 .that()
                 .resideInAPackage("puffinbarrow.audit")
                 .should()
                 .dependOnClassesThat()
                 .resideInAPackage("puffinbarrow.coordinator")
-                .check(all);
+                .check(program);
     }
 }
--- a/src/test/java/puffinbarrow/day/DayTest.java
+++ b/src/test/java/puffinbarrow/day/DayTest.java
@@ -18,9 +18,12 @@
 import puffinbarrow.control.Event;
 import puffinbarrow.control.Order;
 
-/** Short days on loopback: the sound coordinator keeps every rule, and each broken one is caught at its rule. */
+/**
+ * Plays short days on loopback. The real decision logic must keep every rule; if decisions are altered to break a rule,
+ * the audit must report that rule.
+ */
 class DayTest {
-    private static final String SMALL =
+    private static final String SMALL_FLEET =
             """
             coordinators 2
             proxies 4
@@ -33,30 +36,31 @@
             seed 11
             """;
 
-    private static Page play(String script, Day.Bend bend) throws Exception {
+    /** Plays the small fleet with these further lines. */
+    private static DayReport play(String script, Day.Overrides overrides) throws Exception {
         List<Problem> problems = new ArrayList<>();
-        Script read = Script.parse("test", SMALL + script, problems);
+        Script read = Script.parse("test", SMALL_FLEET + script, problems);
         assertEquals(List.of(), problems);
-        try (Day day = new Day(read, new PrintStream(new ByteArrayOutputStream()), bend)) {
+        try (Day day = new Day(read, new PrintStream(new ByteArrayOutputStream()), overrides)) {
             return day.run();
         }
     }
 
-    /** Decisions that are right but for what the change makes of their orders. */
-    private static Controller.Factory bent(Function<List<Order>, List<Order>> change) {
+    /** Returns decisions whose orders are altered by the given change. */
+    private static Controller.Factory altered(Function<List<Order>, List<Order>> change) {
         return (settings, seed) -> {
             Logic logic = new Logic(settings, seed);
             return (now, events) -> change.apply(logic.handle(now, events));
         };
     }
 
-    private static void caught(Audit.Rule rule, Page page) {
-        assertTrue(page.verdict().broke(rule), page.text());
+    private static void assertBroken(Audit.Rule rule, DayReport report) {
+        assertTrue(report.verdict().broke(rule), report.text());
     }
 
     @Test
-    void aShortBadDayKeepsEveryRuleAndEveryFlowHasOneEnd() throws Exception {
-        Page page = play(
+    void dayWithManyFaultsKeepsEveryRuleAndEndsEveryFlowOnce() throws Exception {
+        DayReport report = play(
                 """
                 length 9s
                 at 1s backends 20% die for 2s
@@ -70,11 +74,11 @@
                 at 6s hot 1 keys 10% for 2s
                 at 7s backends add 1
                 """,
-                new Day.Bend(Logic::new, List.of()));
-        assertTrue(page.sound(), page.text());
-        assertEquals(page.result().intended, page.flows().size());
-        assertTrue(page.handed() > 0 && page.verdict().ordersFrames() > 0);
-        for (String trouble : List.of(
+                new Day.Overrides(Logic::new, List.of()));
+        assertTrue(report.sound(), report.text());
+        assertEquals(report.result().intended, report.flows().size());
+        assertTrue(report.chargesHandedOver() > 0 && report.verdict().ordersFrames() > 0);
+        for (String fault : List.of(
                 "die",
                 "killed",
                 "started again",
@@ -86,31 +90,31 @@
                 "unheard",
                 "hot 1",
                 "add 1")) {
-            assertTrue(page.troubles().stream().anyMatch(t -> t.contains(trouble)), trouble);
+            assertTrue(report.faultLog().stream().anyMatch(t -> t.contains(fault)), fault);
         }
     }
 
     @Test
-    void linesWithheldLeaveProxiesBare() throws Exception {
-        caught(
+    void auditReportsProxiesWithoutBackendsIfLinesAreWithheld() throws Exception {
+        assertBroken(
                 Audit.Rule.BARE,
                 play(
                         "length 6s\nset bare 1s\nat 500ms backends 30% die for 5s\n",
-                        new Day.Bend(
-                                bent(orders -> orders.stream()
+                        new Day.Overrides(
+                                altered(orders -> orders.stream()
                                         .filter(o -> !(o instanceof Order.SetLine))
                                         .toList()),
                                 List.of())));
     }
 
     @Test
-    void drainsIgnoredAreCaught() throws Exception {
-        caught(
+    void auditReportsIgnoredDrains() throws Exception {
+        assertBroken(
                 Audit.Rule.DRAIN,
                 play(
                         "length 6s\nset grace 2s\nset queue 1000\nat 500ms backends 30% preempt for 5s\n",
-                        new Day.Bend(
-                                bent(orders -> orders.stream()
+                        new Day.Overrides(
+                                altered(orders -> orders.stream()
                                         .filter(o -> !(o instanceof Order.Mask m && m.out())
                                                 && !(o instanceof Order.SetLine l && l.weight() == 0))
                                         .toList()),
@@ -118,13 +122,13 @@
     }
 
     @Test
-    void retriesWithoutProofAreCaught() throws Exception {
-        caught(
+    void auditReportsRetriesWithoutProof() throws Exception {
+        assertBroken(
                 Audit.Rule.TWICE,
                 play(
                         "length 5s\nat 500ms backends 4 lose 60% for 4s\n",
-                        new Day.Bend(
-                                bent(orders -> orders.stream()
+                        new Day.Overrides(
+                                altered(orders -> orders.stream()
                                         .map(o -> o instanceof Order.SetLevel l
                                                 ? new Order.SetLevel(l.table(), l.groups(), 1, Order.Retry.TWICE)
                                                 : o)
@@ -133,40 +137,41 @@
     }
 
     @Test
-    void aColdServerFloodedIsCaught() throws Exception {
-        Controller.Factory floods = (settings, seed) -> {
+    void auditReportsAnOverloadedColdServer() throws Exception {
+        Controller.Factory flooding = (settings, seed) -> {
             Logic logic = new Logic(settings, seed);
-            Set<Integer> mine = new TreeSet<>();
+            Set<Integer> ownSlices = new TreeSet<>();
             return (now, events) -> {
                 List<Order> orders = new ArrayList<>(logic.handle(now, events));
                 for (Event event : events) {
                     if (event instanceof Event.SliceCharge e && e.given()) {
-                        mine.add(e.slice());
+                        ownSlices.add(e.slice());
                     } else if (event instanceof Event.ServerList e) {
                         e.entries().stream()
                                 .filter(s -> s.startedNs() > 0 && s.listed() == Event.Listed.READY)
-                                .forEach(s -> mine.forEach(n -> orders.add(new Order.SetLine(n, s.server(), 1000))));
+                                .forEach(s ->
+                                        ownSlices.forEach(n -> orders.add(new Order.SetLine(n, s.server(), 1000))));
                     }
                 }
                 return orders;
             };
         };
-        caught(
+        assertBroken(
                 Audit.Rule.COLD,
                 play(
                         "length 7s\nrate 90\ncold 10% for 15s\nset fall-multiple 2 for 1s\n" + "at 1s backends add 1\n",
-                        new Day.Bend(floods, List.of())));
+                        new Day.Overrides(flooding, List.of())));
     }
 
     @Test
-    void aFloodedChannelIsCaught() throws Exception {
-        // The coordinator is told of a limit far above the one that it is judged by.
-        caught(
+    void auditReportsAFloodedChannel() throws Exception {
+        // The coordinator is given limits far above those of the audit.
+        assertBroken(
                 Audit.Rule.QUEUE,
                 play(
                         "length 3s\nset queue 300\n",
-                        new Day.Bend(
-                                bent(orders -> {
+                        new Day.Overrides(
+                                altered(orders -> {
                                     List<Order> more = new ArrayList<>(orders);
                                     for (int i = 0; i < 200; i++) {
                                         more.add(new Order.Mask("flood:" + i, false));
@@ -177,11 +182,11 @@
     }
 
     @Test
-    void theCoordinatorsOwnGuardHoldsTheLimitsAgainstWrongOrders() throws Exception {
-        // From the first flow on: flooded from its start, a slow fleet never has all its streams at a time.
-        Page page = play(
+    void coordinatorKeepsTheChannelLimitsIfDecisionsExceedThem() throws Exception {
+        // Floods only from the first flow on: flooded from its start, a slow fleet never has all its streams at once.
+        DayReport report = play(
                 "length 3s\nset queue 1500\n",
-                new Day.Bend(
+                new Day.Overrides(
                         (settings, seed) -> {
                             Logic logic = new Logic(settings, seed);
                             boolean[] flowing = new boolean[1];
@@ -196,8 +201,8 @@
                             };
                         },
                         List.of()));
-        assertTrue(!page.verdict().broke(Audit.Rule.QUEUE), page.text());
-        assertTrue(page.coordinators().values().stream()
+        assertTrue(!report.verdict().broke(Audit.Rule.QUEUE), report.text());
+        assertTrue(report.coordinators().values().stream()
                 .anyMatch(v -> v.keySet().stream().anyMatch(k -> k.startsWith("channel.cut_off"))));
     }
 }
--- a/src/test/java/puffinbarrow/day/TakeoverTest.java
+++ b/src/test/java/puffinbarrow/day/TakeoverTest.java
@@ -16,7 +16,10 @@
 import puffinbarrow.config.Problem;
 import puffinbarrow.control.Order;
 
-/** Half a minute of killed, stopped and cut-off coordinators, each a process of its own, on a fixed schedule. */
+/**
+ * Plays days in which coordinators are killed, suspended, cut off or leave, on a fixed schedule. No slice may ever have
+ * two coordinators in charge.
+ */
 class TakeoverTest {
     private static final String DRILL =
             """
@@ -39,27 +42,30 @@
             """;
 
     @Test
-    void killedStoppedAndCutOffCoordinatorsLeaveOneVoiceForEachSlice() throws Exception {
+    void eachSliceKeepsOneCoordinatorWhenProcessesAreKilledSuspendedOrCutOff() throws Exception {
         List<Problem> problems = new ArrayList<>();
         Script script = Script.parse("drill", DRILL, problems);
         assertEquals(List.of(), problems);
-        List<String> program = List.of(
+        List<String> command = List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-XX:TieredStopAtLevel=1",
                 "-cp",
                 System.getProperty("java.class.path"),
                 "puffinbarrow.cli.Main");
         try (Day day = new Day(
-                script, new PrintStream(new ByteArrayOutputStream()), new Day.Bend(Logic::new, List.of()), program)) {
-            Page page = day.run();
-            assertTrue(page.verdict().kept(), page.text());
-            assertTrue(page.sound(), page.text());
-            assertTrue(page.handed() >= 36, "charges changed hands: " + page.handed());
+                script,
+                new PrintStream(new ByteArrayOutputStream()),
+                new Day.Overrides(Logic::new, List.of()),
+                command)) {
+            DayReport report = day.run();
+            assertTrue(report.verdict().kept(), report.text());
+            assertTrue(report.sound(), report.text());
+            assertTrue(report.chargesHandedOver() >= 36, "charges changed hands: " + report.chargesHandedOver());
         }
     }
 
     @Test
-    void aSliceWithASingleOwnerPausesBetweenTwo() throws Exception {
+    void sliceWithASoleOwnerPausesBetweenTwoServers() throws Exception {
         List<Problem> problems = new ArrayList<>();
         Script script = Script.parse(
                 "owners",
@@ -78,11 +84,11 @@
                 """,
                 problems);
         assertEquals(List.of(), problems);
-        try (Day day =
-                new Day(script, new PrintStream(new ByteArrayOutputStream()), new Day.Bend(Logic::new, List.of()))) {
-            Page page = day.run();
-            assertTrue(page.verdict().kept(), page.text());
-            double changes = page.coordinators().values().stream()
+        try (Day day = new Day(
+                script, new PrintStream(new ByteArrayOutputStream()), new Day.Overrides(Logic::new, List.of()))) {
+            DayReport report = day.run();
+            assertTrue(report.verdict().kept(), report.text());
+            double changes = report.coordinators().values().stream()
                     .mapToDouble(f -> f.getOrDefault("slices.owner_changes", 0.0))
                     .sum();
             assertTrue(changes > 0, "owners changed");
@@ -90,7 +96,7 @@
     }
 
     @Test
-    void twoVoicesUnderOneTermAndAStepBackAreFound() {
+    void auditReportsTwoCoordinatorsUnderOneTermAndATermThatGoesBack() {
         List<Problem> problems = new ArrayList<>();
         CoordinatorConfig config = CoordinatorConfig.parse(
                 "t",
@@ -98,15 +104,15 @@
                         + "127.0.0.1:1 push\nstore 127.0.0.1:1\ngroup g utility 1 budget 1s expiry 2s retriable\n",
                 problems);
         assertEquals(List.of(), problems);
-        List<Seen> sound = List.of(
+        List<Seen> valid = List.of(
                 new Seen.Took(1, 0, 0, 2, 4),
                 new Seen.Took(2, 1, 0, 2, 4),
                 new Seen.Took(3, 0, 1, 2, 5),
                 new Seen.Applied(4, 0, 1, 3, List.<Order>of()));
-        assertTrue(Audit.judge(config, sound, 0).kept());
-        List<Seen> two = List.of(new Seen.Took(1, 0, 0, 2, 4), new Seen.Took(2, 1, 1, 2, 4));
-        assertTrue(Audit.judge(config, two, 0).broke(Audit.Rule.VOICE));
-        List<Seen> back = List.of(new Seen.Took(1, 0, 1, 2, 5), new Seen.Took(2, 0, 0, 2, 4));
-        assertTrue(Audit.judge(config, back, 0).broke(Audit.Rule.VOICE));
+        assertTrue(Audit.judge(config, valid, 0).kept());
+        List<Seen> twoUnderOneTerm = List.of(new Seen.Took(1, 0, 0, 2, 4), new Seen.Took(2, 1, 1, 2, 4));
+        assertTrue(Audit.judge(config, twoUnderOneTerm, 0).broke(Audit.Rule.VOICE));
+        List<Seen> olderTerm = List.of(new Seen.Took(1, 0, 1, 2, 5), new Seen.Took(2, 0, 0, 2, 4));
+        assertTrue(Audit.judge(config, olderTerm, 0).broke(Audit.Rule.VOICE));
     }
 }
