--- a/src/main/java/puffinbarrow/cli/BenchCommands.java
+++ b/src/main/java/puffinbarrow/cli/BenchCommands.java
@@ -94,9 +94,10 @@
         @Option(names = "--seeds", paramLabel = "N", description = "days of each kind (${DEFAULT-VALUE})")
         private int seeds = 10;
 
-        @Option(names = "--at-once", paramLabel = "N", description = "days played at a time (${DEFAULT-VALUE})")
+        @Option(names = "--at-once", paramLabel = "N", description = "days played in parallel (${DEFAULT-VALUE})")
         private int atOnce = 4;
 
+        /** The fleet, and a restart of its only coordinator. */
         private static final String FLEET =
                 """
                 coordinators 1
@@ -109,6 +110,7 @@
                 takeover 60s
                 at 10s coordinator 0 killed for 1s
                 """;
+
         /**
          * Faults of each kind of day. {@code right}: what is remembered still holds after the restart, as the same
          * backends flap and drain. {@code wrong}: half of the fleet is replaced during the restart.
@@ -120,10 +122,11 @@
         /**
          * The result of a day.
          *
-         * @param after service in the 10 s after the restart
-         * @param struck attempts at flapping or drained backends in that time
+         * @param serviceAfterRestart service in the 10 s after the restart
+         * @param attemptsAtUnstable attempts at flapping or drained backends in that time
          */
-        private record Run(double service, double after, long struck, List<Audit.Finding> broken) {}
+        private record Run(
+                double service, double serviceAfterRestart, long attemptsAtUnstable, List<Audit.Finding> broken) {}
 
         @Override
         public Integer call() throws Exception {
@@ -141,11 +144,11 @@
                 double[] sums = new double[6];
                 for (Future<Run[]> pair : pairs) {
                     Run[] both = pair.get();
-                    gains.add(both[1].after() - both[0].after());
+                    gains.add(both[1].serviceAfterRestart() - both[0].serviceAfterRestart());
                     for (int k = 0; k < 2; k++) {
                         sums[3 * k] += both[k].service();
-                        sums[3 * k + 1] += both[k].after();
-                        sums[3 * k + 2] += both[k].struck();
+                        sums[3 * k + 1] += both[k].serviceAfterRestart();
+                        sums[3 * k + 2] += both[k].attemptsAtUnstable();
                         allKept &= both[k].broken().isEmpty();
                         String variant = kind.getKey() + (k == 0 ? " without" : " with");
                         both[k].broken().forEach(f -> System.out.println("  " + variant + ": " + f));
--- a/src/main/java/puffinbarrow/cli/ChaosCommands.java
+++ b/src/main/java/puffinbarrow/cli/ChaosCommands.java
@@ -51,7 +51,7 @@
         @Option(names = "--slices", paramLabel = "N", description = "how many (${DEFAULT-VALUE})")
         private int slices = 300;
 
-        @Option(names = "--rate", paramLabel = "N", description = "flows a second (${DEFAULT-VALUE})")
+        @Option(names = "--rate", paramLabel = "N", description = "flows per second (${DEFAULT-VALUE})")
         private double rate = 200;
 
         @Override
--- a/src/main/java/puffinbarrow/cli/EmulateCommands.java
+++ b/src/main/java/puffinbarrow/cli/EmulateCommands.java
@@ -43,6 +43,7 @@
         return Commands.USAGE;
     }
 
+    /** Returns a script that comes with the program, or null if there is none of this name. */
     private static String builtIn(String name) {
         try {
             return Commands.builtIn(name);
@@ -91,8 +92,8 @@
                 arity = "0..1",
                 paramLabel = "FILE",
                 defaultValue = "default",
-                description = "a day's script with model"
-                        + " lines, or default or monday, which are built in (default: ${DEFAULT-VALUE})")
+                description = "a day's script with model lines, or default or monday for a built-in one"
+                        + " (default: ${DEFAULT-VALUE})")
         private Path file;
 
         @Option(
@@ -234,10 +235,14 @@
         @Option(names = "--days", paramLabel = "N", description = "days played before the reduction (${DEFAULT-VALUE})")
         private int days = 100;
 
-        @Option(names = "--seed", paramLabel = "N", description = "(${DEFAULT-VALUE})")
+        @Option(names = "--seed", paramLabel = "N", description = "seed of the search (${DEFAULT-VALUE})")
         private long seed = 1;
 
-        @Option(names = "--policy", paramLabel = "NAME", description = "(${DEFAULT-VALUE})", defaultValue = "ours")
+        @Option(
+                names = "--policy",
+                paramLabel = "NAME",
+                description = "decision logic of coordinators (${DEFAULT-VALUE})",
+                defaultValue = "ours")
         private String policy;
 
         @Option(
--- a/src/main/java/puffinbarrow/cli/LoadAccuracyBench.java
+++ b/src/main/java/puffinbarrow/cli/LoadAccuracyBench.java
@@ -30,6 +30,7 @@
     private int seeds = 10;
 
     private static final double[] QUANTILES = {50, 90, 99, 99.9};
+
     /** Largest relative error of a percentile. */
     private static final double MAX_ERROR = 0.03;
 
@@ -37,6 +38,7 @@
         return LoadBenches.scenario(target.address().getPort(), "seed " + seed + "\n" + more);
     }
 
+    /** Starts a stand-in target; {@code delay} maps a uniform random number to a delay in ns. */
     private static Delays target(DoubleUnaryOperator delay, long seed) throws Exception {
         return new Delays(delay, RandomSource.XO_RO_SHI_RO_128_PP.create(seed));
     }
@@ -53,7 +55,7 @@
         kinds.put("uniform 10 to 50 ms", u -> 10e6 + 40e6 * u);
         kinds.put("exponential, mean 30 ms", u -> -Math.log(1 - u) * 30e6);
         kinds.put("bimodal 10 and 200 ms (5%)", u -> u < 0.95 ? 10e6 : 200e6);
-        boolean within = true;
+        boolean allWithin = true;
         for (Map.Entry<String, DoubleUnaryOperator> kind : kinds.entrySet()) {
             double[] worst = new double[QUANTILES.length];
             double[][] errors = new double[QUANTILES.length][seeds];
@@ -80,7 +82,7 @@
                         QUANTILES[i],
                         100 * errors[i][seeds / 2],
                         100 * worst[i]));
-                within &= worst[i] < MAX_ERROR;
+                allWithin &= worst[i] < MAX_ERROR;
             }
             System.out.printf(
                     Locale.ROOT,
@@ -90,10 +92,10 @@
                     lag.getValueAtPercentile(90) / 1e3,
                     lag.getValueAtPercentile(99) / 1e3);
         }
-        stall();
-        busy();
-        System.out.println(within ? "all percentiles within 3%" : "NOT all percentiles within 3%");
-        return within ? Commands.OK : Commands.FAILED;
+        measureStall();
+        measureBusyHost();
+        System.out.println(allWithin ? "all percentiles within 3%" : "NOT all percentiles within 3%");
+        return allWithin ? Commands.OK : Commands.FAILED;
     }
 
     /** A rate counts as offered if 99% of flows are sent within this time of their intended start, in us. */
@@ -112,12 +114,13 @@
             }
         }
         System.out.printf(Locale.ROOT, "drawing alone: %.0f flows/s%n", drawn * 1e9 / (System.nanoTime() - began));
-        double good = 0;
-        double bad = 0;
+        double highestOffered = 0;
+        double lowestRefused = 0;
         // Doubles the rate until it fails, then bisects four times: accurate to a sixteenth.
         for (int step = 0, bisections = 0; step < 14 && bisections < 4; step++) {
-            double rate = bad == 0 ? Math.max(1000, 2 * good) : (good + bad) / 2;
-            bisections += bad == 0 ? 0 : 1;
+            double rate =
+                    lowestRefused == 0 ? Math.max(1000, 2 * highestOffered) : (highestOffered + lowestRefused) / 2;
+            bisections += lowestRefused == 0 ? 0 : 1;
             Result result;
             try (Delays target = new Delays(u -> 0, RandomSource.XO_RO_SHI_RO_128_PP.create(1));
                     Engine engine = new Engine(scenario.flat(rate, 2_000_000_000L, target.address()))) {
@@ -133,21 +136,21 @@
                     result.all.count(Result.Outcome.IN_BUDGET),
                     result.intended,
                     offered ? "" : "  not offered");
-            good = offered ? rate : good;
-            bad = offered ? bad : rate;
+            highestOffered = offered ? rate : highestOffered;
+            lowestRefused = offered ? lowestRefused : rate;
         }
         System.out.printf(
                 Locale.ROOT,
                 "this host offers %.0f flows/s with %d senders, the answering stand-in in the same "
                         + "process; the scenario asks for %.0f at most%n",
-                good,
+                highestOffered,
                 scenario.senders,
                 scenario.mostRate());
-        return good >= scenario.mostRate() ? Commands.OK : Commands.FAILED;
+        return highestOffered >= scenario.mostRate() ? Commands.OK : Commands.FAILED;
     }
 
     /** Prints percentiles of a target that stalls for 2 s at a constant rate, beside the calculated ones. */
-    private static void stall() throws Exception {
+    private static void measureStall() throws Exception {
         try (Delays target = target(u -> 2e6, 1);
                 Engine engine = new Engine(
                         scenario(target, 1, "rate 1000\nlength 10s\narrivals constant\n" + "connections 50\n"))) {
@@ -179,7 +182,7 @@
     }
 
     /** Runs on a quiet host and with threads that keep every core busy; the second run must be marked as disturbed. */
-    private static void busy() throws Exception {
+    private static void measureBusyHost() throws Exception {
         for (boolean burn : new boolean[] {false, true}) {
             List<Thread> burners = new ArrayList<>();
             for (int i = 0; burn && i < 4 * Runtime.getRuntime().availableProcessors(); i++) {
--- a/src/main/java/puffinbarrow/cli/LoadBenches.java
+++ b/src/main/java/puffinbarrow/cli/LoadBenches.java
@@ -83,13 +83,19 @@
             mixinStandardHelpOptions = true,
             description = "Compares the rate with wrk's on the same stand-in and with as many connections, in turn.")
     static final class Rate implements Callable<Integer> {
-        @Option(names = "--rounds", paramLabel = "N", description = "pairs (${DEFAULT-VALUE})")
+        @Option(names = "--rounds", paramLabel = "N", description = "pairs of runs (${DEFAULT-VALUE})")
         private int rounds = 5;
 
-        @Option(names = "--connections", paramLabel = "N", description = "of each (${DEFAULT-VALUE})")
+        @Option(
+                names = "--connections",
+                paramLabel = "N",
+                description = "connections of each generator (${DEFAULT-VALUE})")
         private int connections = 64;
 
-        @Option(names = "--senders", paramLabel = "N", description = "sending threads of each (${DEFAULT-VALUE})")
+        @Option(
+                names = "--senders",
+                paramLabel = "N",
+                description = "sending threads of each generator (${DEFAULT-VALUE})")
         private int senders = 2;
 
         /** Required share of wrk's rate. */
@@ -161,7 +167,7 @@
                 process.waitFor();
                 Matcher matcher = Pattern.compile("Requests/sec:\\s*([0-9.]+)").matcher(text);
                 return matcher.find() ? Double.parseDouble(matcher.group(1)) : 0;
-            } catch (IOException absent) {
+            } catch (IOException e) {
                 return 0;
             }
         }
@@ -181,7 +187,7 @@
             mixinStandardHelpOptions = true,
             description = "Measures the heap with 10,000 flows in flight.")
     static final class Memory implements Callable<Integer> {
-        @Option(names = "--flows", paramLabel = "N", description = "in flight (${DEFAULT-VALUE})")
+        @Option(names = "--flows", paramLabel = "N", description = "flows in flight (${DEFAULT-VALUE})")
         private int flows = 10_000;
 
         @Override
@@ -221,7 +227,7 @@
             mixinStandardHelpOptions = true,
             description = "Reads a long trace, partly out of order and malformed, and measures heap and rate.")
     static final class LongTrace implements Callable<Integer> {
-        @Option(names = "--lines", paramLabel = "N", description = "(${DEFAULT-VALUE})")
+        @Option(names = "--lines", paramLabel = "N", description = "lines of the trace (${DEFAULT-VALUE})")
         private long lines = 10_000_000;
 
         @Override
--- a/src/main/java/puffinbarrow/day/Day.java
+++ b/src/main/java/puffinbarrow/day/Day.java
@@ -61,7 +61,47 @@
     /** Nanoseconds in a second. */
     private static final long SECOND = 1_000_000_000L;
 
+    /** Backends of one cell, which fail together. */
+    private static final int BACKENDS_PER_CELL = 4;
+
+    /** Flows that wait at a backend at most, for each of its cores. */
+    private static final int WAITING_ROOM_PER_CORE = 8;
+
+    /** Connections that a backend accepts, for each of its cores. */
+    private static final int CONNECTIONS_PER_CORE = 60;
+
+    /** Share of the work that a warm key saves. */
+    private static final double WARM_KEY_GAIN = 0.3;
+
+    /** Keys that a backend keeps warm, for each of its cores. */
+    private static final int WARM_KEYS_PER_CORE = 60;
+
+    /** Time that a proxy takes to apply one line of an order. */
+    private static final long APPLY_NS_PER_LINE = 30_000;
+
+    /** Failures in a row after which a proxy avoids a backend. */
+    private static final int FAILURES_TO_AVOID = 8;
+
+    /** How long a proxy avoids a backend. */
+    private static final long AVOID_NS = 4 * SECOND;
+
+    /** How long a proxy holds a flow without a backend before it blocks the flow. */
+    private static final long HOLD_NS = 200_000_000L;
+
+    /** How long a proxy waits for an answer, in latency budgets of the flow's group. */
+    private static final double TRY_BUDGETS = 1.2;
+
+    /** Number of the registry's random stream, see {@link Plan#randomSource}. */
+    private static final int REGISTRY_STREAM = 2;
+
+    /** Number of the first backend's random stream; the others follow. */
+    private static final int FIRST_BACKEND_STREAM = 1000;
+
+    /** Number of the first proxy's random stream; the others follow. */
+    private static final int FIRST_PROXY_STREAM = 5000;
+
     private final Script script;
+
     /** This program's command line, for coordinators as child processes; null for coordinators in this process. */
     private final List<String> command;
 
@@ -84,6 +124,7 @@
     private final Map<Integer, InetSocketAddress> addresses = new TreeMap<>();
 
     private final List<PlainProxy> proxies = new ArrayList<>();
+
     /**
      * By id, in the order of creation and not of their ports, so that the same seed strikes the same backends in every
      * run.
@@ -106,6 +147,7 @@
     /** Each proxy's weight in the traffic. */
     private final List<Double> weights = new ArrayList<>();
 
+    /** The load generator, which plays all clients; null until the fleet is ready. */
     private Engine clients;
 
     /** Number of backends created so far. */
@@ -137,11 +179,13 @@
         this.memoryFolder = script.memory ? Files.createTempDirectory("puffinbarrow-day") : null;
         this.net = new Net("fleet", 4);
         this.config = plan.config(0, List.of());
-        this.registry = new Registry(net, recorder, plan.randomSource(2), script.noticeLowNs, script.noticeHighNs);
+        this.registry = new Registry(
+                net, recorder, plan.randomSource(REGISTRY_STREAM), script.noticeLowNs, script.noticeHighNs);
         this.store = new Store(
                 net, recorder, script.slices, script.coordinators, config.soleOwner, script.takeoverNs / 1_000_000);
     }
 
+    /** Returns a coordinator's settings, parsed. */
     private CoordinatorConfig coordinatorConfig(int number, List<String> more) {
         return Plan.parse(settingsLines(number, more));
     }
@@ -170,18 +214,18 @@
                 new Backend.Shape(
                         zone,
                         0,
-                        backendsCreated / 4,
+                        backendsCreated / BACKENDS_PER_CELL,
                         script.cores,
                         speed,
-                        script.cores * 8,
-                        script.cores * 60,
+                        script.cores * WAITING_ROOM_PER_CORE,
+                        script.cores * CONNECTIONS_PER_CORE,
                         script.coldFrom,
                         script.coldNs,
-                        0.3,
-                        60 * script.cores,
+                        WARM_KEY_GAIN,
+                        WARM_KEYS_PER_CORE * script.cores,
                         Plan.dedupNs(config)),
                 recorder,
-                plan.randomSource(1000 + backendsCreated),
+                plan.randomSource(FIRST_BACKEND_STREAM + backendsCreated),
                 config.fallMultiple,
                 config.fallNs);
         backendsCreated++;
@@ -224,7 +268,7 @@
     public DayReport run() throws IOException, InterruptedException {
         out.println("seed " + script.seed);
         for (int i = 0; i < script.backends; i++) {
-            registry.set(Plan.entry(machine(createBackend()), Event.Listed.READY));
+            registry.set(Plan.entry(control(createBackend()), Event.Listed.READY));
         }
         List<String> ids = new ArrayList<>(backends.keySet());
         for (int i = 0; i < script.slices; i++) {
@@ -239,11 +283,17 @@
                 coordinator.connectPeer(other, address);
             }
         }));
-        PlainProxy.Habits proxyHabits =
-                new PlainProxy.Habits(script.transitNs, 30_000, script.sumsLateNs, 8, 4 * SECOND, 200_000_000L, 1.2);
+        PlainProxy.Habits proxyHabits = new PlainProxy.Habits(
+                script.transitNs,
+                APPLY_NS_PER_LINE,
+                script.sumsLateNs,
+                FAILURES_TO_AVOID,
+                AVOID_NS,
+                HOLD_NS,
+                TRY_BUDGETS);
         for (int i = 0; i < script.proxies; i++) {
             PlainProxy proxy = new PlainProxy(
-                    net, i, i % script.zones, config, proxyHabits, recorder, plan.randomSource(5000 + i));
+                    net, i, i % script.zones, config, proxyHabits, recorder, plan.randomSource(FIRST_PROXY_STREAM + i));
             proxies.add(proxy);
             proxy.start(store.address(), addresses);
             weights.add(plan.part());
@@ -369,7 +419,8 @@
         out.println(line);
     }
 
-    private static Machine machine(Backend backend) {
+    /** Returns the interface through which faults are applied to a backend. */
+    private static Machine control(Backend backend) {
         return new Machine() {
             @Override
             public String id() {
@@ -452,7 +503,7 @@
 
         @Override
         public List<Machine> machines() {
-            return backends.values().stream().map(Day::machine).toList();
+            return backends.values().stream().map(Day::control).toList();
         }
 
         @Override
@@ -460,7 +511,7 @@
             try {
                 Backend backend = createBackend();
                 backend.beginCold();
-                return machine(backend);
+                return control(backend);
             } catch (IOException e) {
                 throw new IllegalStateException("cannot start a backend: " + e.getMessage(), e);
             }
--- a/src/main/java/puffinbarrow/day/DayReport.java
+++ b/src/main/java/puffinbarrow/day/DayReport.java
@@ -57,7 +57,7 @@
     private static final long SECOND = 1_000_000_000L;
 
     /** Length of the sliding window of the worst service, in ns. */
-    private static final long WINDOW = 10 * SECOND;
+    private static final long WINDOW_NS = 10 * SECOND;
 
     /** Returns utility answered within the latency budget over utility asked for; a late answer earns a fifth. */
     public double service() {
@@ -80,8 +80,8 @@
     /** Returns the lowest service of any 10 s of the day, by the start of flows. */
     public double worstWindow() {
         double worst = 1;
-        for (long from = 0; from + WINDOW <= script.lengthNs; from += SECOND) {
-            worst = Math.min(worst, service(between(from, from + WINDOW)));
+        for (long from = 0; from + WINDOW_NS <= script.lengthNs; from += SECOND) {
+            worst = Math.min(worst, service(between(from, from + WINDOW_NS)));
         }
         return worst;
     }
@@ -91,6 +91,7 @@
         return service(between(fromNs, toNs));
     }
 
+    /** Returns flows that began within this part of the day, in ns from its beginning. */
     private List<Ended> between(long from, long to) {
         return flows.stream()
                 .filter(f -> f.startNs() - beganAt >= from && f.startNs() - beganAt < to)
@@ -197,6 +198,7 @@
                 text());
     }
 
+    /** Appends whether each rule is kept, with up to five findings of each that is not. */
     private void appendRules(StringBuilder report) {
         report.append("\nthe rules, from what passed on the sockets\n");
         Map<Audit.Rule, String> summaries = ruleSummaries();
@@ -213,6 +215,7 @@
         }
     }
 
+    /** Returns a line for each rule with the worst figure that was seen. */
     private Map<Audit.Rule, String> ruleSummaries() {
         Map<Audit.Rule, String> summaries = new TreeMap<>();
         summaries.put(
--- a/src/main/java/puffinbarrow/day/Script.java
+++ b/src/main/java/puffinbarrow/day/Script.java
@@ -85,8 +85,10 @@
      * Selects backends: a count, a share, all of a zone, or all of a number of cells. A cell is a few backends of one
      * zone that fail together.
      *
-     * @param share 0 to 1
+     * @param count a number of backends, or 0
+     * @param share a share of all backends, 0 to 1; used if all else is unset
      * @param zone the zone's number, or -1 for any
+     * @param cells a number of cells, or 0
      */
     public record Pick(int count, double share, int zone, int cells) {
         static final Pick NONE = new Pick(0, 0, -1);
@@ -100,6 +102,7 @@
     public int proxies = 8;
     public int backends = 18;
     public int zones = 3;
+
     /** Cores of each backend. */
     public int cores = 4;
 
@@ -110,11 +113,15 @@
     public double speedHigh = 1.15;
 
     public int slices = 72;
+
     /** Flows a second. */
     public double rate = 150;
 
+    /** Length of the day. */
     public long lengthNs = 60_000_000_000L;
+
     public long seed = 7;
+
     /** How often a client repeats a flow by itself. */
     public int retries = 1;
 
@@ -155,6 +162,7 @@
     public final List<String> settings = new ArrayList<>();
 
     public final Map<String, double[]> work = new TreeMap<>();
+
     /** In the order of the script. */
     public final List<Trouble> troubles = new ArrayList<>();
 
@@ -233,6 +241,7 @@
         return script;
     }
 
+    /** Reads one line of the script into the fields. */
     private void readStatement(Statement statement, Words words) {
         switch (statement.keyword()) {
             case "coordinators" -> coordinators = (int) words.whole("how many coordinators", 1, 50);
@@ -295,6 +304,7 @@
         }
     }
 
+    /** Reads the rest of a line {@code at}. */
     private void readFault(Statement statement, Words words) {
         long at = words.time("when it begins");
         String text = String.join(
@@ -393,6 +403,7 @@
         }
     }
 
+    /** Reads the rest of a line {@code at TIME backends}. */
     private void readBackendFault(long at, Words words, String text) {
         if (words.take("add")) {
             int count = (int) words.whole("how many", 1, 10_000);
@@ -443,11 +454,13 @@
         }
     }
 
+    /** Reads {@code for TIME}; in ns. */
     private static long readDuration(Words words) {
         words.expect("for");
         return words.time("how long it lasts");
     }
 
+    /** Reads which backends are struck. */
     private Pick readPick(Words words) {
         if (words.take("zone")) {
             return new Pick(0, 0, (int) words.whole("the zone's number", 0, zones - 1));
--- a/src/main/java/puffinbarrow/day/Strikes.java
+++ b/src/main/java/puffinbarrow/day/Strikes.java
@@ -19,6 +19,7 @@
 
     private final Stage fleet;
     private final UniformRandomProvider random;
+
     /** Ids of backends that a fault lasts on; no other fault selects them. */
     private final Set<String> affected = Collections.synchronizedSet(new HashSet<>());
 
