--- a/src/bench/java/puffinbarrow/bench/FrameBench.java
+++ b/src/bench/java/puffinbarrow/bench/FrameBench.java
@@ -54,7 +54,7 @@
             lines.add(new Order.SetLine(i, "10.144.17." + i % 80 + ":8044", i % 3 == 0 ? 0.03 : 1));
         }
         orders = new Frame.Orders(17, 1_234_567_890_123L, 0, lines);
-        frame = writer.bytes(orders);
+        frame = writer.encodeCopy(orders);
         encoded = encodeCbor();
         reader = new FrameReader(1 << 20, f -> lastFrame = f);
         lineReader = new FrameReader(1 << 20, f -> lastFrame = f);
@@ -96,7 +96,7 @@
 
     @Benchmark
     public void readOursWithoutRecords(Blackhole blackhole) {
-        lineReader.lines(frame, new FrameReader.Lines() {
+        lineReader.visitOrders(frame, new FrameReader.OrderVisitor() {
             @Override
             public void line(int table, String server, double weight) {
                 blackhole.consume(table);
--- a/src/bench/java/puffinbarrow/bench/SocketBench.java
+++ b/src/bench/java/puffinbarrow/bench/SocketBench.java
@@ -85,7 +85,7 @@
                                         orders.orders().stream()
                                                 .filter(order -> order instanceof Order.Mark)
                                                 .forEach(order -> {
-                                                    uplinks[0].send(FrameWriter.one(
+                                                    uplinks[0].send(FrameWriter.encode(
                                                             new Frame.Applied(((Order.Mark) order).number(), 1)));
                                                     applied.incrementAndGet();
                                                     lastAppliedNs = System.nanoTime();
--- a/src/main/java/puffinbarrow/Logic.java
+++ b/src/main/java/puffinbarrow/Logic.java
@@ -434,7 +434,7 @@
     }
 
     @Override
-    public List<Event.Recalled> known() {
+    public List<Event.Recalled> rememberedState() {
         List<Event.Recalled> known = new ArrayList<>(List.of(
                 new Event.Recalled(Event.Recall.CALM_LOAD, "", calmLoad, 1),
                 new Event.Recalled(Event.Recall.CALM_WHOLE, "", calmLoadWholeFleet, 1),
@@ -511,7 +511,7 @@
      * probes, until it looks ill. If it has really died, flows sent to it fail for that long.
      */
     private void delist(Server server) {
-        if (!settings.droppedStayOpen() || !server.ready) {
+        if (!settings.keepsDelisted() || !server.ready) {
             leave(server);
         } else if (server.unlisted == 0) {
             server.unlisted = 1;
@@ -754,7 +754,7 @@
                 .count();
         boolean last = reducedBefore == settings.groups().size() - 1;
         double share = Math.max(MIN_ADMITTED_SHARE, Math.min(1, 1 - (shedGroups - MAX_SHED_PER_GROUP * reducedBefore)));
-        return settings.levelIsRate() ? UNLIMITED_RATE : !settings.levelsHeeded() || last ? 1 : share;
+        return settings.levelIsRate() ? UNLIMITED_RATE : !settings.levelsApplied() || last ? 1 : share;
     }
 
     private double utilityPerBudget(int group) {
@@ -795,10 +795,10 @@
      */
     private double warmth(Server server) {
         long ageNs = nowNs - server.startedNs;
-        if (server.startedNs == 0 || ageNs >= settings.warmNs()) {
+        if (server.startedNs == 0 || ageNs >= settings.warmUpNs()) {
             return 1;
         }
-        return settings.coldShare() + (1 - settings.coldShare()) * Math.max(0, ageNs) / settings.warmNs();
+        return settings.coldShare() + (1 - settings.coldShare()) * Math.max(0, ageNs) / settings.warmUpNs();
     }
 
     private double capacity(Server server) {
@@ -1362,22 +1362,22 @@
         // While proxies join by the hundred, a push reaches all that have joined by the time it is carried out, known
         // here or not, so it is sized for the configured number. If some proxies cannot reach this coordinator for a
         // long time, pushes are smaller than necessary.
-        int proxies = Math.max(joinedProxies.size(), settings.proxies());
+        int proxies = Math.max(joinedProxies.size(), settings.expectedProxies());
         // Unacknowledged lines count as queued, less a credit of 0.8 of the usual rate since the oldest push, as an
         // acknowledgement takes time to arrive. The credit is capped, so that even a channel that has just become slow
         // stays below 0.9 of its limit. Ordinary pushes fill no more than is sent in a quarter of the grace period,
         // since a drain queues behind them.
-        double quarterGrace = settings.linesPerS() * settings.graceNs() / SECOND / 4 / settings.queueLimit();
+        double quarterGrace = settings.linesPerS() * settings.graceNs() / SECOND / 4 / settings.queueLimitLines();
         double ordinaryShare = Math.min(0.48, quarterGrace);
         double share = urgent ? 0.7 : ordinaryShare;
         double unacknowledgedLines = pushes.stream()
                 .mapToDouble(push -> push.linesPerProxy * push.unacknowledged.size())
                 .sum();
         long oldestAgeNs = pushes.isEmpty() ? 0 : nowNs - pushes.peekFirst().sentAtNs;
-        double maxCredit = (urgent ? 0.2 : 0.37) * settings.queueLimit();
+        double maxCredit = (urgent ? 0.2 : 0.37) * settings.queueLimitLines();
         double credit = Math.min(maxCredit, 0.8 * settings.linesPerS() * oldestAgeNs / SECOND);
-        double overheadLines = settings.head() + 1 + levelLines;
-        double maxLines = settings.queueLimit() * share / proxies - overheadLines;
+        double overheadLines = settings.messageOverheadLines() + 1 + levelLines;
+        double maxLines = settings.queueLimitLines() * share / proxies - overheadLines;
         double lines = maxLines - Math.max(0, unacknowledgedLines - credit) / proxies;
         // Each push costs its overhead, so it waits until there is room for most of what it has to carry; but it does
         // not wait while no other push is unacknowledged.
@@ -1391,7 +1391,7 @@
             decisionDue |= urgent;
             return;
         }
-        send(due, masks, lifted, lines, lines - (share - ordinaryShare) * settings.queueLimit() / proxies);
+        send(due, masks, lifted, lines, lines - (share - ordinaryShare) * settings.queueLimitLines() / proxies);
     }
 
     /** Whether the interval since the last push and the limit on messages allow a push. */
@@ -1471,7 +1471,7 @@
             // masks are in no table, would never be acknowledged and would hold up all that follow. This costs the
             // overhead for each proxy where a push would have reached none.
             orders.add(new Order.Mark(mark, true));
-            double linesPerProxy = settings.head() + orders.size() - before + levelLines;
+            double linesPerProxy = settings.messageOverheadLines() + orders.size() - before + levelLines;
             pushes.addLast(new Push(mark, nowNs, linesPerProxy, new TreeSet<>(joinedProxies)));
             pushTimesNs.addLast(nowNs);
             lastPushNs = nowNs;
--- a/src/main/java/puffinbarrow/audit/Audit.java
+++ b/src/main/java/puffinbarrow/audit/Audit.java
@@ -432,7 +432,7 @@
                 proxy.tables.remove(o.table());
                 touched.add(o.table());
             } else if (order instanceof Order.Mask o) {
-                maskChanged |= o.out() ? masks.add(o.server()) : masks.remove(o.server());
+                maskChanged |= o.masked() ? masks.add(o.server()) : masks.remove(o.server());
             }
         }
         proxy.lastOrderedAt.put(applied.coordinator(), applied.orderedAtNs());
--- a/src/main/java/puffinbarrow/cli/Main.java
+++ b/src/main/java/puffinbarrow/cli/Main.java
@@ -4,7 +4,7 @@
 import java.nio.file.Path;
 import puffinbarrow.Logic;
 import puffinbarrow.platform.Service;
-import puffinbarrow.wire.MalformedBatch;
+import puffinbarrow.wire.MalformedInputException;
 import puffinbarrow.wire.WireHost;
 
 /**
@@ -76,7 +76,7 @@
     private static void wirehost() throws IOException {
         try {
             new WireHost(Logic::new).run(System.in, System.out);
-        } catch (MalformedBatch malformed) {
+        } catch (MalformedInputException malformed) {
             System.err.println("puffinbarrow: " + malformed.getMessage());
             System.exit(1);
         }
--- a/src/main/java/puffinbarrow/config/CoordinatorConfig.java
+++ b/src/main/java/puffinbarrow/config/CoordinatorConfig.java
@@ -225,7 +225,7 @@
         config.of = 1000;
         config.seed = seed;
         config.listOnRequest = from.listOnRequest();
-        config.levels = from.levelIsRate() ? "rate" : from.levelsHeeded() ? "share" : "off";
+        config.levels = from.levelIsRate() ? "rate" : from.levelsApplied() ? "share" : "off";
         for (Settings.Group group : from.groups()) {
             config.groups.add(new Group(
                     "group-" + config.groups.size(),
@@ -238,18 +238,18 @@
         }
         config.slices = from.slices();
         config.soleOwner = from.soleOwner();
-        config.queueLines = from.queueLimit();
+        config.queueLines = from.queueLimitLines();
         config.linesPerS = from.linesPerS();
-        config.headLines = from.head();
+        config.headLines = from.messageOverheadLines();
         config.messages = from.messagesAllowed();
         config.messagesSpanNs = from.messagesSpanNs();
         config.roundNs = from.roundNs();
         config.graceNs = from.graceNs();
-        config.warmNs = from.warmNs();
+        config.warmNs = from.warmUpNs();
         config.coldShare = from.coldShare();
         config.fallMultiple = from.fallMultiple();
         config.probes = from.probes();
-        config.keepGoneServers = from.droppedStayOpen();
+        config.keepGoneServers = from.keepsDelisted();
         return config;
     }
 
--- a/src/main/java/puffinbarrow/control/Controller.java
+++ b/src/main/java/puffinbarrow/control/Controller.java
@@ -15,7 +15,7 @@
     List<Order> handle(long nowNs, List<Event> events);
 
     /** Returns what is worth remembering across a restart, to be given back as events. Called at intervals. */
-    default List<Event.Recalled> known() {
+    default List<Event.Recalled> rememberedState() {
         return List.of();
     }
 
--- a/src/main/java/puffinbarrow/control/Order.java
+++ b/src/main/java/puffinbarrow/control/Order.java
@@ -26,7 +26,7 @@
     record Bind(int table, int proxy, int groups) implements Order {}
 
     /** Masks a server in all tables ({@code out}), or lifts its mask. Proxies send nothing new to a masked server. */
-    record Mask(String server, boolean out) implements Order {}
+    record Mask(String server, boolean masked) implements Order {}
 
     /**
      * Sets how much of some traffic groups is admitted, and their retries.
--- a/src/main/java/puffinbarrow/control/Settings.java
+++ b/src/main/java/puffinbarrow/control/Settings.java
@@ -28,23 +28,23 @@
 public record Settings(
         boolean listOnRequest,
         boolean levelIsRate,
-        boolean levelsHeeded,
+        boolean levelsApplied,
         List<Group> groups,
         int slices,
         boolean soleOwner,
-        double queueLimit,
+        double queueLimitLines,
         double linesPerS,
-        double head,
+        double messageOverheadLines,
         int messagesAllowed,
         long messagesSpanNs,
         long roundNs,
         long graceNs,
-        long warmNs,
+        long warmUpNs,
         double coldShare,
         double fallMultiple,
         boolean probes,
-        boolean droppedStayOpen,
-        int proxies) {
+        boolean keepsDelisted,
+        int expectedProxies) {
 
     /**
      * A traffic group.
--- a/src/main/java/puffinbarrow/coordinator/Coordinator.java
+++ b/src/main/java/puffinbarrow/coordinator/Coordinator.java
@@ -196,7 +196,7 @@
             } else {
                 storeDialer = dialer("store", config.store, hello, leaseHolder::frame, up -> {
                     core.offer(new Input.StoreUp(up));
-                    leaseHolder.store(up == null ? null : frame -> up.send(FrameWriter.one(frame)));
+                    leaseHolder.store(up == null ? null : frame -> up.send(FrameWriter.encode(frame)));
                 });
                 leaseHolder.start();
             }
@@ -398,7 +398,7 @@
                     refuse(Frame.RefusalReason.EXPECTED_HELLO, "the first frame was no hello");
                 }
             } else if (frame instanceof Frame.Ping ping) {
-                send(FrameWriter.one(new Frame.Pong(ping.number())));
+                send(FrameWriter.encode(new Frame.Pong(ping.number())));
             } else if (frame instanceof Frame.Pong) {
                 return;
             } else if (frame instanceof Frame.Bye) {
@@ -452,7 +452,7 @@
         }
 
         private void welcome() {
-            send(FrameWriter.one(new Frame.Welcome(Frame.MINOR, config.number, incarnation)));
+            send(FrameWriter.encode(new Frame.Welcome(Frame.MINOR, config.number, incarnation)));
         }
 
         private void refuse(Frame.RefusalReason why, String text) {
@@ -462,14 +462,14 @@
                     .addKeyValue("why", why)
                     .addKeyValue("proxy", hello == null ? -1 : hello.number())
                     .log(text);
-            link.send(FrameWriter.one(new Frame.Refusal(why, text)));
+            link.send(FrameWriter.encode(new Frame.Refusal(why, text)));
             link.closeWhenSent();
         }
 
         /** Sends a ping, and closes the connection if nothing is received within that time. */
         private void requireAnswerWithin(long ns) {
             answerDeadlineNs = System.nanoTime() + ns;
-            send(FrameWriter.one(new Frame.Ping(answerDeadlineNs)));
+            send(FrameWriter.encode(new Frame.Ping(answerDeadlineNs)));
             net.schedule(ns / 1_000_000 + 10, () -> checkIdle(System.nanoTime()));
         }
 
@@ -483,7 +483,7 @@
                 meters.countCause("streams.refused", Frame.RefusalReason.TOO_SLOW);
                 open.close(Link.Cause.CLOSED_HERE, "silent for " + (now - lastReceivedNs) / 1_000_000 + " ms");
             } else if (now - lastReceivedNs > config.idleNs / 3) {
-                send(FrameWriter.one(new Frame.Ping(now)));
+                send(FrameWriter.encode(new Frame.Ping(now)));
             }
         }
 
--- a/src/main/java/puffinbarrow/coordinator/Core.java
+++ b/src/main/java/puffinbarrow/coordinator/Core.java
@@ -389,7 +389,7 @@
         }
         // The welcome is sent only now, as the proxy joins: a proxy reads the store when it is welcomed, and an order
         // carried out between that read and the join would be missing from both the read and the connection.
-        in.outlet().send(writer.bytes(in.welcome()));
+        in.outlet().send(writer.encodeCopy(in.welcome()));
         proxies.put(number, new Proxy(in.outlet()));
         events.add(new Event.ProxyJoined(
                 number, in.hello().fresh(), in.hello().flowsPerS(), in.hello().zone()));
@@ -441,7 +441,7 @@
                 events.add(new Event.ServerList(Event.ListKind.BROKEN, List.of()));
             }
         } else if (!config.listOnRequest) {
-            outlet.send(writer.bytes(new Frame.Follow(true)));
+            outlet.send(writer.encodeCopy(new Frame.Follow(true)));
         } else if (Boolean.TRUE.equals(subscribed)) {
             // The subscription ended with the connection; the Controller orders a new one when it wants to.
             subscribed = null;
@@ -513,7 +513,7 @@
             } else if (order instanceof Order.Bind o) {
                 bind(o, perProxy);
             } else if (order instanceof Order.Mask o) {
-                boolean changed = o.out() ? masked.add(o.server()) : masked.remove(o.server());
+                boolean changed = o.masked() ? masked.add(o.server()) : masked.remove(o.server());
                 common.add(o);
                 meters.count(changed ? "orders.masks" : "orders.masks.restated");
             } else if (order instanceof Order.SetLevel o) {
@@ -609,13 +609,13 @@
                 if (sharedBytes == null) {
                     List<Order> all = concatenate(common, ownOrders, mark, carried);
                     sharedLines = all.size();
-                    sharedBytes = writer.bytes(new Frame.Orders(turn, now, carried.size(), all, terms(all)));
+                    sharedBytes = writer.encodeCopy(new Frame.Orders(turn, now, carried.size(), all, terms(all)));
                 }
                 bytes = sharedBytes.duplicate();
                 lines = sharedLines;
             } else {
                 List<Order> all = concatenate(ownOrders, common, mark, carried);
-                bytes = writer.bytes(new Frame.Orders(turn, now, carried.size(), all, terms(all)));
+                bytes = writer.encodeCopy(new Frame.Orders(turn, now, carried.size(), all, terms(all)));
                 lines = all.size();
             }
             enqueue(now, each.getKey(), each.getValue(), bytes, config.headLines + lines, mark);
@@ -692,7 +692,7 @@
                 environment.probe(o.server(), probed -> offer(new Input.ProbeEnded(probed)));
             }
         } else if (order instanceof Order.Tell o) {
-            ByteBuffer bytes = writer.bytes(new Frame.Peer(config.number, o.text()));
+            ByteBuffer bytes = writer.encodeCopy(new Frame.Peer(config.number, o.text()));
             peers.forEach((number, outlet) -> {
                 if (o.peer() == number || o.peer() < 0) {
                     outlet.send(bytes.duplicate());
@@ -704,7 +704,7 @@
 
     /** Sends a request to the registry. */
     private void askRegistry(Frame frame) {
-        if (registry != null && registry.send(writer.bytes(frame))) {
+        if (registry != null && registry.send(writer.encodeCopy(frame))) {
             meters.count("registry.asked");
         } else {
             meters.count("registry.unreachable");
@@ -717,7 +717,7 @@
     private void writeToStore(long now, List<Order> lines) {
         if (store != null
                 && pendingStoreWrites.isEmpty()
-                && store.send(writer.bytes(new Frame.Orders(turn, now, 0, lines, terms(lines))))) {
+                && store.send(writer.encodeCopy(new Frame.Orders(turn, now, 0, lines, terms(lines))))) {
             return;
         }
         for (Order order : lines) {
@@ -739,14 +739,14 @@
         pendingStoreWrites.values().forEach(slice -> all.addAll(slice.values()));
         if (!all.isEmpty()
                 && store != null
-                && store.send(writer.bytes(new Frame.Orders(turn, now, 0, all, terms(all))))) {
+                && store.send(writer.encodeCopy(new Frame.Orders(turn, now, 0, all, terms(all))))) {
             pendingStoreWrites.clear();
         }
     }
 
     /** Sends a goodbye on all connections; on the decision thread, at an orderly shutdown. */
     void sendBye() {
-        ByteBuffer bytes = writer.bytes(new Frame.Bye());
+        ByteBuffer bytes = writer.encodeCopy(new Frame.Bye());
         proxies.values().forEach(p -> p.outlet.send(bytes.duplicate()));
         peers.values().forEach(p -> p.send(bytes.duplicate()));
     }
--- a/src/main/java/puffinbarrow/coordinator/Dialer.java
+++ b/src/main/java/puffinbarrow/coordinator/Dialer.java
@@ -89,14 +89,14 @@
             return;
         }
         Connection connection = new Connection();
-        net.dial(
+        net.connect(
                 to,
                 connection,
                 queueBytes,
                 up -> {
                     link = up;
                     connection.link = up;
-                    up.send(FrameWriter.one(hello.get()));
+                    up.send(FrameWriter.encode(hello.get()));
                     if (closed) {
                         up.close();
                     }
@@ -155,7 +155,7 @@
                 welcomed = true;
                 connectionChanged.accept(this);
             } else if (frame instanceof Frame.Ping ping) {
-                send(FrameWriter.one(new Frame.Pong(ping.number())));
+                send(FrameWriter.encode(new Frame.Pong(ping.number())));
             } else if (frame instanceof Frame.Refusal refusal) {
                 LOG.atWarn()
                         .addKeyValue("to", name)
--- a/src/main/java/puffinbarrow/coordinator/Holder.java
+++ b/src/main/java/puffinbarrow/coordinator/Holder.java
@@ -105,8 +105,15 @@
             carryOut(lease.member(
                     now,
                     f.revision(),
-                    new Member(f.number(), f.incarnation(), f.beat(), f.settled(), f.leaving(), f.flaps(), f.dead())));
-        } else if (frame instanceof Frame.VoiceRecord f && f.slice() >= 0 && f.slice() < config.slices) {
+                    new Member(
+                            f.number(),
+                            f.incarnation(),
+                            f.heartbeat(),
+                            f.settled(),
+                            f.leaving(),
+                            f.flaps(),
+                            f.dead())));
+        } else if (frame instanceof Frame.SliceOwnerRecord f && f.slice() >= 0 && f.slice() < config.slices) {
             carryOut(lease.voice(now, f.slice(), f.revision(), new Voice(f.owner(), f.incarnation(), f.term())));
         } else if (frame instanceof Frame.Written f) {
             meters.count(f.applied() ? "lease.writes" : "lease.writes.lost");
@@ -178,7 +185,7 @@
                     LOG.atWarn().addKeyValue("member", m.number()).log("lease of a member expired; closing its record");
                 }
             } else if (step instanceof Step.WriteVoice s) {
-                send(new Frame.VoiceRecord(
+                send(new Frame.SliceOwnerRecord(
                         s.id(),
                         s.expected(),
                         s.slice(),
--- a/src/main/java/puffinbarrow/coordinator/KeeperMemory.java
+++ b/src/main/java/puffinbarrow/coordinator/KeeperMemory.java
@@ -54,12 +54,12 @@
         notes.ordered(orders);
         if (now >= nextSaveNs) {
             nextSaveNs = now + SAVE_INTERVAL_NS;
-            keeper.offer(notes.changed(wallNs, now, false, controller.known()));
+            keeper.offer(notes.changed(wallNs, now, false, controller.rememberedState()));
         }
     }
 
     @Override
     public void ends(Controller controller) {
-        keeper.offer(notes.changed(wallClockNs(), System.nanoTime(), true, controller.known()));
+        keeper.offer(notes.changed(wallClockNs(), System.nanoTime(), true, controller.rememberedState()));
     }
 }
--- a/src/main/java/puffinbarrow/coordinator/Ports.java
+++ b/src/main/java/puffinbarrow/coordinator/Ports.java
@@ -20,7 +20,7 @@
     /** Writes the port-file under a temporary name and renames it, so that no reader sees a partial file. */
     void write(Path file) throws IOException {
         Path part = file.resolveSibling(file.getFileName() + ".part");
-        Files.writeString(part, "listen " + Net.text(listen) + "\nadmin " + Net.text(admin) + "\n");
+        Files.writeString(part, "listen " + Net.formatAddress(listen) + "\nadmin " + Net.formatAddress(admin) + "\n");
         Files.move(part, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     }
 
@@ -46,7 +46,7 @@
         if (!text.matches("(?s).*:[0-9]{1,5}")) {
             throw new IOException("found '" + text + "', expected ADDRESS:PORT or a port-file");
         }
-        return Net.address(text);
+        return Net.parseAddress(text);
     }
 
     /** Sends one line to an admin listener and returns its whole answer. */
--- a/src/main/java/puffinbarrow/coordinator/Prober.java
+++ b/src/main/java/puffinbarrow/coordinator/Prober.java
@@ -66,7 +66,7 @@
     }
 
     private static InetSocketAddress address(String server) {
-        return server.indexOf(':') < 0 ? null : Net.address(server);
+        return server.indexOf(':') < 0 ? null : Net.parseAddress(server);
     }
 
     /** Starts a probe of a server; {@code answer} is called once. */
@@ -103,7 +103,7 @@
                 end.accept(null);
             }
         };
-        net.dial(
+        net.connect(
                 to,
                 receiver,
                 QUEUE_BYTES,
--- a/src/main/java/puffinbarrow/day/Day.java
+++ b/src/main/java/puffinbarrow/day/Day.java
@@ -193,13 +193,13 @@
     /** Returns a coordinator's settings with the addresses of this day. */
     private List<String> settingsLines(int number, List<String> more) {
         List<String> lines = plan.settings(number, more);
-        lines.add("registry " + Net.text(registry.address()) + (script.ask ? " ask" : " push"));
-        lines.add("store " + Net.text(store.address()));
+        lines.add("registry " + Net.formatAddress(registry.address()) + (script.ask ? " ask" : " push"));
+        lines.add("store " + Net.formatAddress(store.address()));
         if (memoryFolder != null) {
             lines.add("memory " + memoryFolder.resolve("c" + number));
         }
         if (addresses.containsKey(number)) {
-            lines.add("listen " + Net.text(addresses.get(number)));
+            lines.add("listen " + Net.formatAddress(addresses.get(number)));
         }
         return lines;
     }
--- a/src/main/java/puffinbarrow/day/FaultEffects.java
+++ b/src/main/java/puffinbarrow/day/FaultEffects.java
@@ -86,7 +86,7 @@
             // Counted at proxy 0 only, as each proxy is sent the same orders.
             for (Order order : applied.orders()) {
                 if (order instanceof Order.Mask mask) {
-                    add(counts, mask.out() ? "masks" : "masks lifted", 1);
+                    add(counts, mask.masked() ? "masks" : "masks lifted", 1);
                 } else if (order instanceof Order.SetLine) {
                     add(counts, "lines", 1);
                 }
--- a/src/main/java/puffinbarrow/day/Plan.java
+++ b/src/main/java/puffinbarrow/day/Plan.java
@@ -179,7 +179,7 @@
                 script.retries));
         for (int i = 0; i < targets.size(); i++) {
             text.append("target ")
-                    .append(Net.text(targets.get(i)))
+                    .append(Net.formatAddress(targets.get(i)))
                     .append(String.format(Locale.ROOT, " weight %.4f%n", parts.get(i)));
         }
         for (CoordinatorConfig.Group group : judged.groups) {
--- a/src/main/java/puffinbarrow/emulator/Baseline.java
+++ b/src/main/java/puffinbarrow/emulator/Baseline.java
@@ -153,7 +153,7 @@
         }
         double maxLines = joinedProxies.isEmpty()
                 ? Double.MAX_VALUE
-                : MAX_QUEUE_SHARE * settings.queueLimit() / joinedProxies.size() - settings.head();
+                : MAX_QUEUE_SHARE * settings.queueLimitLines() / joinedProxies.size() - settings.messageOverheadLines();
         int lines = 0;
         while (!pendingMoves.isEmpty() && lines + 2 <= Math.max(2, maxLines)) {
             int slice = pendingMoves.keySet().iterator().next();
@@ -168,7 +168,7 @@
                 }
             }
         }
-        double sendNs = joinedProxies.size() * (settings.head() + lines) / settings.linesPerS() * 1e9;
+        double sendNs = joinedProxies.size() * (settings.messageOverheadLines() + lines) / settings.linesPerS() * 1e9;
         double spacingNs = settings.messagesAllowed() > 0
                 ? SPACING_FACTOR * settings.messagesSpanNs() / settings.messagesAllowed()
                 : 0;
--- a/src/main/java/puffinbarrow/emulator/CoordinatorModel.java
+++ b/src/main/java/puffinbarrow/emulator/CoordinatorModel.java
@@ -64,7 +64,7 @@
             notes.ordered(orders);
             if (at >= nextWriteAtNs) {
                 nextWriteAtNs = at + WRITE_INTERVAL_NS;
-                notes.changed(at, at, false, controller.known()).forEach(savedFacts::put);
+                notes.changed(at, at, false, controller.rememberedState()).forEach(savedFacts::put);
             }
         }
     }
@@ -185,8 +185,8 @@
             }
 
             @Override
-            public List<Event.Recalled> known() {
-                return controller.known();
+            public List<Event.Recalled> rememberedState() {
+                return controller.rememberedState();
             }
         };
     }
--- a/src/main/java/puffinbarrow/emulator/Proxy.java
+++ b/src/main/java/puffinbarrow/emulator/Proxy.java
@@ -398,7 +398,7 @@
                         tables[o.table()] = Table.EMPTY;
                     }
                 } else if (order instanceof Order.Mask o) {
-                    if (o.out()) {
+                    if (o.masked()) {
                         masks.add(o.server());
                     } else {
                         masks.remove(o.server());
--- a/src/main/java/puffinbarrow/emulator/StoreModel.java
+++ b/src/main/java/puffinbarrow/emulator/StoreModel.java
@@ -74,7 +74,7 @@
 
     private final Map<Integer, Stream> streams = new TreeMap<>();
     private final Map<Integer, Frame.MemberRecord> memberRecords = new TreeMap<>();
-    private final Map<Integer, Frame.VoiceRecord> ownerRecords = new TreeMap<>();
+    private final Map<Integer, Frame.SliceOwnerRecord> ownerRecords = new TreeMap<>();
     /** Coordinators that cannot reach the store. */
     private final Set<Integer> cut = new HashSet<>();
     /** The last revision given to a record. */
@@ -244,7 +244,7 @@
 
     /** Returns the term of a slice, or 0 if it never had an owner record. */
     private long term(int slice) {
-        Frame.VoiceRecord ownerRecord = ownerRecords.get(slice);
+        Frame.SliceOwnerRecord ownerRecord = ownerRecords.get(slice);
         return ownerRecord == null ? 0 : ownerRecord.term();
     }
 
@@ -300,7 +300,7 @@
                         ++revisions,
                         m.number(),
                         m.incarnation(),
-                        m.beat(),
+                        m.heartbeat(),
                         m.settled(),
                         m.leaving(),
                         m.dead(),
@@ -311,11 +311,11 @@
             } else {
                 refuseWrite(from, previous, m.id());
             }
-        } else if (frame instanceof Frame.VoiceRecord v && v.slice() >= 0 && v.slice() < slices) {
-            Frame.VoiceRecord previous = ownerRecords.get(v.slice());
+        } else if (frame instanceof Frame.SliceOwnerRecord v && v.slice() >= 0 && v.slice() < slices) {
+            Frame.SliceOwnerRecord previous = ownerRecords.get(v.slice());
             if (v.revision() == (previous == null ? 0 : previous.revision())) {
-                Frame.VoiceRecord next =
-                        new Frame.VoiceRecord(0, ++revisions, v.slice(), v.owner(), v.incarnation(), v.term());
+                Frame.SliceOwnerRecord next =
+                        new Frame.SliceOwnerRecord(0, ++revisions, v.slice(), v.owner(), v.incarnation(), v.term());
                 ownerRecords.put(v.slice(), next);
                 ownerChanged(next);
                 notifyWatchers(next);
@@ -351,7 +351,7 @@
     }
 
     /** Takes over the owner of a slice from a new record and tells the proxies. */
-    private void ownerChanged(Frame.VoiceRecord ownerRecord) {
+    private void ownerChanged(Frame.SliceOwnerRecord ownerRecord) {
         int slice = ownerRecord.slice();
         if (owner[slice] >= 0) {
             fleet.observe(new Seen.ChargeTold(simulation.now(), owner[slice], slice, false));
--- a/src/main/java/puffinbarrow/load/Sender.java
+++ b/src/main/java/puffinbarrow/load/Sender.java
@@ -120,7 +120,7 @@
         Target(InetSocketAddress address, int maxConnections) {
             this.address = address;
             this.connectionLimit = this.maxConnections = maxConnections;
-            this.name = Net.text(address);
+            this.name = Net.formatAddress(address);
         }
     }
 
@@ -228,7 +228,7 @@
         @Override
         public void ended(Link from, Link.Cause cause, String detail) {
             if (cause == Link.Cause.PEER_CLOSED) {
-                parser.closed();
+                parser.endOfInput();
                 if (response != null && attempt != null) {
                     reportResponse(from, attempt);
                 }
@@ -407,7 +407,7 @@
         Connection connection = new Connection(target);
         attempt.connection = connection;
         connection.attempt = attempt;
-        net.dial(
+        net.connect(
                 target.address,
                 connection,
                 MAX_QUEUED_BYTES,
--- a/src/main/java/puffinbarrow/net/HttpCaller.java
+++ b/src/main/java/puffinbarrow/net/HttpCaller.java
@@ -18,7 +18,7 @@
      * @param failure why there is no response, or null
      * @param sent whether any of the request may have left; if false, the request took no effect
      */
-    public record Ended(HttpParser.Message answer, String failure, boolean sent) {}
+    public record CallResult(HttpParser.Message answer, String failure, boolean maybeDelivered) {}
 
     /** Send queue of a connection: far above the longest request. */
     private static final long QUEUE_BYTES = 1 << 20;
@@ -53,7 +53,7 @@
      * @param timeoutMs how long to wait for the response, from when the request is sent
      * @param done receives the outcome, exactly once
      */
-    public void call(InetSocketAddress to, byte[] request, long timeoutMs, Consumer<Ended> done) {
+    public void call(InetSocketAddress to, byte[] request, long timeoutMs, Consumer<CallResult> done) {
         Call call = new Call(to, request, timeoutMs, done);
         Connection connection;
         synchronized (this) {
@@ -72,7 +72,7 @@
         synchronized (this) {
             current = fresh;
         }
-        net.dial(
+        net.connect(
                 call.to,
                 fresh,
                 QUEUE_BYTES,
@@ -106,7 +106,7 @@
         final InetSocketAddress to;
         final byte[] request;
         final long timeoutMs;
-        final Consumer<Ended> done;
+        final Consumer<CallResult> done;
         final AtomicBoolean completed = new AtomicBoolean();
         volatile boolean sent;
         /** The connection that carries this call; null while a retry connects. */
@@ -114,7 +114,7 @@
         /** Whether {@link #connection} was kept from an earlier call. */
         private volatile boolean reused;
 
-        Call(InetSocketAddress to, byte[] request, long timeoutMs, Consumer<Ended> done) {
+        Call(InetSocketAddress to, byte[] request, long timeoutMs, Consumer<CallResult> done) {
             this.to = to;
             this.request = request;
             this.timeoutMs = timeoutMs;
@@ -125,7 +125,7 @@
         boolean complete(HttpParser.Message answer, String failure) {
             boolean first = completed.compareAndSet(false, true);
             if (first) {
-                done.accept(new Ended(answer, failure, sent));
+                done.accept(new CallResult(answer, failure, sent));
             }
             return first;
         }
@@ -263,7 +263,7 @@
         public void ended(Link from, Link.Cause cause, String detail) {
             abandoned = true;
             if (cause == Link.Cause.PEER_CLOSED) {
-                parser.closed();
+                parser.endOfInput();
                 deliverAnswer();
             }
             boolean byPeer = cause == Link.Cause.PEER_CLOSED || cause == Link.Cause.BROKEN;
--- a/src/main/java/puffinbarrow/net/Net.java
+++ b/src/main/java/puffinbarrow/net/Net.java
@@ -37,7 +37,7 @@
     }
 
     /** Formats an address as ADDRESS:PORT, as settings and server ids have it. */
-    public static String text(InetSocketAddress address) {
+    public static String formatAddress(InetSocketAddress address) {
         return address.getAddress().getHostAddress() + ":" + address.getPort();
     }
 
@@ -45,7 +45,7 @@
      * Parses ADDRESS:PORT, the inverse of {@link #text}; throws IllegalArgumentException if the text is anything
      * else.
      */
-    public static InetSocketAddress address(String text) {
+    public static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
         if (colon < 0) {
             throw new IllegalArgumentException("no port in " + text);
@@ -170,7 +170,7 @@
      * Connects to a resolved address with a timeout in milliseconds; one of the two callbacks is called. Without the
      * timeout a host that disappeared would hold the file handle, as it never answers.
      */
-    public void dial(
+    public void connect(
             InetSocketAddress to,
             Link.Receiver receiver,
             long queueBytes,
@@ -178,7 +178,7 @@
             Consumer<Link> up,
             Consumer<Throwable> failed) {
         AtomicBoolean connected = new AtomicBoolean();
-        AsynchronousSocketChannel channel = dial(
+        AsynchronousSocketChannel channel = connect(
                 to,
                 receiver,
                 queueBytes,
@@ -202,7 +202,7 @@
      * Connects to a resolved address. One of the two callbacks is called: {@code up} on a thread of the group before
      * the first read, or {@code failed}. Returns the channel, or null if none could be opened.
      */
-    public AsynchronousSocketChannel dial(
+    public AsynchronousSocketChannel connect(
             InetSocketAddress to,
             Link.Receiver receiver,
             long queueBytes,
--- a/src/main/java/puffinbarrow/platform/Configuration.java
+++ b/src/main/java/puffinbarrow/platform/Configuration.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 import puffinbarrow.control.Settings;
 import puffinbarrow.net.Net;
-import puffinbarrow.wire.Facts;
-import puffinbarrow.wire.Json;
-import puffinbarrow.wire.MalformedBatch;
+import puffinbarrow.wire.JsonReader;
+import puffinbarrow.wire.MalformedInputException;
+import puffinbarrow.wire.SettingsReader;
 
 /**
  * The platform's configuration of a coordinator, decoded from its JSON file at the start and at each reload.
@@ -27,7 +27,7 @@
         int sockets,
         PlatformCodec.Listing known,
         Settings settings,
-        Facts.Names names) {
+        SettingsReader.Names names) {
 
     /** Limit on open sockets if the configuration has none. */
     private static final int DEFAULT_SOCKETS = 256;
@@ -39,7 +39,7 @@
         Map<?, ?> all = object(json(text), "the configuration");
         Object settings = all.get("settings");
         Map<?, ?> limits = object(all.get("limits"), "limits");
-        Facts.Names names = Facts.names(settings);
+        SettingsReader.Names names = SettingsReader.names(settings);
         return new Configuration(
                 String.valueOf(all.get("name")),
                 address(all.get("listen"), "listen"),
@@ -48,15 +48,15 @@
                 seed(String.valueOf(all.get("seed"))),
                 limits.get("sockets") instanceof Number n ? n.intValue() : DEFAULT_SOCKETS,
                 new PlatformCodec(names, clock).decodeListing(all.get("known")),
-                Facts.settings(settings),
+                SettingsReader.settings(settings),
                 names);
     }
 
     /** Parses any JSON text into maps, lists, numbers, strings and booleans. */
     static Object json(byte[] text) throws IOException {
         try (JsonParser parser = JSON.createParser(text)) {
-            return new Json(parser).any();
-        } catch (NullPointerException | MalformedBatch truncated) {
+            return new JsonReader(parser).readAny();
+        } catch (NullPointerException | MalformedInputException truncated) {
             throw new IOException("JSON text is truncated or malformed", truncated);
         }
     }
@@ -73,7 +73,7 @@
     static InetSocketAddress address(Object value, String path) {
         String text = String.valueOf(value);
         try {
-            return Net.address(text);
+            return Net.parseAddress(text);
         } catch (IllegalArgumentException invalid) {
             throw new ProtocolException(path + ": expected ADDRESS:PORT, found " + text);
         }
--- a/src/main/java/puffinbarrow/platform/DiscoveryClient.java
+++ b/src/main/java/puffinbarrow/platform/DiscoveryClient.java
@@ -100,7 +100,7 @@
                 }));
     }
 
-    private void handleWatchAnswer(long watch, HttpCaller.Ended ended, boolean first, long since) {
+    private void handleWatchAnswer(long watch, HttpCaller.CallResult ended, boolean first, long since) {
         try {
             PlatformCodec.Listing listing = decode(ended);
             if (generationRestarted(listing, since) && listing.list().kind() != Event.ListKind.WHOLE) {
@@ -172,7 +172,7 @@
                 }));
     }
 
-    private PlatformCodec.Listing decode(HttpCaller.Ended ended) throws IOException {
+    private PlatformCodec.Listing decode(HttpCaller.CallResult ended) throws IOException {
         if (ended.answer() == null) {
             throw new IOException(ended.failure());
         }
@@ -201,7 +201,7 @@
     }
 
     private byte[] get(String target) {
-        return ("GET " + target + " HTTP/1.1\r\nhost: " + Net.text(discovery) + "\r\n\r\n")
+        return ("GET " + target + " HTTP/1.1\r\nhost: " + Net.formatAddress(discovery) + "\r\n\r\n")
                 .getBytes(StandardCharsets.US_ASCII);
     }
 }
--- a/src/main/java/puffinbarrow/platform/PlatformCodec.java
+++ b/src/main/java/puffinbarrow/platform/PlatformCodec.java
@@ -10,8 +10,8 @@
 import puffinbarrow.control.Event.Measure;
 import puffinbarrow.control.Order;
 import puffinbarrow.coordinator.Orca;
-import puffinbarrow.wire.Facts;
-import puffinbarrow.wire.Json;
+import puffinbarrow.wire.JsonReader;
+import puffinbarrow.wire.SettingsReader;
 
 /**
  * Translates between the platform's messages and the controller's events and orders. Zones, machine types and traffic
@@ -56,10 +56,10 @@
     /** Length in characters to which a message is cut in log lines. */
     private static final int ABBREVIATED_LENGTH = 160;
 
-    private final Facts.Names names;
+    private final SettingsReader.Names names;
     private final ClockOffset clock;
 
-    PlatformCodec(Facts.Names names, ClockOffset clock) {
+    PlatformCodec(SettingsReader.Names names, ClockOffset clock) {
         this.names = names;
         this.clock = clock;
     }
@@ -120,7 +120,7 @@
     }
 
     private static Map<Measure, Double> loadReport(String pairs) {
-        Map<Measure, Double> report = Orca.read(pairs, Json.MEASURES, ':');
+        Map<Measure, Double> report = Orca.read(pairs, JsonReader.MEASURES, ':');
         if (report.size() != (pairs.isEmpty() ? 0 : pairs.split(",", -1).length)) {
             throw new ProtocolException("util: expected known names with values from 0, found " + pairs);
         }
@@ -129,7 +129,7 @@
 
     /** Decodes a backend's answer to a probe, such as {@code TEXT busy_reqs=7, cpu_share=0.61}. */
     static Map<Measure, Double> decodeProbe(String body) {
-        return Orca.read(body, Json.MEASURES);
+        return Orca.read(body, JsonReader.MEASURES);
     }
 
     /** Decodes a relay event {@code attach}. */
@@ -232,7 +232,7 @@
             entries.add(new Event.Entry(
                     server,
                     names.zones().indexOf(String.valueOf(instance.get("zone"))),
-                    names.kinds().indexOf(String.valueOf(instance.get("machineType"))),
+                    names.machineTypes().indexOf(String.valueOf(instance.get("machineType"))),
                     (int) numberOrZero(instance, "cell"),
                     listed,
                     numberOrZero(instance, "weight"),
@@ -260,7 +260,7 @@
         } else if (order instanceof Order.ClearTable o) {
             return "clear," + o.table();
         } else if (order instanceof Order.Mask o) {
-            return (o.out() ? "withdraw," : "restore,") + o.server();
+            return (o.masked() ? "withdraw," : "restore,") + o.server();
         } else if (order instanceof Order.SetLevel o) {
             return "admit," + (o.table() == Order.ALL_TABLES ? "*" : o.table()) + "," + groupNames(o.groups()) + ","
                     + plainDecimal(o.level()) + "," + o.retry().ordinal();
--- a/src/main/java/puffinbarrow/platform/RelayClient.java
+++ b/src/main/java/puffinbarrow/platform/RelayClient.java
@@ -204,7 +204,7 @@
         // The URL-encoded body is plain ASCII, so its length in characters is its length in bytes.
         String body = "Action=CommitChanges&changes="
                 + URLEncoder.encode(String.join(";", call.texts), StandardCharsets.UTF_8);
-        String request = "POST /api/ HTTP/1.1\r\nhost: " + Net.text(relay)
+        String request = "POST /api/ HTTP/1.1\r\nhost: " + Net.formatAddress(relay)
                 + "\r\ncontent-type: application/x-www-form-urlencoded\r\ncontent-length: " + body.length() + "\r\n\r\n"
                 + body;
         caller.call(
@@ -214,12 +214,12 @@
                 ended -> loop.execute(() -> handleAnswer(call, ended)));
     }
 
-    private void handleAnswer(Call call, HttpCaller.Ended ended) {
+    private void handleAnswer(Call call, HttpCaller.CallResult ended) {
         busy = false;
         if (ended.answer() == null) {
             loop.counters().incrementAndLog("calls.broken", ended.failure());
             if (!acceptIfAcknowledged(call)) {
-                retryUnanswered(call, ended.sent());
+                retryUnanswered(call, ended.maybeDelivered());
             }
             return;
         }
@@ -505,7 +505,7 @@
         private final List<Order> ordersInFlight = new ArrayList<>();
 
         void connect() {
-            net.dial(
+            net.connect(
                     address,
                     this,
                     MAX_STREAM_SEND_BYTES,
@@ -517,7 +517,7 @@
                             return;
                         }
                         loop.execute(() -> handleConnected(this));
-                        opened.send(ByteBuffer.wrap(("GET /api/stream HTTP/1.1\r\nhost: " + Net.text(address)
+                        opened.send(ByteBuffer.wrap(("GET /api/stream HTTP/1.1\r\nhost: " + Net.formatAddress(address)
                                         + "\r\naccept: text/event-stream\r\n\r\n")
                                 .getBytes(StandardCharsets.US_ASCII)));
                     },
--- a/src/main/java/puffinbarrow/platform/Service.java
+++ b/src/main/java/puffinbarrow/platform/Service.java
@@ -80,8 +80,10 @@
         PlatformCodec codec = new PlatformCodec(config.names(), clock);
         this.net = new Net("serve", 1);
         this.controller = factory.start(config.settings(), config.seed());
-        this.relay = new RelayClient(net, this, codec, config.relay(), (long)
-                (config.settings().queueLimit() / Math.max(1, config.settings().linesPerS()) * 1e9));
+        this.relay = new RelayClient(
+                net, this, codec, config.relay(), (long) (config.settings().queueLimitLines()
+                        / Math.max(1, config.settings().linesPerS())
+                        * 1e9));
         this.discovery = new DiscoveryClient(net, this, codec, config.discovery(), config.known());
         this.prober = new Prober(
                 net,
@@ -118,7 +120,7 @@
         // answered only once the coordinator is ready and its classes are loaded.
         decide(System.nanoTime());
         listener.accept();
-        counters.log("ready name=" + config.name() + " listen=" + Net.text(listener.address()) + " sockets="
+        counters.log("ready name=" + config.name() + " listen=" + Net.formatAddress(listener.address()) + " sockets="
                 + config.sockets() + " known=" + config.known().list().entries().size());
         long livenessCheckAt = System.nanoTime();
         long secondAt = livenessCheckAt;
@@ -230,7 +232,9 @@
         try {
             Configuration updated = Configuration.read(Files.readAllBytes(file), PlatformCodec.ClockOffset.now());
             counters.incrementAndLog(
-                    "reloads", "discovery=" + Net.text(updated.discovery()) + " relay=" + Net.text(updated.relay()));
+                    "reloads",
+                    "discovery=" + Net.formatAddress(updated.discovery()) + " relay="
+                            + Net.formatAddress(updated.relay()));
             if (!updated.settings().equals(config.settings())
                     || !updated.names().equals(config.names())) {
                 counters.incrementAndLog(
--- a/src/main/java/puffinbarrow/proto/Frame.java
+++ b/src/main/java/puffinbarrow/proto/Frame.java
@@ -75,10 +75,10 @@
      * @param terms where coordinators hold leases, the lease term of each slice that the orders write to; a receiver
      *     refuses lines of an older term than the latest it has seen
      */
-    record Orders(long turn, long orderedAtNs, int carried, List<Order> orders, List<Term> terms) implements Frame {
+    record Orders(long turn, long orderedAtNs, int restated, List<Order> orders, List<Term> terms) implements Frame {
         /** Orders without lease terms. */
-        public Orders(long turn, long orderedAtNs, int carried, List<Order> orders) {
-            this(turn, orderedAtNs, carried, orders, List.of());
+        public Orders(long turn, long orderedAtNs, int restated, List<Order> orders) {
+            this(turn, orderedAtNs, restated, orders, List.of());
         }
     }
 
@@ -174,7 +174,7 @@
             long revision,
             int number,
             long incarnation,
-            long beat,
+            long heartbeat,
             boolean settled,
             boolean leaving,
             boolean dead,
@@ -188,7 +188,8 @@
      * @param incarnation of that coordinator
      * @param term grows with each change of owner
      */
-    record VoiceRecord(long id, long revision, int slice, int owner, long incarnation, long term) implements Frame {}
+    record SliceOwnerRecord(long id, long revision, int slice, int owner, long incarnation, long term)
+            implements Frame {}
 
     /** Answers a conditional write: whether it was applied. */
     record Written(long id, boolean applied) implements Frame {}
--- a/src/main/java/puffinbarrow/proto/FrameReader.java
+++ b/src/main/java/puffinbarrow/proto/FrameReader.java
@@ -40,7 +40,7 @@
     private static final int MAX_PEER_MESSAGE_BYTES = 256;
 
     /** Receives the parts of an orders frame without a record for each line; see {@link #lines}. */
-    public interface Lines {
+    public interface OrderVisitor {
         /** One {@link Order.SetLine}. */
         void line(int table, String server, double weight);
 
@@ -321,7 +321,7 @@
                         in.getInt());
             }
             case FrameTypes.VOICE_RECORD:
-                return new Frame.VoiceRecord(
+                return new Frame.SliceOwnerRecord(
                         in.getLong(),
                         in.getLong(),
                         in.getInt(),
@@ -378,7 +378,7 @@
     }
 
     /** Decodes one complete orders frame without a record for each line: the fast way to read large tables. */
-    public void lines(ByteBuffer frame, Lines to) {
+    public void visitOrders(ByteBuffer frame, OrderVisitor to) {
         int at = frame.position() + FrameWriter.HEADER_BYTES + ORDERS_COUNT_OFFSET;
         try {
             ByteBuffer in = frame.duplicate().position(at);
--- a/src/main/java/puffinbarrow/proto/FrameWriter.java
+++ b/src/main/java/puffinbarrow/proto/FrameWriter.java
@@ -43,14 +43,14 @@
     }
 
     /** Encodes a single frame with a writer of its own, for callers without one. */
-    public static ByteBuffer one(Frame frame) {
+    public static ByteBuffer encode(Frame frame) {
         FrameWriter writer = new FrameWriter(1);
         writer.to.bytes = new byte[128];
         return writer.write(frame);
     }
 
     /** Encodes a frame into a new buffer, ready to be sent. */
-    public ByteBuffer bytes(Frame frame) {
+    public ByteBuffer encodeCopy(Frame frame) {
         ByteBuffer written = write(frame);
         ByteBuffer own = ByteBuffer.allocate(written.remaining());
         own.put(written).flip();
@@ -92,7 +92,7 @@
             ensureRoom(24);
             to.putLong(f.turn())
                     .putLong(f.orderedAtNs())
-                    .putInt(f.carried())
+                    .putInt(f.restated())
                     .putInt(f.orders().size());
             for (int i = 0; i < f.orders().size(); i++) {
                 order(f.orders().get(i));
@@ -218,11 +218,11 @@
                     .putLong(f.revision())
                     .putInt(f.number())
                     .putLong(f.incarnation())
-                    .putLong(f.beat())
+                    .putLong(f.heartbeat())
                     .put((byte) (bit(f.settled()) | bit(f.leaving()) << 1 | bit(f.dead()) << 2))
                     .putInt(f.flaps());
             return FrameTypes.MEMBER_RECORD;
-        } else if (frame instanceof Frame.VoiceRecord f) {
+        } else if (frame instanceof Frame.SliceOwnerRecord f) {
             to.putLong(f.id())
                     .putLong(f.revision())
                     .putInt(f.slice())
@@ -251,7 +251,7 @@
             to.putDouble(o.weight());
         } else if (order instanceof Order.Mask o) {
             ensureRoom(2);
-            to.put(FrameTypes.ORDER_MASK).put(bit(o.out()));
+            to.put(FrameTypes.ORDER_MASK).put(bit(o.masked()));
             text(o.server());
         } else if (order instanceof Order.SetLevel o) {
             ensureRoom(18);
--- a/src/main/java/puffinbarrow/replay/CoordinatorAdapter.java
+++ b/src/main/java/puffinbarrow/replay/CoordinatorAdapter.java
@@ -95,7 +95,7 @@
                 welcomed = true;
             } else if (frame instanceof Frame.Orders f && hello != null) {
                 synchronized (orders) {
-                    orders.addAll(f.orders().subList(0, f.orders().size() - f.carried()));
+                    orders.addAll(f.orders().subList(0, f.orders().size() - f.restated()));
                 }
                 messagesReceived.incrementAndGet();
             } else if (frame instanceof Frame.Hello from) {
@@ -124,7 +124,7 @@
         void send(Frame frame) {
             // A writer encodes one frame at a time; both our thread and those of the network send.
             synchronized (writer) {
-                link.send(writer.bytes(frame));
+                link.send(writer.encodeCopy(frame));
             }
         }
 
@@ -266,7 +266,7 @@
     /** Blocks until the stream is up and its hello sent. */
     private StreamEnd dial(StreamEnd end) {
         CompletableFuture<Link> up = new CompletableFuture<>();
-        net.dial(
+        net.connect(
                 coordinator.address(),
                 end,
                 1 << 20,
--- a/src/main/java/puffinbarrow/standin/PlainProxy.java
+++ b/src/main/java/puffinbarrow/standin/PlainProxy.java
@@ -365,7 +365,7 @@
                         tables.remove(o.table());
                     }
                 } else if (order instanceof Order.Mask o) {
-                    boolean changed = o.out() ? session.masks.add(o.server()) : session.masks.remove(o.server());
+                    boolean changed = o.masked() ? session.masks.add(o.server()) : session.masks.remove(o.server());
                 } else if (order instanceof Order.SetLevel o) {
                     int groups = o.groups() == 0 ? -1 : o.groups();
                     for (int group = 0; group < config.groups.size(); group++) {
@@ -381,10 +381,10 @@
             to = session.outlet;
         }
         if (to != null) {
-            refusals.forEach(refusal -> to.send(FrameWriter.one(refusal)));
+            refusals.forEach(refusal -> to.send(FrameWriter.encode(refusal)));
         }
         for (int mark : to == null ? List.<Integer>of() : marks) {
-            to.send(FrameWriter.one(new Frame.Applied(mark, System.nanoTime() - orders.orderedAtNs())));
+            to.send(FrameWriter.encode(new Frame.Applied(mark, System.nanoTime() - orders.orderedAtNs())));
         }
     }
 
@@ -428,7 +428,7 @@
             to = storeOutlet;
         }
         if (to != null) {
-            to.send(FrameWriter.one(new Frame.ReadSlice(slice)));
+            to.send(FrameWriter.encode(new Frame.ReadSlice(slice)));
         }
     }
 
@@ -697,7 +697,7 @@
 
     private InetSocketAddress address(String server) {
         synchronized (addresses) {
-            return addresses.computeIfAbsent(server, Net::address);
+            return addresses.computeIfAbsent(server, Net::parseAddress);
         }
     }
 
@@ -730,8 +730,8 @@
                     Frame sums = new Frame.Sums(zone, round, config.roundNs, met);
                     Frame demand = new Frame.Demand(round, config.roundNs, came);
                     sends.add(() -> {
-                        to.send(FrameWriter.one(sums));
-                        to.send(FrameWriter.one(demand));
+                        to.send(FrameWriter.encode(sums));
+                        to.send(FrameWriter.encode(demand));
                     });
                 }
             }
--- a/src/main/java/puffinbarrow/standin/PooledHttpClient.java
+++ b/src/main/java/puffinbarrow/standin/PooledHttpClient.java
@@ -59,7 +59,7 @@
         Stream opened = new Stream(to);
         opened.call = call;
         call.stream = opened;
-        net.dial(
+        net.connect(
                 to,
                 opened,
                 1 << 20,
--- a/src/main/java/puffinbarrow/standin/Registry.java
+++ b/src/main/java/puffinbarrow/standin/Registry.java
@@ -164,7 +164,7 @@
         }
 
         private void sendList(Event.ListKind kind, List<Event.Entry> list) {
-            ByteBuffer bytes = FrameWriter.one(new Frame.ServerList(kind, version, list));
+            ByteBuffer bytes = FrameWriter.encode(new Frame.ServerList(kind, version, list));
             if (breakNext) {
                 breakNext = false;
                 bytes.limit(bytes.limit() / 2);
@@ -177,7 +177,7 @@
         }
 
         private void send(Frame frame) {
-            link.send(FrameWriter.one(frame));
+            link.send(FrameWriter.encode(frame));
         }
 
         @Override
--- a/src/main/java/puffinbarrow/standin/Store.java
+++ b/src/main/java/puffinbarrow/standin/Store.java
@@ -55,7 +55,7 @@
 
     private final TreeMap<Integer, Frame.MemberRecord> members = new TreeMap<>();
     /** Owner and term of each slice; only with leases. */
-    private final TreeMap<Integer, Frame.VoiceRecord> ownerships = new TreeMap<>();
+    private final TreeMap<Integer, Frame.SliceOwnerRecord> ownerships = new TreeMap<>();
     /** The latest revision of any record. */
     private long revisions;
 
@@ -151,7 +151,7 @@
 
     /** Returns the slice's term; 0 without leases or before its first. */
     public synchronized long term(int slice) {
-        Frame.VoiceRecord ownership = ownerships.get(slice);
+        Frame.SliceOwnerRecord ownership = ownerships.get(slice);
         return ownership == null ? 0 : ownership.term();
     }
 
@@ -229,7 +229,7 @@
             Frame written = update.apply(++revisions);
             if (written instanceof Frame.MemberRecord m) {
                 members.put(m.number(), m);
-            } else if (written instanceof Frame.VoiceRecord v) {
+            } else if (written instanceof Frame.SliceOwnerRecord v) {
                 ownerships.put(v.slice(), v);
                 ownershipChanged(v);
             }
@@ -242,7 +242,7 @@
         }
     }
 
-    private void ownershipChanged(Frame.VoiceRecord ownership) {
+    private void ownershipChanged(Frame.SliceOwnerRecord ownership) {
         int slice = ownership.slice();
         if (owner[slice] >= 0) {
             recorder.add(new Seen.ChargeTold(System.nanoTime(), owner[slice], slice, false));
@@ -339,22 +339,22 @@
                                     revision,
                                     m.number(),
                                     m.incarnation(),
-                                    m.beat(),
+                                    m.heartbeat(),
                                     m.settled(),
                                     m.leaving(),
                                     m.dead(),
                                     m.flaps()));
-                } else if (frame instanceof Frame.VoiceRecord v
+                } else if (frame instanceof Frame.SliceOwnerRecord v
                         && isCoordinator
                         && v.slice() >= 0
                         && v.slice() < slices) {
-                    Frame.VoiceRecord before = ownerships.get(v.slice());
+                    Frame.SliceOwnerRecord before = ownerships.get(v.slice());
                     compareAndSet(
                             this,
                             v.id(),
                             v.revision() == (before == null ? 0 : before.revision()),
                             before,
-                            revision -> new Frame.VoiceRecord(
+                            revision -> new Frame.SliceOwnerRecord(
                                     0, revision, v.slice(), v.owner(), v.incarnation(), v.term()));
                 } else if (frame instanceof Frame.Ping ping) {
                     send(new Frame.Pong(ping.number()));
@@ -391,7 +391,7 @@
         private void send(Frame frame) {
             Link to = link;
             if (to != null) {
-                to.send(FrameWriter.one(frame));
+                to.send(FrameWriter.encode(frame));
             }
         }
 
--- a/src/main/java/puffinbarrow/wire/Json.java
+++ b/src/main/java/puffinbarrow/wire/JsonReader.java
@@ -11,7 +11,7 @@
 import puffinbarrow.control.Event;
 
 /** Reads JSON values one after the other, each of an expected type; a value of another type is malformed input. */
-public final class Json {
+public final class JsonReader {
     /** The measures of a load report by their names on the wire and in the settings. */
     public static final Map<String, Event.Measure> MEASURES = Map.of(
             "cpu_share",
@@ -30,7 +30,7 @@
     private final JsonParser in;
 
     /** Reads from the parser's present position. */
-    public Json(JsonParser in) {
+    public JsonReader(JsonParser in) {
         this.in = in;
     }
 
@@ -112,7 +112,7 @@
     }
 
     /** Reads any value: an object as a map in its order, an array as a list, others as plain values or null. */
-    public Object any() throws IOException {
+    public Object readAny() throws IOException {
         return readAny(in.nextToken());
     }
 
@@ -121,7 +121,7 @@
             case START_OBJECT -> {
                 Map<String, Object> map = new LinkedHashMap<>();
                 while (in.nextToken() != JsonToken.END_OBJECT) {
-                    map.put(in.currentName(), any());
+                    map.put(in.currentName(), readAny());
                 }
                 return map;
             }
@@ -156,13 +156,13 @@
     void skipRestOfArray() throws IOException {
         for (JsonToken t = in.nextToken(); t != JsonToken.END_ARRAY; t = in.nextToken()) {
             if (t == null) {
-                throw new MalformedBatch("line ends within an array");
+                throw new MalformedInputException("line ends within an array");
             }
             in.skipChildren();
         }
     }
 
-    private MalformedBatch unexpected(String field, String expected) throws IOException {
-        return new MalformedBatch(field + ": expected " + expected + ", found " + in.currentToken());
+    private MalformedInputException unexpected(String field, String expected) throws IOException {
+        return new MalformedInputException(field + ": expected " + expected + ", found " + in.currentToken());
     }
 }
--- a/src/main/java/puffinbarrow/wire/MalformedBatch.java
+++ b/src/main/java/puffinbarrow/wire/MalformedInputException.java
@@ -1,11 +1,11 @@
 package puffinbarrow.wire;
 
 /** Input or settings that do not follow the wire's format; the message names the field and, for input, the batch. */
-public final class MalformedBatch extends RuntimeException {
+public final class MalformedInputException extends RuntimeException {
     private static final long serialVersionUID = 1;
 
     /** The message says what was expected and what was found. */
-    public MalformedBatch(String message) {
+    public MalformedInputException(String message) {
         super(message);
     }
 }
--- a/src/main/java/puffinbarrow/wire/OrderWriter.java
+++ b/src/main/java/puffinbarrow/wire/OrderWriter.java
@@ -16,7 +16,7 @@
         } else if (order instanceof Order.Bind o) {
             writeArray(out, "Install", instance, o.table(), o.proxy(), o.groups());
         } else if (order instanceof Order.Mask o) {
-            writeArray(out, "Mask", instance, o.server(), o.out());
+            writeArray(out, "Mask", instance, o.server(), o.masked());
         } else if (order instanceof Order.SetLevel o) {
             writeArray(
                     out,
--- a/src/main/java/puffinbarrow/wire/Facts.java
+++ b/src/main/java/puffinbarrow/wire/SettingsReader.java
@@ -6,7 +6,7 @@
 import puffinbarrow.control.Settings;
 
 /** Converts the settings of the wire and of the service's configuration to {@link Settings}; ignores unknown keys. */
-public final class Facts {
+public final class SettingsReader {
     /**
      * What a host that uses names in place of numbers needs from the settings.
      *
@@ -16,9 +16,9 @@
      * @param proxies number of proxies
      * @param slices number of slices
      */
-    public record Names(List<String> zones, List<String> kinds, List<String> groups, int proxies, int slices) {}
+    public record Names(List<String> zones, List<String> machineTypes, List<String> groups, int proxies, int slices) {}
 
-    private Facts() {}
+    private SettingsReader() {}
 
     /** Returns the names in a settings object as {@link Json#any} reads it. */
     public static Names names(Object settings) {
@@ -81,7 +81,7 @@
         if (value instanceof Number number) {
             return number.doubleValue();
         }
-        throw new MalformedBatch(key + ": expected a number, found " + value);
+        throw new MalformedInputException(key + ": expected a number, found " + value);
     }
 
     private static long longValue(Map<?, ?> object, String key) {
@@ -94,7 +94,7 @@
         if (value == null || value instanceof Boolean) {
             return Boolean.TRUE.equals(value);
         }
-        throw new MalformedBatch(key + ": expected true or false, found " + value);
+        throw new MalformedInputException(key + ": expected true or false, found " + value);
     }
 
     private static Map<?, ?> map(Object value, String key) {
@@ -104,7 +104,7 @@
         if (value instanceof Map<?, ?> map) {
             return map;
         }
-        throw new MalformedBatch(key + ": expected an object");
+        throw new MalformedInputException(key + ": expected an object");
     }
 
     private static List<?> list(Object value, String key) {
@@ -114,6 +114,6 @@
         if (value instanceof List<?> list) {
             return list;
         }
-        throw new MalformedBatch(key + ": expected an array");
+        throw new MalformedInputException(key + ": expected an array");
     }
 }
--- a/src/main/java/puffinbarrow/wire/WireHost.java
+++ b/src/main/java/puffinbarrow/wire/WireHost.java
@@ -51,9 +51,9 @@
         for (String line = lines.readLine(); line != null; line = lines.readLine()) {
             try {
                 answer(line, to);
-            } catch (MalformedBatch | JsonProcessingException | ArithmeticException | NullPointerException e) {
+            } catch (MalformedInputException | JsonProcessingException | ArithmeticException | NullPointerException e) {
                 String problem = e instanceof JsonProcessingException j ? j.getOriginalMessage() : e.getMessage();
-                throw new MalformedBatch("batch " + count + " (counted from 0): " + problem);
+                throw new MalformedInputException("batch " + count + " (counted from 0): " + problem);
             }
             to.flush();
             count++;
@@ -73,11 +73,11 @@
         JsonGenerator out;
         // The time may come after the events in the object, so the events are kept until the whole batch is read.
         try (JsonParser parser = json.createParser(line)) {
-            Json in = new Json(parser);
+            JsonReader in = new JsonReader(parser);
             in.expect(JsonToken.START_OBJECT, "batch");
             for (JsonToken token = in.nextToken(); token != JsonToken.END_OBJECT; token = in.nextToken()) {
                 if (token == null) {
-                    throw new MalformedBatch("line ends within the batch");
+                    throw new MalformedInputException("line ends within the batch");
                 }
                 switch (in.fieldName()) {
                     case "AtTimeNs" -> {
@@ -86,12 +86,12 @@
                     }
                     case "seq" -> batch.seq = in.readLong("seq");
                     case "happened" -> readEvents(in, batch);
-                    default -> in.any();
+                    default -> in.readAny();
                 }
             }
         }
         if (!batch.hasTime) {
-            throw new MalformedBatch("AtTimeNs is missing");
+            throw new MalformedInputException("AtTimeNs is missing");
         }
         out = json.createGenerator(to, JsonEncoding.UTF8);
         out.disable(JsonGenerator.Feature.AUTO_CLOSE_TARGET);
@@ -127,18 +127,18 @@
         out.close();
     }
 
-    private void readEvents(Json in, Batch batch) throws IOException {
+    private void readEvents(JsonReader in, Batch batch) throws IOException {
         in.expect(JsonToken.START_ARRAY, "happened");
         for (JsonToken token = in.nextToken(); token != JsonToken.END_ARRAY; token = in.nextToken()) {
             if (token != JsonToken.START_ARRAY) {
-                throw new MalformedBatch("event: expected an array, found " + token);
+                throw new MalformedInputException("event: expected an array, found " + token);
             }
             readEvent(in, batch);
             in.skipRestOfArray();
         }
     }
 
-    private void readEvent(Json in, Batch batch) throws IOException {
+    private void readEvent(JsonReader in, Batch batch) throws IOException {
         String name = in.readString("event name");
         if (name.equals("Pool")) {
             pools.put(in.readInt("Ref"), readPool(in));
@@ -148,7 +148,7 @@
         switch (name) {
             case "Born" -> {
                 long seed = in.readLong("Salt");
-                instances.put(instance, factory.start(Facts.settings(in.any()), seed));
+                instances.put(instance, factory.start(SettingsReader.settings(in.readAny()), seed));
                 batch.inbox.put(instance, new ArrayList<>());
                 return;
             }
@@ -167,7 +167,7 @@
                         int pool = in.readInt("Ref");
                         List<Event.Entry> entries = kind == Event.ListKind.BROKEN ? List.of() : pools.get(pool);
                         if (entries == null) {
-                            throw new MalformedBatch("Registry: unknown pool " + pool);
+                            throw new MalformedInputException("Registry: unknown pool " + pool);
                         }
                         yield new Event.ServerList(kind, entries);
                     }
@@ -221,7 +221,7 @@
                         int mark = in.readInt("Version");
                         yield new Event.InForce(proxy, mark, in.readLong("TookNs"));
                     }
-                    default -> throw new MalformedBatch("unknown event " + name);
+                    default -> throw new MalformedInputException("unknown event " + name);
                 };
         // Events for a coordinator that is not running are valid: it was destroyed while they were in transit.
         if (instances.containsKey(instance)) {
@@ -235,17 +235,17 @@
             case "whole" -> Event.ListKind.WHOLE;
             case "stale_copy" -> Event.ListKind.STALE_COPY;
             case "broken" -> Event.ListKind.BROKEN;
-            default -> throw new MalformedBatch("Registry: unknown mode " + mode);
+            default -> throw new MalformedInputException("Registry: unknown mode " + mode);
         };
     }
 
     /** Reads the members of a server list. */
-    private static List<Event.Entry> readPool(Json in) throws IOException {
+    private static List<Event.Entry> readPool(JsonReader in) throws IOException {
         in.expect(JsonToken.START_ARRAY, "Members");
         List<Event.Entry> entries = new ArrayList<>();
         for (JsonToken token = in.nextToken(); token != JsonToken.END_ARRAY; token = in.nextToken()) {
             if (token != JsonToken.START_ARRAY) {
-                throw new MalformedBatch("Members: expected an array, found " + token);
+                throw new MalformedInputException("Members: expected an array, found " + token);
             }
             String server = in.readString("Backend");
             int zone = in.readInt("Az");
@@ -257,7 +257,7 @@
                         case "ready" -> Event.Listed.READY;
                         case "draining" -> Event.Listed.DRAINING;
                         case "gone" -> Event.Listed.GONE;
-                        default -> throw new MalformedBatch("Members: unknown mode " + mode);
+                        default -> throw new MalformedInputException("Members: unknown mode " + mode);
                     };
             double size = in.readDouble("W");
             entries.add(new Event.Entry(server, zone, machineType, cell, listed, size, in.readLong("BornNs")));
--- a/src/test/java/puffinbarrow/FakeHost.java
+++ b/src/test/java/puffinbarrow/FakeHost.java
@@ -182,7 +182,7 @@
                 }
             } else if (order instanceof Order.Mask o) {
                 push.add(o);
-                boolean changed = o.out() ? masks.add(o.server()) : masks.remove(o.server());
+                boolean changed = o.masked() ? masks.add(o.server()) : masks.remove(o.server());
             } else if (order instanceof Order.Mark o) {
                 pushes.add(push);
                 boolean reached = o.everyProxy()
--- a/src/test/java/puffinbarrow/LogicTest.java
+++ b/src/test/java/puffinbarrow/LogicTest.java
@@ -346,7 +346,9 @@
         host.run(1);
         assertEquals(
                 4,
-                host.ordersOf(Order.Mask.class).stream().filter(o -> !o.out()).count());
+                host.ordersOf(Order.Mask.class).stream()
+                        .filter(o -> !o.masked())
+                        .count());
         assertFalse(host.ordersOf(Order.SetLevel.class).isEmpty());
     }
 
--- a/src/test/java/puffinbarrow/coordinator/CoordinatorTest.java
+++ b/src/test/java/puffinbarrow/coordinator/CoordinatorTest.java
@@ -170,7 +170,7 @@
         }
 
         RawClient send(Frame frame) throws IOException {
-            ByteBuffer encoded = FrameWriter.one(frame);
+            ByteBuffer encoded = FrameWriter.encode(frame);
             byte[] exact = new byte[encoded.remaining()];
             encoded.get(exact);
             return bytes(exact);
@@ -219,7 +219,8 @@
         RawClient oversized = new RawClient(coordinator)
                 .read()
                 .bytes(ByteBuffer.allocate(12).putInt(0, 5000).array());
-        byte[] damagedFrame = Arrays.copyOf(FrameWriter.one(new Frame.Ping(1)).array(), 20);
+        byte[] damagedFrame =
+                Arrays.copyOf(FrameWriter.encode(new Frame.Ping(1)).array(), 20);
         damagedFrame[13] ^= 1;
         RawClient damaged = new RawClient(coordinator).read().bytes(damagedFrame);
         RawClient unexpected = new RawClient(coordinator).hello(6, 1).send(new Frame.Owner(1, 1));
@@ -416,7 +417,7 @@
         until("a mask at each proxy", () -> all.stream()
                 .allMatch(r -> r.orders().stream()
                                 .flatMap(o -> o.orders().stream())
-                                .filter(o -> o instanceof Order.Mask m && m.out())
+                                .filter(o -> o instanceof Order.Mask m && m.masked())
                                 .count()
                         >= 1));
         double peak = value(coordinator, "channel.lines.most");
--- a/src/test/java/puffinbarrow/day/DayTest.java
+++ b/src/test/java/puffinbarrow/day/DayTest.java
@@ -115,7 +115,7 @@
                         "length 6s\nset grace 2s\nset queue 1000\nat 500ms backends 30% preempt for 5s\n",
                         new Day.Overrides(
                                 altered(orders -> orders.stream()
-                                        .filter(o -> !(o instanceof Order.Mask m && m.out())
+                                        .filter(o -> !(o instanceof Order.Mask m && m.masked())
                                                 && !(o instanceof Order.SetLine l && l.weight() == 0))
                                         .toList()),
                                 List.of())));
--- a/src/test/java/puffinbarrow/net/HttpParserTest.java
+++ b/src/test/java/puffinbarrow/net/HttpParserTest.java
@@ -44,7 +44,7 @@
         List<String> read = new ArrayList<>();
         HttpParser parser = new HttpParser(false, 100, m -> read.add(describe(m)));
         parser.feed(bytes("HTTP/1.1 204 No Content\r\n\r\nHTTP/1.1 200 OK\r\n\r\nall of it"));
-        parser.closed();
+        parser.endOfInput();
         assertEquals(List.of("204|No Content|{}|", "200|OK|{}|all of it"), read);
     }
 
--- a/src/test/java/puffinbarrow/platform/ProcessTest.java
+++ b/src/test/java/puffinbarrow/platform/ProcessTest.java
@@ -49,7 +49,7 @@
         for (String line = output.readLine(); line != null; line = output.readLine()) {
             lines.add(line);
             if (line.contains(" ready ")) {
-                return Net.address(line.replaceAll(".* listen=(\\S+) .*", "$1"));
+                return Net.parseAddress(line.replaceAll(".* listen=(\\S+) .*", "$1"));
             }
         }
         throw new AssertionError("process ended before it was ready: " + lines);
--- a/src/test/java/puffinbarrow/platform/RelaySnapshotTest.java
+++ b/src/test/java/puffinbarrow/platform/RelaySnapshotTest.java
@@ -13,12 +13,12 @@
 import puffinbarrow.control.Event;
 import puffinbarrow.control.Order;
 import puffinbarrow.net.HttpParser;
-import puffinbarrow.wire.Facts;
+import puffinbarrow.wire.SettingsReader;
 
 /** Events that the relay's event stream produces for the controller, also after gaps and with orders in flight. */
 class RelaySnapshotTest {
-    private static final Facts.Names NAMES =
-            new Facts.Names(List.of("a", "b"), List.of("m"), List.of("x", "y"), 10, 10);
+    private static final SettingsReader.Names NAMES =
+            new SettingsReader.Names(List.of("a", "b"), List.of("m"), List.of("x", "y"), 10, 10);
 
     private final RelaySnapshot snapshot =
             new RelaySnapshot(new PlatformCodec(NAMES, new PlatformCodec.ClockOffset(0, 0)));
--- a/src/test/java/puffinbarrow/platform/ServiceFixture.java
+++ b/src/test/java/puffinbarrow/platform/ServiceFixture.java
@@ -196,9 +196,10 @@
     /** Returns the JSON configuration with the given relay address. */
     String configuration(InetSocketAddress relayServer) {
         return "{\"name\":\"n0\",\"listen\":\"127.0.0.1:0\",\"discovery\":\""
-                + Net.text(discovery.listener.address())
+                + Net.formatAddress(discovery.listener.address())
                 + "\",\"seed\":\"ff\",\"limits\":{\"sockets\":256},\"registry\":{\"address\":\""
-                + Net.text(relayServer) + "\"},\"known\":{\"generation\":5,\"reset\":true,\"instances\":[" + ENTRY
+                + Net.formatAddress(relayServer) + "\"},\"known\":{\"generation\":5,\"reset\":true,\"instances\":["
+                + ENTRY
                 + "]},\"settings\":{\"Zones\":[\"a\",\"b\"],\"Models\":[\"m\"],\"Discovery\":\"ask\",\"RequestClasses\":[{\"Name\":\"x\","
                 + "\"AimNs\":1,\"Importance\":1}],\"Domain\":{\"Ranges\":4,\"ProxyCount\":9,\"Backlog\":100,\"EgressPerS\":100}}}";
     }
--- a/src/test/java/puffinbarrow/proto/FrameTest.java
+++ b/src/test/java/puffinbarrow/proto/FrameTest.java
@@ -68,12 +68,12 @@
             new Frame.Synced(),
             new Frame.Written(6, true),
             new Frame.MemberRecord(5, 4, 1, -9, 77, true, false, true, 2),
-            new Frame.VoiceRecord(5, 4, 9, -1, 3, 12),
+            new Frame.SliceOwnerRecord(5, 4, 9, -1, 3, 12),
             new Frame.Peer(1, "hi 7"));
 
     private static ByteBuffer all() {
         ByteBuffer bytes = ByteBuffer.allocate(1 << 16);
-        ALL.forEach(f -> bytes.put(FrameWriter.one(f)));
+        ALL.forEach(f -> bytes.put(FrameWriter.encode(f)));
         return bytes.flip();
     }
 
@@ -108,7 +108,7 @@
 
     @Test
     void everyDamagedByteIsDetected() {
-        ByteBuffer whole = FrameWriter.one(ALL.get(6));
+        ByteBuffer whole = FrameWriter.encode(ALL.get(6));
         for (int at = 0; at < whole.limit(); at++) {
             ByteBuffer bytes = ByteBuffer.wrap(Arrays.copyOf(whole.array(), whole.limit()));
             bytes.put(at, (byte) (bytes.get(at) ^ 0x20));
@@ -147,7 +147,7 @@
         List<Frame> read = new ArrayList<>();
         FrameReader reader = new FrameReader(1 << 12, read::add);
         reader.feed(altered(new Frame.Ping(1), 200, FrameTypes.FLAG_OPTIONAL, 0));
-        reader.feed(FrameWriter.one(new Frame.Bye()));
+        reader.feed(FrameWriter.encode(new Frame.Bye()));
         assertEquals(List.of(new Frame.Bye()), read);
     }
 
@@ -156,13 +156,13 @@
         List<Frame> read = new ArrayList<>();
         FrameReader reader = new FrameReader(1 << 12, read::add);
         reader.feed(altered(new Frame.Applied(3, 4), FrameTypes.APPLIED, 0, 0, (byte) 1, (byte) 2, (byte) 3));
-        reader.feed(FrameWriter.one(new Frame.Bye()));
+        reader.feed(FrameWriter.encode(new Frame.Bye()));
         assertEquals(List.of(new Frame.Applied(3, 4), new Frame.Bye()), read);
     }
 
     @Test
     void anotherMajorVersionIsRefused() {
-        ByteBuffer bytes = FrameWriter.one(new Frame.Bye());
+        ByteBuffer bytes = FrameWriter.encode(new Frame.Bye());
         bytes.put(5, (byte) 2);
         CRC32C crc = new CRC32C();
         crc.update(bytes.array(), 0, 8);
@@ -188,17 +188,17 @@
         assertEquals(
                 Cause.MALFORMED,
                 refused(
-                        FrameWriter.one(new Frame.Orders(1, 1, 0, List.of(new Order.SetLine(1, "a:1", Double.NaN)))),
+                        FrameWriter.encode(new Frame.Orders(1, 1, 0, List.of(new Order.SetLine(1, "a:1", Double.NaN)))),
                         1 << 12));
-        assertEquals(Cause.MALFORMED, refused(FrameWriter.one(new Frame.Peer(1, "x".repeat(257))), 1 << 12));
+        assertEquals(Cause.MALFORMED, refused(FrameWriter.encode(new Frame.Peer(1, "x".repeat(257))), 1 << 12));
     }
 
     @Test
     void aServerIdIsDecodedOnce() {
         List<Frame> read = new ArrayList<>();
         FrameReader reader = new FrameReader(1 << 12, read::add);
-        reader.feed(FrameWriter.one(new Frame.Stored(1, List.of(new Frame.Line("10.0.0.1:80", 1)))));
-        reader.feed(FrameWriter.one(new Frame.Stored(2, List.of(new Frame.Line("10.0.0.1:80", 1)))));
+        reader.feed(FrameWriter.encode(new Frame.Stored(1, List.of(new Frame.Line("10.0.0.1:80", 1)))));
+        reader.feed(FrameWriter.encode(new Frame.Stored(2, List.of(new Frame.Line("10.0.0.1:80", 1)))));
         assertSame(
                 ((Frame.Stored) read.get(0)).lines().get(0).server(),
                 ((Frame.Stored) read.get(1)).lines().get(0).server());
