--- a/src/bench/java/puffinbarrow/bench/SocketBench.java
+++ b/src/bench/java/puffinbarrow/bench/SocketBench.java
@@ -15,7 +15,7 @@
 import puffinbarrow.control.Order;
 import puffinbarrow.coordinator.Coordinator;
 import puffinbarrow.coordinator.Dialer;
-import puffinbarrow.coordinator.Outlet;
+import puffinbarrow.coordinator.FrameSink;
 import puffinbarrow.net.Net;
 import puffinbarrow.proto.Frame;
 import puffinbarrow.proto.FrameWriter;
@@ -71,7 +71,7 @@
             coordinator = new Coordinator(config, Logic::new).start();
             for (int i = 0; i < proxyCount; i++) {
                 Frame.Hello hello = new Frame.Hello(1, 0, Frame.Role.PROXY, i, i % 3, i, true, 5);
-                Outlet[] uplinks = new Outlet[1];
+                FrameSink[] uplinks = new FrameSink[1];
                 proxies.add(new Dialer(
                                 net,
                                 "bench",
--- a/src/main/java/puffinbarrow/cli/Commands.java
+++ b/src/main/java/puffinbarrow/cli/Commands.java
@@ -19,7 +19,7 @@
 import puffinbarrow.config.CoordinatorConfig;
 import puffinbarrow.config.Problem;
 import puffinbarrow.coordinator.Coordinator;
-import puffinbarrow.coordinator.Ports;
+import puffinbarrow.coordinator.CoordinatorAddresses;
 import puffinbarrow.day.Day;
 import puffinbarrow.day.DayReport;
 import puffinbarrow.day.Script;
@@ -110,7 +110,7 @@
             CountDownLatch end = new CountDownLatch(1);
             AtomicInteger code = new AtomicInteger(OK);
             Coordinator coordinator = new Coordinator(config, Logic::new);
-            coordinator.onGivingUp(exitCode -> {
+            coordinator.onFatalExit(exitCode -> {
                 code.set(exitCode);
                 end.countDown();
             });
@@ -177,14 +177,14 @@
             InetSocketAddress address;
             try {
                 address = Files.isRegularFile(Path.of(target))
-                        ? Ports.read(Path.of(target)).admin()
-                        : Ports.address(target);
+                        ? CoordinatorAddresses.read(Path.of(target)).admin()
+                        : CoordinatorAddresses.address(target);
             } catch (IOException e) {
                 System.err.println("status: " + e.getMessage());
                 return USAGE;
             }
             try {
-                String answer = Ports.ask(address, pace == null ? "status" : "pace " + pace);
+                String answer = CoordinatorAddresses.ask(address, pace == null ? "status" : "pace " + pace);
                 System.out.print(answer);
                 return answer.isEmpty() || answer.startsWith("error") ? FAILED : OK;
             } catch (IOException e) {
--- a/src/main/java/puffinbarrow/coordinator/Coordinator.java
+++ b/src/main/java/puffinbarrow/coordinator/Coordinator.java
@@ -38,7 +38,7 @@
  * channel group decode frames and put them into the core's inbox; only the decision thread calls the core otherwise.
  * Started by the command line, by days in one process, by replays and by tests.
  */
-public final class Coordinator implements AutoCloseable, Core.Surroundings {
+public final class Coordinator implements AutoCloseable, CoordinatorCore.Environment {
     private static final Logger LOG = LoggerFactory.getLogger("puffinbarrow.coordinator");
     /** Failed batches saved for replay; the first ones show the cause, later ones repeat it. */
     private static final int MAX_SAVED_BATCHES = 20;
@@ -76,11 +76,11 @@
     private final CoordinatorConfig config;
     private final Meters meters = new Meters();
     private final Net net;
-    private final Core core;
+    private final CoordinatorCore core;
     /** Null if the settings keep no memory across restarts. */
     private final Keeper keeper;
     /** Null if the store assigns slices to coordinators, instead of leases. */
-    private final Holder leaseHolder;
+    private final LeaseHolder leaseHolder;
 
     private final Prober prober;
     /** Tells this process from earlier ones of the same coordinator number. */
@@ -92,7 +92,7 @@
 
     private final List<Dialer> dialers = new ArrayList<>();
     private final TreeMap<Integer, Dialer> peerDialers = new TreeMap<>();
-    private final Failures failures = new Failures();
+    private final FailureWindow failures = new FailureWindow();
     private final AtomicLong failedBatches = new AtomicLong();
     private final CountDownLatch decisionThreadEnded = new CountDownLatch(1);
     private Dialer storeDialer;
@@ -102,11 +102,11 @@
     private Thread decisionThread;
     private volatile boolean running = true;
     private volatile boolean orderlyShutdown;
-    private volatile Consumer<Integer> onGivingUp = code -> {};
+    private volatile Consumer<Integer> onFatalExit = code -> {};
 
     /** Creates a coordinator with the configured rates; {@link #start} makes it run. */
     public Coordinator(CoordinatorConfig config, Controller.Factory factory) throws IOException {
-        this(config, factory, Core.Tempo.of(config), null);
+        this(config, factory, CoordinatorCore.RateLimits.of(config), null);
     }
 
     /**
@@ -117,7 +117,7 @@
     public Coordinator(
             CoordinatorConfig config,
             Controller.Factory factory,
-            Core.Tempo tempo,
+            CoordinatorCore.RateLimits tempo,
             Function<String, InetSocketAddress> addresses)
             throws IOException {
         this.config = config;
@@ -125,18 +125,18 @@
         this.net = new Net("c" + config.number, IO_THREADS);
         this.prober = addresses == null ? new Prober(net) : new Prober(net, addresses, REPLAY_PROBE_TIMEOUT_MS);
         this.keeper = config.memory == null ? null : Keeper.open(config.memory, config.memoryBytes, MAX_PENDING_FACTS);
-        this.core = new Core(
+        this.core = new CoordinatorCore(
                 config,
                 factory,
                 this,
-                keeper == null ? Core.Memory.NONE : new KeeperMemory(keeper, incarnation),
+                keeper == null ? CoordinatorCore.Memory.NONE : new CoordinatorMemory(keeper, incarnation),
                 meters,
                 tempo);
         this.leaseHolder = config.leaseNs > 0 && config.slices > 0
-                ? new Holder(config, incarnation, new SystemTiming(), core::offer, meters)
+                ? new LeaseHolder(config, incarnation, new SystemTiming(), core::offer, meters)
                 : null;
         if (leaseHolder != null) {
-            core.fence(leaseHolder);
+            core.setFence(leaseHolder);
         }
         if (keeper != null) {
             meters.gauge("memory.well", keeper, k -> k.well() ? 1 : 0);
@@ -158,7 +158,7 @@
     }
 
     /** Opens all sockets without a decision thread: the caller runs turns with {@link #turnAt}, by its own clock. */
-    public Coordinator startByHand() throws IOException {
+    public Coordinator startManually() throws IOException {
         open();
         return this;
     }
@@ -192,10 +192,10 @@
                         config.store,
                         hello,
                         f -> core.offer(new Input.FromStore(f)),
-                        up -> core.offer(new Input.StoreUp(up)));
+                        up -> core.offer(new Input.StoreConnection(up)));
             } else {
                 storeDialer = dialer("store", config.store, hello, leaseHolder::frame, up -> {
-                    core.offer(new Input.StoreUp(up));
+                    core.offer(new Input.StoreConnection(up));
                     leaseHolder.store(up == null ? null : frame -> up.send(FrameWriter.encode(frame)));
                 });
                 leaseHolder.start();
@@ -211,12 +211,12 @@
                             core.offer(new Input.FromRegistry(list));
                         }
                     },
-                    up -> core.offer(new Input.RegistryUp(up)));
+                    up -> core.offer(new Input.RegistryConnection(up)));
         }
         config.peers.forEach(this::connectPeer);
         net.schedule(MAX_IDLE_CHECK_MS, this::checkConnections);
         if (config.portFile != null) {
-            new Ports(listener.address(), admin.address()).write(config.portFile);
+            new CoordinatorAddresses(listener.address(), admin.address()).write(config.portFile);
         }
         LOG.atInfo()
                 .addKeyValue("coordinator", config.number)
@@ -231,7 +231,12 @@
                 Frame.MAJOR, Frame.MINOR, Frame.Role.PEER, config.number, config.zoneIndex(), incarnation, true, 0);
         peerDialers.put(
                 number,
-                dialer("peer " + number, address, asPeer, frame -> {}, up -> core.offer(new Input.PeerUp(number, up))));
+                dialer(
+                        "peer " + number,
+                        address,
+                        asPeer,
+                        frame -> {},
+                        up -> core.offer(new Input.PeerConnection(number, up))));
     }
 
     /** Creates and starts a connection to another daemon. */
@@ -240,7 +245,7 @@
             InetSocketAddress to,
             Frame.Hello hello,
             Consumer<Frame> frames,
-            Consumer<Outlet> connectionChanged) {
+            Consumer<FrameSink> connectionChanged) {
         Dialer dialer = new Dialer(
                 net, name, to, () -> hello, config.outboundBytes, config.frameBytes, frames, connectionChanged);
         dialers.add(dialer);
@@ -267,7 +272,7 @@
     }
 
     /** The clock and timer of the lease holder: monotonic time and the network timer. */
-    private final class SystemTiming implements Holder.Timing {
+    private final class SystemTiming implements LeaseHolder.Clock {
         @Override
         public long now() {
             return System.nanoTime();
@@ -306,15 +311,15 @@
                 .setCause(failure)
                 .log("decision turn failed; tables and levels stay as they are");
         if (failures.tooMany(now)) {
-            LOG.atError().addKeyValue("failures", Failures.MAX_FAILURES).log("giving up");
+            LOG.atError().addKeyValue("failures", FailureWindow.MAX_FAILURES).log("giving up");
             running = false;
-            onGivingUp.accept(1);
+            onFatalExit.accept(1);
         }
     }
 
     /** Sets what to call, with an exit code, once decisions have failed too often for this process to go on. */
-    public void onGivingUp(Consumer<Integer> exit) {
-        onGivingUp = exit;
+    public void onFatalExit(Consumer<Integer> exit) {
+        onFatalExit = exit;
     }
 
     // ---- Connections from proxies and peers.
@@ -333,7 +338,7 @@
     }
 
     /** A connection from a proxy or a peer: handshake, dispatch of frames, and backpressure while the inbox is full. */
-    private final class ClientConnection implements Link.Receiver, Outlet {
+    private final class ClientConnection implements Link.Receiver, FrameSink {
         private final FrameReader reader = new FrameReader(config.frameBytes, this::onFrame);
         private final long openedAtNs = System.nanoTime();
         private volatile Link link;
@@ -383,7 +388,7 @@
             if (inboxFull) {
                 inboxFull = false;
                 from.pauseReading(true);
-                core.stopped(this);
+                core.readingPaused(this);
             }
         }
 
@@ -557,7 +562,7 @@
             try {
                 double part = Double.parseDouble(text);
                 if (part > 0 && part <= 1) {
-                    core.offer(new Input.Pace(part));
+                    core.offer(new Input.SetPace(part));
                     return "ok\n";
                 }
             } catch (NumberFormatException notANumber) {
@@ -612,7 +617,7 @@
 
     /** Slows the channel to the proxies to this fraction of its configured rate, above 0 and up to 1. */
     public void pace(double part) {
-        core.offer(new Input.Pace(part));
+        core.offer(new Input.SetPace(part));
     }
 
     /** Cuts or restores the connection to a peer, as a network partition would. */
--- a/src/main/java/puffinbarrow/coordinator/Ports.java
+++ b/src/main/java/puffinbarrow/coordinator/CoordinatorAddresses.java
@@ -13,7 +13,7 @@
  * The addresses that a coordinator listens on, written to and read from its port-file; and a client of its admin
  * listener.
  */
-public record Ports(InetSocketAddress listen, InetSocketAddress admin) {
+public record CoordinatorAddresses(InetSocketAddress listen, InetSocketAddress admin) {
     private static final int CONNECT_TIMEOUT_MS = 2000;
     private static final int ANSWER_TIMEOUT_MS = 5000;
 
@@ -25,7 +25,7 @@
     }
 
     /** Reads a port-file. */
-    public static Ports read(Path file) throws IOException {
+    public static CoordinatorAddresses read(Path file) throws IOException {
         InetSocketAddress listen = null;
         InetSocketAddress admin = null;
         for (String line : Files.readAllLines(file)) {
@@ -38,7 +38,7 @@
         if (listen == null || admin == null) {
             throw new IOException(file + ": not a port-file, expected lines 'listen' and 'admin'");
         }
-        return new Ports(listen, admin);
+        return new CoordinatorAddresses(listen, admin);
     }
 
     /** Parses ADDRESS:PORT; throws an IOException that quotes the text if it is anything else. */
--- a/src/main/java/puffinbarrow/coordinator/Core.java
+++ b/src/main/java/puffinbarrow/coordinator/CoordinatorCore.java
@@ -28,9 +28,9 @@
  * carries out the returned orders in sequence, and enforces the limits of the channel to the proxies. {@link
  * Coordinator} drives it over sockets, the emulator in virtual time.
  */
-public final class Core {
+public final class CoordinatorCore {
     /** What the core needs from its host besides connections; called on the decision thread. */
-    public interface Surroundings {
+    public interface Environment {
         /** Probes a server; the answer may come on any thread. */
         void probe(String server, Consumer<Event.Probed> answer);
 
@@ -46,12 +46,12 @@
      * @param reportIntervalNs the proxies' reporting interval; 0 passes reports on without waiting for the rest of a
      *     round
      */
-    public record Tempo(double linesPerS, double intakePerS, long reportIntervalNs) {
+    public record RateLimits(double linesPerS, double intakePerS, long reportIntervalNs) {
         /** No limits: for a replay, whose recorded run was subject to them already. */
-        public static final Tempo FREE = new Tempo(1e15, 1e15, 0);
+        public static final RateLimits UNLIMITED = new RateLimits(1e15, 1e15, 0);
 
-        static Tempo of(CoordinatorConfig config) {
-            return new Tempo(config.linesPerS, config.intakePerS, config.roundNs);
+        static RateLimits of(CoordinatorConfig config) {
+            return new RateLimits(config.linesPerS, config.intakePerS, config.roundNs);
         }
     }
 
@@ -61,10 +61,10 @@
         List<Event.Recalled> recall(List<Event.Entry> list);
 
         /** Notes the events and orders of a turn. */
-        void decided(long now, List<Event> events, List<Order> orders, Controller controller);
+        void recordTurn(long now, List<Event> events, List<Order> orders, Controller controller);
 
         /** Called at an orderly shutdown. */
-        default void ends(Controller controller) {}
+        default void shutDown(Controller controller) {}
 
         /** Remembers nothing. */
         Memory NONE = new Memory() {
@@ -74,7 +74,7 @@
             }
 
             @Override
-            public void decided(long now, List<Event> events, List<Order> orders, Controller controller) {}
+            public void recordTurn(long now, List<Event> events, List<Order> orders, Controller controller) {}
         };
     }
 
@@ -97,13 +97,13 @@
 
     /** A joined proxy. */
     private static final class Proxy {
-        final Outlet outlet;
+        final FrameSink outlet;
         /** Marks sent and not acknowledged yet, oldest first; bounded by the channel's limits. */
         final ArrayDeque<Integer> marks = new ArrayDeque<>();
         /** For sites without slices: the table that each traffic group (by its bit number) is bound to. */
         final TreeMap<Integer, Integer> tableByGroup = new TreeMap<>();
 
-        Proxy(Outlet outlet) {
+        Proxy(FrameSink outlet) {
             this.outlet = outlet;
         }
     }
@@ -122,7 +122,7 @@
 
     private final CoordinatorConfig config;
     private final Controller controller;
-    private final Surroundings environment;
+    private final Environment environment;
     private final Memory memory;
     /** Whether the memory has been asked what it recalls; it is once, at the first server list. */
     private boolean recalled;
@@ -138,7 +138,7 @@
     /** Joined proxies by number. */
     private final TreeMap<Integer, Proxy> proxies = new TreeMap<>();
     /** Connected peer coordinators by number. */
-    private final TreeMap<Integer, Outlet> peers = new TreeMap<>();
+    private final TreeMap<Integer, FrameSink> peers = new TreeMap<>();
 
     private final PriorityQueue<PendingTimer> timers = new PriorityQueue<>();
     /** Slices that this coordinator is in charge of. */
@@ -155,14 +155,14 @@
     /** Orders not sent to the store yet, by slice and server; bounded by the size of the tables. */
     private final Map<Integer, TreeMap<String, Order>> pendingStoreWrites = new TreeMap<>();
     /** Null if the store assigns slices to coordinators; orders then carry no lease terms. */
-    private Fence fence;
+    private Fence setFence;
     /** Delays a change of a slice's only owner; null where a slice may have several owners. */
     private Pause ownerPause;
 
     /** The connection to the registry, or null while there is none. */
-    private Outlet registry;
+    private FrameSink registry;
     /** The connection to the store, or null while there is none. */
-    private Outlet store;
+    private FrameSink store;
     /** The last subscription ordered; null if none was, or if it ended with its connection. */
     private Boolean subscribed;
 
@@ -173,13 +173,13 @@
     private long tickAtNs = Long.MIN_VALUE;
 
     /** Creates the core and starts a Controller with the configured settings and seed. */
-    public Core(
+    public CoordinatorCore(
             CoordinatorConfig config,
             Controller.Factory factory,
-            Surroundings around,
+            Environment around,
             Memory memory,
             Meters meters,
-            Tempo tempo) {
+            RateLimits tempo) {
         this.memory = memory;
         this.config = config;
         this.environment = around;
@@ -202,8 +202,8 @@
     }
 
     /** Makes sending depend on a lease; called before the first turn. */
-    public void fence(Fence with) {
-        fence = with;
+    public void setFence(Fence with) {
+        setFence = with;
         if (config.soleOwner) {
             ownerPause = new Pause(
                     config.proxyLeaseNs,
@@ -223,13 +223,13 @@
     }
 
     /** Notes a connection that stopped reading; it is resumed once the inbox has been drained. */
-    public void stopped(Outlet outlet) {
-        inbox.stopped(outlet::resume);
+    public void readingPaused(FrameSink outlet) {
+        inbox.resumeAfterDrain(outlet::resume);
     }
 
     /** Sets the thread to wake when an input is offered. */
     void reader(Thread thread) {
-        inbox.reader(thread);
+        inbox.setConsumer(thread);
     }
 
     long offered() {
@@ -291,7 +291,7 @@
 
     /** Returns when the channel may have the next message to send. */
     private long nextSendNs(long now) {
-        return fence == null || fence.mayWrite(now)
+        return setFence == null || setFence.mayWrite(now)
                 ? channel.nextAtNs()
                 : Math.max(channel.nextAtNs(), now + LEASE_CHECK_NS);
     }
@@ -312,12 +312,12 @@
         LOG.debug("turn {}: events {}", turn, events);
         LOG.debug("turn {}: orders {}", turn, orders);
         carryOut(now, ownerPause == null ? orders : ownerPause.orders(now, orders, proxies.keySet()));
-        memory.decided(now, events, orders, controller);
+        memory.recordTurn(now, events, orders, controller);
     }
 
     /** Sends the messages that the channel releases by now, while the lease is valid. */
     private void send(long now) {
-        if (fence != null && !fence.mayWrite(now)) {
+        if (setFence != null && !setFence.mayWrite(now)) {
             return;
         }
         for (PacedChannel.Message next = channel.poll(now); next != null; next = channel.poll(now)) {
@@ -353,9 +353,9 @@
                 events.addAll(memory.recall(in.list().entries()));
             }
             meters.count("lists." + in.list().kind().name().toLowerCase(Locale.ROOT));
-        } else if (input instanceof Input.RegistryUp in) {
+        } else if (input instanceof Input.RegistryConnection in) {
             onRegistryConnection(in.outlet(), events);
-        } else if (input instanceof Input.StoreUp in) {
+        } else if (input instanceof Input.StoreConnection in) {
             store = in.outlet();
             if (store != null) {
                 flushStoreWrites(now);
@@ -364,7 +364,7 @@
             onStoreFrame(now, in.frame(), events);
         } else if (input instanceof Input.FromPeer in) {
             events.add(new Event.PeerMessage(in.sender(), in.text()));
-        } else if (input instanceof Input.PeerUp in) {
+        } else if (input instanceof Input.PeerConnection in) {
             if (in.outlet() == null) {
                 peers.remove(in.peer());
             } else {
@@ -374,7 +374,7 @@
             events.add(in.probed());
         } else if (input instanceof Input.StatusRequest in) {
             in.answer().accept(status());
-        } else if (input instanceof Input.Pace in) {
+        } else if (input instanceof Input.SetPace in) {
             channel.setPace(now, in.fraction());
             LOG.atWarn().addKeyValue("part", in.fraction()).log("channel pace changed");
         }
@@ -433,7 +433,7 @@
         }
     }
 
-    private void onRegistryConnection(Outlet outlet, List<Event> events) {
+    private void onRegistryConnection(FrameSink outlet, List<Event> events) {
         boolean lost = registry != null && outlet == null;
         registry = outlet;
         if (outlet == null) {
@@ -486,7 +486,7 @@
         boolean levelsChanged = false;
         for (Order order : orders) {
             if (order instanceof Order.SetLine o) {
-                if (sliced && (!ownedSlices.contains(o.table()) || fence != null && fence.term(o.table()) == 0)) {
+                if (sliced && (!ownedSlices.contains(o.table()) || setFence != null && setFence.term(o.table()) == 0)) {
                     meters.count("orders.not_in_charge");
                     continue;
                 }
@@ -500,7 +500,7 @@
                             .add(o));
                 }
             } else if (order instanceof Order.ClearTable o) {
-                if (sliced && fence != null && fence.term(o.table()) == 0) {
+                if (sliced && setFence != null && setFence.term(o.table()) == 0) {
                     meters.count("orders.not_in_charge");
                 } else if (sliced) {
                     common.add(o);
@@ -625,7 +625,7 @@
 
     /** Returns the lease term of each slice that the orders write to. */
     private List<Frame.Term> terms(List<Order> orders) {
-        if (fence == null) {
+        if (setFence == null) {
             return List.of();
         }
         TreeSet<Integer> slices = new TreeSet<>();
@@ -637,7 +637,7 @@
             }
         }
         return slices.stream()
-                .map(slice -> new Frame.Term(slice, fence.term(slice)))
+                .map(slice -> new Frame.Term(slice, setFence.term(slice)))
                 .toList();
     }
 
@@ -753,7 +753,7 @@
 
     /** Lets the memory save its final state; on the decision thread, at an orderly shutdown. */
     void saveMemory() {
-        memory.ends(controller);
+        memory.shutDown(controller);
     }
 
     /** Returns the lines of the admin listener's status answer. */
--- a/src/main/java/puffinbarrow/coordinator/KeeperMemory.java
+++ b/src/main/java/puffinbarrow/coordinator/CoordinatorMemory.java
@@ -16,7 +16,7 @@
  * The core's memory on disk: notes events and orders, passes changes to the {@link Keeper} twice a second, and recalls
  * what an earlier process learned at the first server list. Runs on the decision thread; the keeper writes on its own.
  */
-final class KeeperMemory implements Core.Memory {
+final class CoordinatorMemory implements CoordinatorCore.Memory {
     private static final Logger LOG = LoggerFactory.getLogger("puffinbarrow.memory");
     /** A restart loses no more than about one reporting round. */
     private static final long SAVE_INTERVAL_NS = 500_000_000L;
@@ -25,7 +25,7 @@
     private final Notes notes;
     private long nextSaveNs = Long.MIN_VALUE;
 
-    KeeperMemory(Keeper keeper, long incarnation) {
+    CoordinatorMemory(Keeper keeper, long incarnation) {
         this.keeper = keeper;
         this.notes = new Notes(incarnation);
         notes.resume(keeper.remembered());
@@ -48,7 +48,7 @@
     }
 
     @Override
-    public void decided(long now, List<Event> events, List<Order> orders, Controller controller) {
+    public void recordTurn(long now, List<Event> events, List<Order> orders, Controller controller) {
         long wallNs = wallClockNs();
         notes.heard(wallNs, events);
         notes.ordered(orders);
@@ -59,7 +59,7 @@
     }
 
     @Override
-    public void ends(Controller controller) {
+    public void shutDown(Controller controller) {
         keeper.offer(notes.changed(wallClockNs(), System.nanoTime(), true, controller.rememberedState()));
     }
 }
--- a/src/main/java/puffinbarrow/coordinator/Dialer.java
+++ b/src/main/java/puffinbarrow/coordinator/Dialer.java
@@ -33,7 +33,7 @@
     private final long queueBytes;
     private final int frameBytes;
     private final Consumer<Frame> frames;
-    private final Consumer<Outlet> connectionChanged;
+    private final Consumer<FrameSink> connectionChanged;
     private volatile Link link;
     private volatile boolean closed;
     /** While true, no connection is made: simulates a network partition. */
@@ -58,7 +58,7 @@
             long queueBytes,
             int frameBytes,
             Consumer<Frame> frames,
-            Consumer<Outlet> upOrDown) {
+            Consumer<FrameSink> upOrDown) {
         this.net = net;
         this.name = name;
         this.to = to;
@@ -130,7 +130,7 @@
     }
 
     /** One connection; frames before the welcome are ignored. */
-    private final class Connection implements Link.Receiver, Outlet {
+    private final class Connection implements Link.Receiver, FrameSink {
         private final FrameReader reader = new FrameReader(frameBytes, this::onFrame);
         private volatile Link link;
         private volatile boolean welcomed;
--- a/src/main/java/puffinbarrow/coordinator/Failures.java
+++ b/src/main/java/puffinbarrow/coordinator/FailureWindow.java
@@ -5,7 +5,7 @@
 /**
  * Counts failed decision turns within a sliding window. Used on the decision thread of a coordinator or service only.
  */
-public final class Failures {
+public final class FailureWindow {
     /**
      * Failures within {@link #WINDOW_NS} after which the process gives up: a state that fails five times in a minute
      * will not recover by itself, while a restart begins with the tables in force.
--- a/src/main/java/puffinbarrow/coordinator/Outlet.java
+++ b/src/main/java/puffinbarrow/coordinator/FrameSink.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 
 /** The sending side of one connection, as the core uses it. Calls never block. */
-public interface Outlet {
+public interface FrameSink {
     /** Queues an encoded frame; returns false if the connection has ended or its queue is full. */
     boolean send(ByteBuffer bytes);
 
--- a/src/main/java/puffinbarrow/coordinator/Inbox.java
+++ b/src/main/java/puffinbarrow/coordinator/Inbox.java
@@ -19,7 +19,7 @@
     private final AtomicLong offered = new AtomicLong();
     private volatile int limit;
     /** The draining thread, woken by each input; null before it is known. */
-    private volatile Thread reader;
+    private volatile Thread setConsumer;
     /** How often a connection stopped reading. */
     private volatile long overflows;
 
@@ -36,8 +36,8 @@
     }
 
     /** Sets the thread to wake when there is something to do. */
-    public void reader(Thread thread) {
-        reader = thread;
+    public void setConsumer(Thread thread) {
+        setConsumer = thread;
     }
 
     /** Adds an input; if this returns false, the caller must stop reading and call {@link #stopped}. */
@@ -45,15 +45,15 @@
         queue.add(input);
         offered.incrementAndGet();
         int now = size.incrementAndGet();
-        LockSupport.unpark(reader);
+        LockSupport.unpark(setConsumer);
         return now < limit;
     }
 
     /** Notes a connection that stopped reading; {@code resume} is called by the next drain. */
-    public void stopped(Runnable resume) {
+    public void resumeAfterDrain(Runnable resume) {
         overflows++;
         toResume.add(resume);
-        LockSupport.unpark(reader);
+        LockSupport.unpark(setConsumer);
     }
 
     public boolean isEmpty() {
--- a/src/main/java/puffinbarrow/coordinator/Input.java
+++ b/src/main/java/puffinbarrow/coordinator/Input.java
@@ -11,22 +11,22 @@
      * A proxy's hello was accepted; the core sends the welcome itself, as every order from then on must reach the
      * proxy.
      */
-    record Joined(Frame.Hello hello, Outlet outlet, Frame.Welcome welcome) implements Input {}
+    record Joined(Frame.Hello hello, FrameSink outlet, Frame.Welcome welcome) implements Input {}
 
     /** A proxy's connection ended. */
-    record Left(int proxy, Outlet outlet) implements Input {}
+    record Left(int proxy, FrameSink outlet) implements Input {}
 
     /** A report or acknowledgement from a proxy, with the connection that it came on. */
-    record FromProxy(int proxy, Outlet outlet, Frame frame) implements Input {}
+    record FromProxy(int proxy, FrameSink outlet, Frame frame) implements Input {}
 
     /** A server list from the registry. */
     record FromRegistry(Frame.ServerList list) implements Input {}
 
     /** The connection to the registry is up, or has ended (null). */
-    record RegistryUp(Outlet outlet) implements Input {}
+    record RegistryConnection(FrameSink outlet) implements Input {}
 
     /** The connection to the store is up, or has ended (null). */
-    record StoreUp(Outlet outlet) implements Input {}
+    record StoreConnection(FrameSink outlet) implements Input {}
 
     /** A frame from the store. */
     record FromStore(Frame frame) implements Input {}
@@ -35,7 +35,7 @@
     record FromPeer(int sender, String text) implements Input {}
 
     /** The connection to a peer coordinator is up, or has ended (null). */
-    record PeerUp(int peer, Outlet outlet) implements Input {}
+    record PeerConnection(int peer, FrameSink outlet) implements Input {}
 
     /** The outcome of a probe. */
     record ProbeEnded(Event.Probed probed) implements Input {}
@@ -44,5 +44,5 @@
     record StatusRequest(Consumer<Map<String, Object>> answer) implements Input {}
 
     /** Slows the channel to the proxies to this fraction of its configured rate, above 0 and up to 1. */
-    record Pace(double fraction) implements Input {}
+    record SetPace(double fraction) implements Input {}
 }
--- a/src/main/java/puffinbarrow/coordinator/Holder.java
+++ b/src/main/java/puffinbarrow/coordinator/LeaseHolder.java
@@ -23,9 +23,9 @@
  * slice is given once its table has been read from the store, which happens after its ownership record was written.
  * The decision thread reads terms and the end of the lease without locking; everything else is guarded by this.
  */
-public final class Holder implements Core.Fence {
+public final class LeaseHolder implements CoordinatorCore.Fence {
     /** A clock and timer: the system's, or the emulator's. */
-    public interface Timing {
+    public interface Clock {
         /** Returns the time in nanoseconds. */
         long now();
 
@@ -40,7 +40,7 @@
     private static final long LEAVE_POLL_MS = 10;
 
     private final CoordinatorConfig config;
-    private final Timing timing;
+    private final Clock timing;
     private final Predicate<Input> inbox;
     private final Meters meters;
     private final Lease lease;
@@ -55,12 +55,13 @@
     private Consumer<Frame> store;
 
     /** @param charges the core's inbox */
-    public Holder(CoordinatorConfig config, long incarnation, Timing timing, Predicate<Input> charges, Meters meters) {
+    public LeaseHolder(
+            CoordinatorConfig config, long incarnation, Clock timing, Predicate<Input> charges, Meters meters) {
         this.config = config;
         this.timing = timing;
         this.inbox = charges;
         this.meters = meters;
-        meters.gauge("lease.voices", this, Holder::held);
+        meters.gauge("lease.voices", this, LeaseHolder::held);
         this.terms = new AtomicLongArray(config.slices);
         this.lease = new Lease(
                 new Lease.Settings(
--- a/src/main/java/puffinbarrow/coordinator/Orca.java
+++ b/src/main/java/puffinbarrow/coordinator/OrcaReport.java
@@ -10,7 +10,7 @@
  * {@code TEXT cpu_utilization=0.3, rps_fractional=12.5, named_metrics.held=3}. Unknown names and invalid values are
  * skipped.
  */
-public final class Orca {
+public final class OrcaReport {
     /** The name of the response header. */
     public static final String HEADER = "endpoint-load-metrics";
 
@@ -28,7 +28,7 @@
             "named_metrics.service_ms",
             Event.Measure.SERVICE_MS);
 
-    private Orca() {}
+    private OrcaReport() {}
 
     /** Parses a header value; an empty report if there is none. */
     public static Map<Event.Measure, Double> read(String header) {
--- a/src/main/java/puffinbarrow/coordinator/PacedChannel.java
+++ b/src/main/java/puffinbarrow/coordinator/PacedChannel.java
@@ -14,7 +14,7 @@
  */
 final class PacedChannel {
     /** An encoded message; {@code lines} is its size, overhead included. */
-    record Message(int proxy, Outlet to, ByteBuffer bytes, double lines, long orderedAtNs) {}
+    record Message(int proxy, FrameSink to, ByteBuffer bytes, double lines, long orderedAtNs) {}
 
     /** Whether a message was queued, or which limit it was over. */
     enum OfferResult {
--- a/src/main/java/puffinbarrow/coordinator/Prober.java
+++ b/src/main/java/puffinbarrow/coordinator/Prober.java
@@ -24,10 +24,10 @@
      * @param path the path to get
      * @param report reads the load report from a response with a 2xx status
      */
-    public record Question(String path, Function<HttpParser.Message, Map<Event.Measure, Double>> report) {}
+    public record ProbeSpec(String path, Function<HttpParser.Message, Map<Event.Measure, Double>> report) {}
 
-    private static final Question DEFAULT_QUESTION =
-            new Question("/probe", reply -> Orca.read(reply.header(Orca.HEADER)));
+    private static final ProbeSpec DEFAULT_QUESTION =
+            new ProbeSpec("/probe", reply -> OrcaReport.read(reply.header(OrcaReport.HEADER)));
 
     /** As long as proxies wait for a connection; a server that pauses for longer counts as not answering. */
     private static final long TIMEOUT_MS = 250;
@@ -44,7 +44,7 @@
 
     private final Function<String, InetSocketAddress> addresses;
     private final long timeoutMs;
-    private final Question question;
+    private final ProbeSpec question;
 
     Prober(Net net) {
         this(net, Prober::address, TIMEOUT_MS, DEFAULT_QUESTION);
@@ -58,7 +58,7 @@
      * @param addresses maps a server id to its address, or to null if it cannot be probed
      * @param timeoutMs for connecting, and for the whole probe
      */
-    public Prober(Net net, Function<String, InetSocketAddress> addresses, long timeoutMs, Question question) {
+    public Prober(Net net, Function<String, InetSocketAddress> addresses, long timeoutMs, ProbeSpec question) {
         this.question = question;
         this.net = net;
         this.addresses = addresses;
--- a/src/main/java/puffinbarrow/day/CoordinatorHandle.java
+++ b/src/main/java/puffinbarrow/day/CoordinatorHandle.java
@@ -12,7 +12,7 @@
 import puffinbarrow.config.CoordinatorConfig;
 import puffinbarrow.control.Controller;
 import puffinbarrow.coordinator.Coordinator;
-import puffinbarrow.coordinator.Ports;
+import puffinbarrow.coordinator.CoordinatorAddresses;
 
 /**
  * Controls one running coordinator of a scripted day, either inside this process or as a child process, which can also
@@ -135,7 +135,7 @@
             throw new IOException("coordinator " + number
                     + " did not write its port-file within 10 s or ended; its log is in " + folder);
         }
-        Ports addresses = Ports.read(portFile);
+        CoordinatorAddresses addresses = CoordinatorAddresses.read(portFile);
         return new ChildProcess(number, process, addresses.listen(), addresses.admin(), storeCutter);
     }
 
@@ -150,7 +150,7 @@
             implements CoordinatorHandle {
         private String ask(String request) {
             try {
-                return Ports.ask(admin, request);
+                return CoordinatorAddresses.ask(admin, request);
             } catch (IOException unreachable) {
                 return "";
             }
--- a/src/main/java/puffinbarrow/emulator/CoordinatorModel.java
+++ b/src/main/java/puffinbarrow/emulator/CoordinatorModel.java
@@ -11,11 +11,11 @@
 import puffinbarrow.control.Controller;
 import puffinbarrow.control.Event;
 import puffinbarrow.control.Order;
-import puffinbarrow.coordinator.Core;
-import puffinbarrow.coordinator.Holder;
+import puffinbarrow.coordinator.CoordinatorCore;
+import puffinbarrow.coordinator.FrameSink;
 import puffinbarrow.coordinator.Input;
+import puffinbarrow.coordinator.LeaseHolder;
 import puffinbarrow.coordinator.Meters;
-import puffinbarrow.coordinator.Outlet;
 import puffinbarrow.memory.Facts;
 import puffinbarrow.memory.Notes;
 import puffinbarrow.memory.Recall;
@@ -26,7 +26,7 @@
  * simulated streams to proxies, peers, store and registry around them. Its controller comes from the policy under
  * test.
  */
-final class CoordinatorModel implements Core.Surroundings, Holder.Timing {
+final class CoordinatorModel implements CoordinatorCore.Environment, LeaseHolder.Clock {
     /**
      * Pause between attempts to connect, doubling from the first to the second value; the same as in the product's
      * dialler.
@@ -42,7 +42,7 @@
     /**
      * Stands in for the memory folder: keeps facts between incarnations, written twice a second as the product does.
      */
-    private final class MemoryModel implements Core.Memory {
+    private final class MemoryModel implements CoordinatorCore.Memory {
         private static final long WRITE_INTERVAL_NS = SECOND / 2;
         private final Notes notes = new Notes(incarnation);
         private long nextWriteAtNs = Long.MIN_VALUE;
@@ -59,7 +59,7 @@
         }
 
         @Override
-        public void decided(long at, List<Event> events, List<Order> orders, Controller controller) {
+        public void recordTurn(long at, List<Event> events, List<Order> orders, Controller controller) {
             notes.heard(at, events);
             notes.ordered(orders);
             if (at >= nextWriteAtNs) {
@@ -81,8 +81,8 @@
     private final boolean[] peerCut;
 
     private CoordinatorConfig config;
-    private Core core;
-    private Holder holder;
+    private CoordinatorCore core;
+    private LeaseHolder holder;
     private Meters meters;
     private boolean up;
     private boolean frozen;
@@ -137,16 +137,16 @@
         deferred.clear();
         config = fleet.plan.config(number, List.of());
         meters = new Meters();
-        core = new Core(
+        core = new CoordinatorCore(
                 config,
                 (settings, seed) -> measured(controllerFactory.start(settings, seed)),
                 this,
-                fleet.script.memory ? new MemoryModel() : Core.Memory.NONE,
+                fleet.script.memory ? new MemoryModel() : CoordinatorCore.Memory.NONE,
                 meters,
-                new Core.Tempo(config.linesPerS, config.intakePerS, config.roundNs));
+                new CoordinatorCore.RateLimits(config.linesPerS, config.intakePerS, config.roundNs));
         holder = null;
         if (config.leaseNs > 0) {
-            holder = new Holder(
+            holder = new LeaseHolder(
                     config,
                     (long) number << 32 | incarnation,
                     this,
@@ -155,7 +155,7 @@
                         return true;
                     },
                     meters);
-            core.fence(holder);
+            core.setFence(holder);
             // Timers of an earlier holder have no effect, see after().
             holder.start();
         }
@@ -244,7 +244,7 @@
     /** Sets the pace of the paced channel, as a share of the configured one. */
     void pace(double part) {
         if (up) {
-            offer(new Input.Pace(part));
+            offer(new Input.SetPace(part));
         }
     }
 
@@ -371,7 +371,7 @@
             }
             storeRedialPauseNs = MIN_REDIAL_PAUSE_NS;
             runWhenAwake(() -> {
-                offer(new Input.StoreUp(outlet));
+                offer(new Input.StoreConnection(outlet));
                 if (holder != null) {
                     holder.store(outlet::receive);
                 }
@@ -395,7 +395,7 @@
         }
         int expectedIncarnation = incarnation;
         runWhenAwake(() -> {
-            offer(new Input.StoreUp(null));
+            offer(new Input.StoreConnection(null));
             if (holder != null) {
                 holder.store(null);
             }
@@ -429,8 +429,8 @@
                 return;
             }
             registryRedialPauseNs = MIN_REDIAL_PAUSE_NS;
-            Outlet outlet = fleet.registry.connect(this);
-            runWhenAwake(() -> offer(new Input.RegistryUp(outlet)));
+            FrameSink outlet = fleet.registry.connect(this);
+            runWhenAwake(() -> offer(new Input.RegistryConnection(outlet)));
         });
     }
 
@@ -438,7 +438,7 @@
     void registryDown() {
         if (up) {
             int expectedIncarnation = incarnation;
-            runWhenAwake(() -> offer(new Input.RegistryUp(null)));
+            runWhenAwake(() -> offer(new Input.RegistryConnection(null)));
             runLater(registryRedialPauseNs, () -> dialRegistry(expectedIncarnation), expectedIncarnation);
         }
     }
@@ -461,7 +461,7 @@
         }
         int expectedIncarnation = incarnation;
         int peerIncarnation = peer.incarnation;
-        runWhenAwake(() -> offer(new Input.PeerUp(peer.number, new Outlet() {
+        runWhenAwake(() -> offer(new Input.PeerConnection(peer.number, new FrameSink() {
             @Override
             public boolean send(ByteBuffer bytes) {
                 if (expectedIncarnation != incarnation || peerIncarnation != peer.incarnation || !reaches(peer)) {
@@ -485,7 +485,7 @@
     /** The stream to a peer has ended. */
     private void peerLost(int peer) {
         if (up && peer != number) {
-            runWhenAwake(() -> offer(new Input.PeerUp(peer, null)));
+            runWhenAwake(() -> offer(new Input.PeerConnection(peer, null)));
         }
     }
 
--- a/src/main/java/puffinbarrow/emulator/Proxy.java
+++ b/src/main/java/puffinbarrow/emulator/Proxy.java
@@ -17,7 +17,7 @@
 import puffinbarrow.config.CoordinatorConfig;
 import puffinbarrow.control.Event;
 import puffinbarrow.control.Order;
-import puffinbarrow.coordinator.Outlet;
+import puffinbarrow.coordinator.FrameSink;
 import puffinbarrow.proto.Frame;
 
 /**
@@ -183,7 +183,7 @@
     private record ScheduledOrders(Frame.Orders orders, long atNs) {}
 
     /** The stream to one coordinator, and the masks and levels that it ordered. */
-    final class CoordinatorStream implements Outlet {
+    final class CoordinatorStream implements FrameSink {
         final CoordinatorModel coordinator;
         final Set<String> masks = new HashSet<>();
         final Order.SetLevel[] levels = new Order.SetLevel[config.groups.size()];
--- a/src/main/java/puffinbarrow/emulator/RegistryModel.java
+++ b/src/main/java/puffinbarrow/emulator/RegistryModel.java
@@ -9,7 +9,7 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import puffinbarrow.audit.Seen;
 import puffinbarrow.control.Event;
-import puffinbarrow.coordinator.Outlet;
+import puffinbarrow.coordinator.FrameSink;
 import puffinbarrow.proto.Frame;
 
 /**
@@ -18,7 +18,7 @@
  */
 final class RegistryModel {
     /** A coordinator's stream to the registry. */
-    private final class Stream implements Outlet {
+    private final class Stream implements FrameSink {
         final CoordinatorModel coordinator;
         boolean follows;
         boolean sentWhole;
@@ -139,7 +139,7 @@
     }
 
     /** Opens the stream of a coordinator. */
-    Outlet connect(CoordinatorModel coordinator) {
+    FrameSink connect(CoordinatorModel coordinator) {
         Stream stream = new Stream(coordinator);
         streams.put(coordinator.number, stream);
         return stream;
--- a/src/main/java/puffinbarrow/emulator/StoreModel.java
+++ b/src/main/java/puffinbarrow/emulator/StoreModel.java
@@ -11,7 +11,7 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import puffinbarrow.audit.Seen;
 import puffinbarrow.control.Order;
-import puffinbarrow.coordinator.Outlet;
+import puffinbarrow.coordinator.FrameSink;
 import puffinbarrow.proto.Frame;
 
 /**
@@ -21,7 +21,7 @@
  */
 final class StoreModel {
     /** A coordinator's stream to the store. */
-    final class Stream implements Outlet {
+    final class Stream implements FrameSink {
         final CoordinatorModel coordinator;
         boolean watching;
 
--- a/src/main/java/puffinbarrow/platform/PlatformCodec.java
+++ b/src/main/java/puffinbarrow/platform/PlatformCodec.java
@@ -9,7 +9,7 @@
 import puffinbarrow.control.Event;
 import puffinbarrow.control.Event.Measure;
 import puffinbarrow.control.Order;
-import puffinbarrow.coordinator.Orca;
+import puffinbarrow.coordinator.OrcaReport;
 import puffinbarrow.wire.JsonReader;
 import puffinbarrow.wire.SettingsReader;
 
@@ -120,7 +120,7 @@
     }
 
     private static Map<Measure, Double> loadReport(String pairs) {
-        Map<Measure, Double> report = Orca.read(pairs, JsonReader.MEASURES, ':');
+        Map<Measure, Double> report = OrcaReport.read(pairs, JsonReader.MEASURES, ':');
         if (report.size() != (pairs.isEmpty() ? 0 : pairs.split(",", -1).length)) {
             throw new ProtocolException("util: expected known names with values from 0, found " + pairs);
         }
@@ -129,7 +129,7 @@
 
     /** Decodes a backend's answer to a probe, such as {@code TEXT busy_reqs=7, cpu_share=0.61}. */
     static Map<Measure, Double> decodeProbe(String body) {
-        return Orca.read(body, JsonReader.MEASURES);
+        return OrcaReport.read(body, JsonReader.MEASURES);
     }
 
     /** Decodes a relay event {@code attach}. */
--- a/src/main/java/puffinbarrow/platform/Service.java
+++ b/src/main/java/puffinbarrow/platform/Service.java
@@ -11,7 +11,7 @@
 import puffinbarrow.control.Controller;
 import puffinbarrow.control.Event;
 import puffinbarrow.control.Order;
-import puffinbarrow.coordinator.Failures;
+import puffinbarrow.coordinator.FailureWindow;
 import puffinbarrow.coordinator.Inbox;
 import puffinbarrow.coordinator.Prober;
 import puffinbarrow.net.Net;
@@ -58,7 +58,7 @@
     private final DiscoveryClient discovery;
     private final Prober prober;
     private final Net.Listener listener;
-    private final Failures failures = new Failures();
+    private final FailureWindow failures = new FailureWindow();
     private final PriorityQueue<Order.WakeAt> timers = new PriorityQueue<>((a, b) -> Long.compare(a.atNs(), b.atNs()));
     private List<Event> batch = new ArrayList<>();
     private volatile boolean running = true;
@@ -89,7 +89,7 @@
                 net,
                 discovery::address,
                 PROBE_TIMEOUT_MS,
-                new Prober.Question("/-/load", answer -> PlatformCodec.decodeProbe(new String(answer.body()))));
+                new Prober.ProbeSpec("/-/load", answer -> PlatformCodec.decodeProbe(new String(answer.body()))));
         enqueue(new Event.ServerList(
                 Event.ListKind.STALE_COPY, config.known().list().entries()));
         int maxUnjoined = Math.max(MIN_UNJOINED, config.sockets() - RESERVED_DESCRIPTORS);
@@ -108,13 +108,13 @@
         @Override
         public void resumeWhenDrained(Runnable resume) {
             counters.increment("inbox.overflows");
-            inbox.stopped(resume);
+            inbox.resumeAfterDrain(resume);
         }
     }
 
     /** Serves until closed. Returns true if the controller failed too often for the service to go on. */
     public boolean run() {
-        inbox.reader(Thread.currentThread());
+        inbox.setConsumer(Thread.currentThread());
         relay.start();
         // The first decision, on the known servers, comes before the first client is accepted, so that heartbeats are
         // answered only once the coordinator is ready and its classes are loaded.
--- a/src/main/java/puffinbarrow/replay/CoordinatorAdapter.java
+++ b/src/main/java/puffinbarrow/replay/CoordinatorAdapter.java
@@ -20,8 +20,8 @@
 import puffinbarrow.control.Order;
 import puffinbarrow.control.Settings;
 import puffinbarrow.coordinator.Coordinator;
-import puffinbarrow.coordinator.Core;
-import puffinbarrow.coordinator.Orca;
+import puffinbarrow.coordinator.CoordinatorCore;
+import puffinbarrow.coordinator.OrcaReport;
 import puffinbarrow.net.HttpParser;
 import puffinbarrow.net.Link;
 import puffinbarrow.net.Net;
@@ -153,8 +153,9 @@
         config.idleNs = Long.MAX_VALUE / 2;
         config.outboundBytes = 64 << 20;
         config.frameBytes = 16 << 20;
-        coordinator =
-                new Coordinator(config, decisions, Core.Tempo.FREE, server -> backendsListener.address()).startByHand();
+        coordinator = new Coordinator(
+                        config, decisions, CoordinatorCore.RateLimits.UNLIMITED, server -> backendsListener.address())
+                .startManually();
         // The streams to registry and store are up once the inputs they give have arrived.
         awaitUntil("registry and store", () -> coordinator.offered() >= (settings.slices() > 0 ? 2 : 1));
         coordinator.turnAt(Long.MIN_VALUE / 4);
@@ -338,8 +339,8 @@
             throw new IllegalStateException("answer to a probe of " + event.server() + " that was never sent");
         }
         if (event.answered()) {
-            link.send(ByteBuffer.wrap(("HTTP/1.1 200 OK\r\n" + Orca.HEADER + ": " + Orca.write(event.report())
-                            + "\r\ncontent-length: 0\r\n\r\n")
+            link.send(ByteBuffer.wrap(("HTTP/1.1 200 OK\r\n" + OrcaReport.HEADER + ": "
+                            + OrcaReport.write(event.report()) + "\r\ncontent-length: 0\r\n\r\n")
                     .getBytes(StandardCharsets.US_ASCII)));
         } else {
             link.close();
--- a/src/main/java/puffinbarrow/standin/Backend.java
+++ b/src/main/java/puffinbarrow/standin/Backend.java
@@ -15,7 +15,7 @@
 import puffinbarrow.audit.Recorder;
 import puffinbarrow.audit.Seen;
 import puffinbarrow.control.Event;
-import puffinbarrow.coordinator.Orca;
+import puffinbarrow.coordinator.OrcaReport;
 import puffinbarrow.net.HttpParser;
 import puffinbarrow.net.Link;
 import puffinbarrow.net.Net;
@@ -452,12 +452,12 @@
         report.put(Event.Measure.BUSY, reportedBusy);
         report.put(Event.Measure.DELIVERED_PER_S, reportedPerS);
         report.put(Event.Measure.HELD, (double) busyCores + waiting.size());
-        return Orca.write(report);
+        return OrcaReport.write(report);
     }
 
     private static void answer(Link link, int code, String report) {
         String reason = code == 200 ? "OK" : code == 503 ? "Service Unavailable" : "Internal Server Error";
-        link.send(ByteBuffer.wrap(("HTTP/1.1 " + code + " " + reason + "\r\n" + Orca.HEADER + ": " + report
+        link.send(ByteBuffer.wrap(("HTTP/1.1 " + code + " " + reason + "\r\n" + OrcaReport.HEADER + ": " + report
                         + "\r\ncontent-length: 0\r\n\r\n")
                 .getBytes(StandardCharsets.US_ASCII)));
     }
--- a/src/main/java/puffinbarrow/standin/PlainProxy.java
+++ b/src/main/java/puffinbarrow/standin/PlainProxy.java
@@ -21,8 +21,8 @@
 import puffinbarrow.control.Event;
 import puffinbarrow.control.Order;
 import puffinbarrow.coordinator.Dialer;
-import puffinbarrow.coordinator.Orca;
-import puffinbarrow.coordinator.Outlet;
+import puffinbarrow.coordinator.FrameSink;
+import puffinbarrow.coordinator.OrcaReport;
 import puffinbarrow.net.HttpParser;
 import puffinbarrow.net.Link;
 import puffinbarrow.net.Net;
@@ -107,7 +107,7 @@
         /** Flows and failures by slice and group ({@code slice << 8 | group}), since the latest report. */
         Map<Long, long[]> demand = new TreeMap<>();
         /** Where to send to; null while the stream is down. */
-        Outlet outlet;
+        FrameSink outlet;
         /** The first of the pending orders is scheduled. */
         boolean applying;
         /** Whether a stream to this coordinator has been up since the proxy's start. */
@@ -151,7 +151,7 @@
 
     private Dialer store;
     /** Where to send to the store; null while the stream is down. */
-    private Outlet storeOutlet;
+    private FrameSink storeOutlet;
     /** When the stream to the store broke last. */
     private long storeLostAt = System.nanoTime();
     /** Number of the latest report. */
@@ -264,7 +264,7 @@
     // ---- Orders.
 
     /** @param up where to send to; null: the stream broke */
-    private void onStreamChange(CoordinatorSession session, Outlet up) {
+    private void onStreamChange(CoordinatorSession session, FrameSink up) {
         synchronized (this) {
             if (up != null && session.dialer.incarnation() != session.incarnation) {
                 // Masks and levels end with the coordinator's process, since its successor does not know them.
@@ -333,7 +333,7 @@
     /** Applies the orders, unless they were lost meanwhile, and confirms their marks. */
     private void apply(CoordinatorSession session, PendingOrders next) {
         Frame.Orders orders = next.orders;
-        final Outlet to;
+        final FrameSink to;
         List<Order> applied = new ArrayList<>();
         List<Frame.Stale> refusals = new ArrayList<>();
         List<Integer> marks = new ArrayList<>();
@@ -413,7 +413,7 @@
 
     // ---- The store.
 
-    private void onStoreStreamChange(Outlet up) {
+    private void onStoreStreamChange(FrameSink up) {
         synchronized (this) {
             storeLostAt = up == null && storeOutlet != null ? System.nanoTime() : storeLostAt;
             storeOutlet = up;
@@ -423,7 +423,7 @@
 
     /** Asks the store for the table and owner of the slice; -1: of all. */
     private void readStore(int slice) {
-        Outlet to;
+        FrameSink to;
         synchronized (this) {
             to = storeOutlet;
         }
@@ -668,8 +668,8 @@
                     session.demand.computeIfAbsent((long) slice << 8 | group, k -> new long[2])[1]++;
                 }
                 if (result.answer() != null
-                        && !result.answer().header(Orca.HEADER).isEmpty()) {
-                    totals.report = Orca.read(result.answer().header(Orca.HEADER));
+                        && !result.answer().header(OrcaReport.HEADER).isEmpty()) {
+                    totals.report = OrcaReport.read(result.answer().header(OrcaReport.HEADER));
                 }
             }
             AvoidedServer state = avoided.computeIfAbsent(server, s -> new AvoidedServer());
@@ -725,7 +725,7 @@
                 });
                 session.totals = new TreeMap<>();
                 session.demand = new TreeMap<>();
-                Outlet to = session.outlet;
+                FrameSink to = session.outlet;
                 if (to != null && !closed) {
                     Frame sums = new Frame.Sums(zone, round, config.roundNs, met);
                     Frame demand = new Frame.Demand(round, config.roundNs, came);
--- a/src/test/java/puffinbarrow/coordinator/ChannelTest.java
+++ b/src/test/java/puffinbarrow/coordinator/ChannelTest.java
@@ -15,7 +15,7 @@
 /** The rate-limited channel to the proxies and the aggregation of their reports, both without I/O. */
 class ChannelTest {
     private static final long SECOND = 1_000_000_000L;
-    private static final Outlet DISCARDING = new Outlet() {
+    private static final FrameSink DISCARDING = new FrameSink() {
         @Override
         public boolean send(ByteBuffer bytes) {
             return true;
--- a/src/test/java/puffinbarrow/coordinator/CoordinatorTest.java
+++ b/src/test/java/puffinbarrow/coordinator/CoordinatorTest.java
@@ -303,7 +303,7 @@
     @Test
     void aProxyIsWelcomedInTheTurnThatJoinsItSoThatItMissesNoOrder() throws Exception {
         ScriptedController controller = new ScriptedController();
-        Coordinator coordinator = new Coordinator(config(0, ""), (settings, seed) -> controller).startByHand();
+        Coordinator coordinator = new Coordinator(config(0, ""), (settings, seed) -> controller).startManually();
         resources.add(coordinator::kill);
         RawClient proxy = new RawClient(coordinator).hello(1, 1);
         RawClient silent = new RawClient(coordinator).hello(2, 1);
@@ -364,7 +364,7 @@
         ScriptedController controller = new ScriptedController();
         Coordinator coordinator = start(config(0, "failed-batches " + folder + "\n"), controller);
         List<Integer> exits = new CopyOnWriteArrayList<>();
-        coordinator.onGivingUp(exits::add);
+        coordinator.onFatalExit(exits::add);
         RawClient proxy = new RawClient(coordinator).hello(1, 1);
         until("the join", () -> controller.count(Event.ProxyJoined.class) == 1);
         controller.fail = true;
--- a/src/test/java/puffinbarrow/coordinator/InterleavingTest.java
+++ b/src/test/java/puffinbarrow/coordinator/InterleavingTest.java
@@ -35,7 +35,7 @@
                 for (int i = 0; i < 3; i++) {
                     if (!inbox.offer(input(i))) {
                         stops[0]++;
-                        inbox.stopped(resumed::incrementAndGet);
+                        inbox.resumeAfterDrain(resumed::incrementAndGet);
                     }
                 }
             });
