--- a/src/bench/java/puffinbarrow/memory/MemoryBench.java
+++ b/src/bench/java/puffinbarrow/memory/MemoryBench.java
@@ -35,8 +35,8 @@
 
     private MemoryBench() {}
 
-    static Facts.OfServer server(int i, long at) {
-        return new Facts.OfServer(
+    static Facts.ServerFact server(int i, long at) {
+        return new Facts.ServerFact(
                 "10.0." + i / 250 + "." + i % 250 + ":8080",
                 at,
                 0,
@@ -50,8 +50,8 @@
                 0.5);
     }
 
-    static Facts.OfSlice slice(int i, long at) {
-        return new Facts.OfSlice(
+    static Facts.SliceFact slice(int i, long at) {
+        return new Facts.SliceFact(
                 i,
                 at,
                 List.of(
@@ -87,8 +87,8 @@
 
     /** Measures rounds of reports at 80 servers and 300 slices, a tenth of the slices moved in each. */
     private static void benchHandOff(Path folder) {
-        Keeper keeper = Keeper.open(folder, 64 << 20, 200_000);
-        Notes notes = new Notes(1);
+        FactWriter keeper = FactWriter.open(folder, 64 << 20, 200_000);
+        FactCollector notes = new FactCollector(1);
         List<Event.Entry> entries = new ArrayList<>();
         List<Event> round = new ArrayList<>();
         for (int i = 0; i < 80; i++) {
@@ -96,7 +96,7 @@
             entries.add(new Event.Entry(id, 0, 0, 0, Event.Listed.READY, 1, 5));
             round.add(new Event.ServerSums(id, 0, SECOND, 1, 0, 9, Map.of(Event.Measure.BUSY, 0.5)));
         }
-        notes.heard(1, List.of(new Event.ServerList(Event.ListKind.WHOLE, entries)));
+        notes.recordEvents(1, List.of(new Event.ServerList(Event.ListKind.WHOLE, entries)));
         for (int i = 0; i < 300; i++) {
             round.add(new Event.SliceDemand(i, 0, 9, 0, SECOND));
         }
@@ -108,9 +108,9 @@
                 orders.add(new Order.SetLine((n * 30 + i) % 300, "10.0.0." + (n + i) % 80 + ":8080", 1));
             }
             long before = System.nanoTime();
-            notes.heard(n, round);
-            notes.ordered(orders);
-            keeper.offer(notes.changed(n, n, false, List.of()));
+            notes.recordEvents(n, round);
+            notes.recordOrders(orders);
+            keeper.offer(notes.takeChangedFacts(n, n, false, List.of()));
             if (n >= 200) {
                 spentNs += System.nanoTime() - before;
                 measured++;
@@ -126,9 +126,9 @@
         // Bytes written at one round a second, when each round is a commit of its own.
         long bytes = keeper.bytes();
         for (int n = 0; n < 10; n++) {
-            notes.heard(n, round);
-            notes.ordered(List.of(new Order.SetLine(n, "10.0.0." + n + ":8080", 0.5)));
-            keeper.offer(notes.changed(n, n, false, List.of()));
+            notes.recordEvents(n, round);
+            notes.recordOrders(List.of(new Order.SetLine(n, "10.0.0." + n + ":8080", 0.5)));
+            keeper.offer(notes.takeChangedFacts(n, n, false, List.of()));
             pause(1000);
         }
         System.out.printf(Locale.ROOT, "at a round a second: %.0f bytes a second%n", (keeper.bytes() - bytes) / 10.0);
@@ -259,7 +259,7 @@
             out.writeStartArray();
             for (Facts.Fact fact : all) {
                 out.writeStartArray();
-                if (fact instanceof Facts.OfServer f) {
+                if (fact instanceof Facts.ServerFact f) {
                     out.writeString(f.id());
                     out.writeNumber(f.atNs());
                     out.writeNumber(f.drainingSinceNs());
@@ -270,12 +270,12 @@
                         }
                         out.writeEndArray();
                     }
-                    out.writeString(f.standing());
+                    out.writeString(f.state());
                     out.writeNumber(f.holdNs());
                     out.writeNumber(f.size());
-                    out.writeNumber(f.tookNs());
+                    out.writeNumber(f.latencyNs());
                     out.writeNumber(f.load());
-                } else if (fact instanceof Facts.OfSlice f) {
+                } else if (fact instanceof Facts.SliceFact f) {
                     out.writeNumber(f.slice());
                     out.writeNumber(f.atNs());
                     out.writeNumber(f.demand());
@@ -312,7 +312,7 @@
                     in.nextToken();
                     double took = in.getDoubleValue();
                     in.nextToken();
-                    image.put(new Facts.OfServer(
+                    image.put(new Facts.ServerFact(
                             id, at, draining, starts, falls, returns, standing, hold, size, took, in.getDoubleValue()));
                     in.nextToken();
                 } else {
@@ -327,7 +327,7 @@
                         in.nextToken();
                         lines.add(new Facts.Line(server, in.getDoubleValue()));
                     }
-                    image.put(new Facts.OfSlice(slice, at, lines, demand, version));
+                    image.put(new Facts.SliceFact(slice, at, lines, demand, version));
                 }
             }
         }
--- a/src/main/java/puffinbarrow/cli/BenchCommands.java
+++ b/src/main/java/puffinbarrow/cli/BenchCommands.java
@@ -23,7 +23,7 @@
 import puffinbarrow.day.Day;
 import puffinbarrow.day.DayReport;
 import puffinbarrow.day.Script;
-import puffinbarrow.memory.Kills;
+import puffinbarrow.memory.CrashRecoveryCheck;
 
 /** Benches and long-running checks that are too slow for the tests. */
 @Command(
@@ -76,8 +76,9 @@
         @Override
         public Integer call() throws IOException, InterruptedException {
             System.out.println("seed " + seed);
-            Path folder = Kills.folder();
-            Kills.Outcome outcome = Kills.run(self("bench", "memory-writer", folder.toString()), folder, rounds, seed);
+            Path folder = CrashRecoveryCheck.folder();
+            CrashRecoveryCheck.Outcome outcome =
+                    CrashRecoveryCheck.run(self("bench", "memory-writer", folder.toString()), folder, rounds, seed);
             System.out.println(outcome.rounds() + " kills, " + outcome.commits() + " commits: " + outcome.whole()
                     + " starts found a whole state, " + outcome.ignored() + " ignored what was there, "
                     + outcome.wrong() + " wrong");
@@ -213,7 +214,7 @@
 
         @Override
         public Integer call() throws IOException {
-            Kills.write(folder, System.out);
+            CrashRecoveryCheck.write(folder, System.out);
             return Commands.OK;
         }
     }
--- a/src/main/java/puffinbarrow/cli/LeaseBench.java
+++ b/src/main/java/puffinbarrow/cli/LeaseBench.java
@@ -40,9 +40,9 @@
             Simulation.Outcome outcome = Simulation.run(plan);
             stepsDone += outcome.steps();
             refused += outcome.refused();
-            doubled += outcome.doubled();
-            if (outcome.broken() != null) {
-                System.out.println("BROKEN, seed " + runSeed + ": " + outcome.broken());
+            doubled += outcome.duplicatesIgnored();
+            if (outcome.violation() != null) {
+                System.out.println("BROKEN, seed " + runSeed + ": " + outcome.violation());
                 Simulation.shrink(plan).faults().forEach(f -> System.out.println("  needed: " + f));
                 return Commands.RULE_BROKEN;
             }
@@ -75,12 +75,12 @@
                     false,
                     List.of(new Simulation.Fault(Simulation.Kind.KILL, 30 * LEASE_NS, 20 * LEASE_NS, i % members)));
             Simulation.Outcome outcome = Simulation.run(plan);
-            withoutOwnerMs.add(outcome.silentMs());
-            moves += outcome.moves();
+            withoutOwnerMs.add(outcome.ownerlessMs());
+            moves += outcome.ownerChanges();
             // Each slice is assigned once, and the killed member's share moves away and back.
             fewestMoves += slices + 2L * slices / members;
             writesPerSecond += outcome.writes() / ((length + 46 * LEASE_NS) / 1e9);
-            unevenness = Math.max(unevenness, outcome.unevenness());
+            unevenness = Math.max(unevenness, outcome.imbalance());
         }
         System.out.printf(
                 Locale.ROOT,
--- a/src/main/java/puffinbarrow/cli/MemoryCommands.java
+++ b/src/main/java/puffinbarrow/cli/MemoryCommands.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import puffinbarrow.memory.Facts;
-import puffinbarrow.memory.Inspect;
+import puffinbarrow.memory.FolderInspector;
 
 /** Inspects the memory folder of a running or stopped coordinator; only {@code compact} writes to it. */
 @Command(
@@ -37,15 +37,15 @@
 
         @Override
         public Integer call() throws IOException {
-            Inspect.Found found = Inspect.look(folder);
-            found.words().forEach(System.out::println);
+            FolderInspector.Found found = FolderInspector.read(folder);
+            found.messages().forEach(System.out::println);
             long servers = found.image().all().stream()
-                    .filter(f -> f instanceof Facts.OfServer)
+                    .filter(f -> f instanceof Facts.ServerFact)
                     .count();
             long slices = found.image().all().stream()
-                    .filter(f -> f instanceof Facts.OfSlice)
+                    .filter(f -> f instanceof Facts.SliceFact)
                     .count();
-            Facts.OfSelf self = found.image().self();
+            Facts.CoordinatorFact self = found.image().self();
             System.out.println(servers + " servers, " + slices + " slices");
             if (self != null) {
                 long now = TimeUnit.MILLISECONDS.toNanos(System.currentTimeMillis());
@@ -53,17 +53,17 @@
                         Locale.ROOT,
                         "last word %.1f s ago, %s end; %d charges, calm load %.3f, shed %.2f%s%n",
                         (now - self.atNs()) / 1e9,
-                        self.cleanEnd() ? "clean" : "no clean",
-                        self.charges().size(),
+                        self.cleanShutdown() ? "clean" : "no clean",
+                        self.heldSlices().size(),
                         self.calmLoad(),
                         self.shed(),
-                        self.strained() ? ", strained" : "");
+                        self.overloaded() ? ", strained" : "");
             }
             found.image().all().stream()
-                    .filter(f -> f instanceof Facts.OfServer s
-                            && (!s.standing().equals("well") || s.falls().size() > 1))
-                    .map(f -> (Facts.OfServer) f)
-                    .forEach(s -> System.out.println("  " + s.id() + " " + s.standing() + ", fell "
+                    .filter(f -> f instanceof Facts.ServerFact s
+                            && (!s.state().equals("well") || s.falls().size() > 1))
+                    .map(f -> (Facts.ServerFact) f)
+                    .forEach(s -> System.out.println("  " + s.id() + " " + s.state() + ", fell "
                             + s.falls().size() + " times, hold " + s.holdNs() / 1_000_000 + " ms"));
             return Commands.OK;
         }
@@ -79,9 +79,9 @@
 
         @Override
         public Integer call() throws IOException {
-            Inspect.Found found = Inspect.look(folder);
-            found.words().forEach(System.out::println);
-            return found.whole() ? Commands.OK : Commands.FAILED;
+            FolderInspector.Found found = FolderInspector.read(folder);
+            found.messages().forEach(System.out::println);
+            return found.complete() ? Commands.OK : Commands.FAILED;
         }
     }
 
@@ -98,8 +98,8 @@
 
         @Override
         public Integer call() throws IOException {
-            Inspect.look(folder);
-            Inspect.compact(folder, maxBytes).forEach(System.out::println);
+            FolderInspector.read(folder);
+            FolderInspector.compact(folder, maxBytes).forEach(System.out::println);
             return Commands.OK;
         }
     }
@@ -111,7 +111,7 @@
 
         @Override
         public Integer call() throws IOException {
-            Inspect.export(Inspect.look(folder).image(), System.out);
+            FolderInspector.export(FolderInspector.read(folder).image(), System.out);
             System.out.flush();
             return Commands.OK;
         }
--- a/src/main/java/puffinbarrow/coordinator/Coordinator.java
+++ b/src/main/java/puffinbarrow/coordinator/Coordinator.java
@@ -25,7 +25,7 @@
 import puffinbarrow.config.Problem;
 import puffinbarrow.control.Controller;
 import puffinbarrow.control.Event;
-import puffinbarrow.memory.Keeper;
+import puffinbarrow.memory.FactWriter;
 import puffinbarrow.net.Link;
 import puffinbarrow.net.Net;
 import puffinbarrow.proto.Frame;
@@ -78,7 +78,7 @@
     private final Net net;
     private final CoordinatorCore core;
     /** Null if the settings keep no memory across restarts. */
-    private final Keeper keeper;
+    private final FactWriter keeper;
     /** Null if the store assigns slices to coordinators, instead of leases. */
     private final LeaseHolder leaseHolder;
 
@@ -124,7 +124,8 @@
         this.incarnation = System.nanoTime() ^ (long) config.number << 48;
         this.net = new Net("c" + config.number, IO_THREADS);
         this.prober = addresses == null ? new Prober(net) : new Prober(net, addresses, REPLAY_PROBE_TIMEOUT_MS);
-        this.keeper = config.memory == null ? null : Keeper.open(config.memory, config.memoryBytes, MAX_PENDING_FACTS);
+        this.keeper =
+                config.memory == null ? null : FactWriter.open(config.memory, config.memoryBytes, MAX_PENDING_FACTS);
         this.core = new CoordinatorCore(
                 config,
                 factory,
@@ -139,11 +140,11 @@
             core.setFence(leaseHolder);
         }
         if (keeper != null) {
-            meters.gauge("memory.well", keeper, k -> k.well() ? 1 : 0);
-            meters.gauge("memory.skipped", keeper, Keeper::skipped);
-            meters.gauge("memory.commits", keeper, Keeper::commits);
-            meters.gauge("memory.bytes", keeper, Keeper::bytes);
-            meters.gauge("memory.failures", keeper, Keeper::failures);
+            meters.gauge("memory.well", keeper, k -> k.healthy() ? 1 : 0);
+            meters.gauge("memory.skipped", keeper, FactWriter::skipped);
+            meters.gauge("memory.commits", keeper, FactWriter::commits);
+            meters.gauge("memory.bytes", keeper, FactWriter::bytes);
+            meters.gauge("memory.failures", keeper, FactWriter::failures);
         }
     }
 
--- a/src/main/java/puffinbarrow/coordinator/CoordinatorCore.java
+++ b/src/main/java/puffinbarrow/coordinator/CoordinatorCore.java
@@ -17,7 +17,7 @@
 import puffinbarrow.control.Controller;
 import puffinbarrow.control.Event;
 import puffinbarrow.control.Order;
-import puffinbarrow.lease.Pause;
+import puffinbarrow.lease.OwnerChangePause;
 import puffinbarrow.proto.Frame;
 import puffinbarrow.proto.FrameWriter;
 
@@ -157,7 +157,7 @@
     /** Null if the store assigns slices to coordinators; orders then carry no lease terms. */
     private Fence setFence;
     /** Delays a change of a slice's only owner; null where a slice may have several owners. */
-    private Pause ownerPause;
+    private OwnerChangePause ownerPause;
 
     /** The connection to the registry, or null while there is none. */
     private FrameSink registry;
@@ -205,15 +205,15 @@
     public void setFence(Fence with) {
         setFence = with;
         if (config.soleOwner) {
-            ownerPause = new Pause(
+            ownerPause = new OwnerChangePause(
                     config.proxyLeaseNs,
                     config.groups.stream()
                             .filter(g -> g.repeats() != CoordinatorConfig.Repeats.RETRIABLE)
                             .mapToLong(CoordinatorConfig.Group::expiryNs)
                             .max()
                             .orElse(0));
-            meters.gauge("slices.pausing", ownerPause, Pause::pausing);
-            meters.gauge("slices.owner_changes", ownerPause, Pause::changes);
+            meters.gauge("slices.pausing", ownerPause, OwnerChangePause::pausing);
+            meters.gauge("slices.owner_changes", ownerPause, OwnerChangePause::ownerChanges);
         }
     }
 
@@ -277,7 +277,7 @@
             send(now);
         }
         if (ownerPause != null) {
-            List<Order> due = ownerPause.due(now);
+            List<Order> due = ownerPause.dueLines(now);
             if (!due.isEmpty()) {
                 carryOut(now, due);
                 send(now);
@@ -311,7 +311,7 @@
         turn++;
         LOG.debug("turn {}: events {}", turn, events);
         LOG.debug("turn {}: orders {}", turn, orders);
-        carryOut(now, ownerPause == null ? orders : ownerPause.orders(now, orders, proxies.keySet()));
+        carryOut(now, ownerPause == null ? orders : ownerPause.delayOwnerChanges(now, orders, proxies.keySet()));
         memory.recordTurn(now, events, orders, controller);
     }
 
@@ -405,7 +405,7 @@
         proxies.remove(number);
         channel.removeProxy(number);
         if (ownerPause != null) {
-            ownerPause.left(now, number);
+            ownerPause.proxyLeft(now, number);
         }
         events.add(new Event.ProxyLeft(number));
         meters.count("streams.leaves");
@@ -419,7 +419,7 @@
             aggregator.addDemand(now, number, sliced, f);
         } else if (frame instanceof Frame.Applied f) {
             if (f.mark() < 0 && ownerPause != null) {
-                ownerPause.applied(now, number, f.mark());
+                ownerPause.markConfirmed(now, number, f.mark());
                 return;
             }
             if (!proxy.marks.contains(f.mark())) {
@@ -455,14 +455,14 @@
             } else {
                 ownedSlices.remove(f.slice());
                 if (ownerPause != null) {
-                    ownerPause.lost(f.slice());
+                    ownerPause.sliceLost(f.slice());
                 }
                 pendingStoreWrites.remove(f.slice());
             }
             events.add(new Event.SliceCharge(f.slice(), f.given()));
         } else if (frame instanceof Frame.Stored f && f.slice() >= 0 && f.slice() < config.slices) {
             if (ownerPause != null) {
-                ownerPause.charged(
+                ownerPause.sliceAcquired(
                         now,
                         f.slice(),
                         f.lines().isEmpty() ? null : f.lines().get(0).server());
--- a/src/main/java/puffinbarrow/coordinator/CoordinatorMemory.java
+++ b/src/main/java/puffinbarrow/coordinator/CoordinatorMemory.java
@@ -8,9 +8,9 @@
 import puffinbarrow.control.Controller;
 import puffinbarrow.control.Event;
 import puffinbarrow.control.Order;
-import puffinbarrow.memory.Keeper;
-import puffinbarrow.memory.Notes;
-import puffinbarrow.memory.Recall;
+import puffinbarrow.memory.FactCollector;
+import puffinbarrow.memory.FactWriter;
+import puffinbarrow.memory.RecallFilter;
 
 /**
  * The core's memory on disk: notes events and orders, passes changes to the {@link Keeper} twice a second, and recalls
@@ -21,13 +21,13 @@
     /** A restart loses no more than about one reporting round. */
     private static final long SAVE_INTERVAL_NS = 500_000_000L;
 
-    private final Keeper keeper;
-    private final Notes notes;
+    private final FactWriter keeper;
+    private final FactCollector notes;
     private long nextSaveNs = Long.MIN_VALUE;
 
-    CoordinatorMemory(Keeper keeper, long incarnation) {
+    CoordinatorMemory(FactWriter keeper, long incarnation) {
         this.keeper = keeper;
-        this.notes = new Notes(incarnation);
+        this.notes = new FactCollector(incarnation);
         notes.resume(keeper.remembered());
     }
 
@@ -39,7 +39,7 @@
     @Override
     public List<Event.Recalled> recall(List<Event.Entry> list) {
         List<String> summaries = new ArrayList<>();
-        List<Event.Recalled> events = Recall.of(keeper.remembered(), list, wallClockNs(), summaries);
+        List<Event.Recalled> events = RecallFilter.recalledEvents(keeper.remembered(), list, wallClockNs(), summaries);
         summaries.forEach(LOG::info);
         if (!events.isEmpty()) {
             LOG.atInfo().addKeyValue("facts", events.size()).log("recalled");
@@ -50,16 +50,16 @@
     @Override
     public void recordTurn(long now, List<Event> events, List<Order> orders, Controller controller) {
         long wallNs = wallClockNs();
-        notes.heard(wallNs, events);
-        notes.ordered(orders);
+        notes.recordEvents(wallNs, events);
+        notes.recordOrders(orders);
         if (now >= nextSaveNs) {
             nextSaveNs = now + SAVE_INTERVAL_NS;
-            keeper.offer(notes.changed(wallNs, now, false, controller.rememberedState()));
+            keeper.offer(notes.takeChangedFacts(wallNs, now, false, controller.rememberedState()));
         }
     }
 
     @Override
     public void shutDown(Controller controller) {
-        keeper.offer(notes.changed(wallClockNs(), System.nanoTime(), true, controller.rememberedState()));
+        keeper.offer(notes.takeChangedFacts(wallClockNs(), System.nanoTime(), true, controller.rememberedState()));
     }
 }
--- a/src/main/java/puffinbarrow/coordinator/LeaseHolder.java
+++ b/src/main/java/puffinbarrow/coordinator/LeaseHolder.java
@@ -13,8 +13,8 @@
 import puffinbarrow.config.CoordinatorConfig;
 import puffinbarrow.lease.Lease;
 import puffinbarrow.lease.Member;
+import puffinbarrow.lease.SliceOwner;
 import puffinbarrow.lease.Step;
-import puffinbarrow.lease.Voice;
 import puffinbarrow.proto.Frame;
 
 /**
@@ -92,7 +92,7 @@
             up.accept(new Frame.Watch());
             // Ask again for tables that were asked for over the previous connection.
             for (int slice = 0; slice < config.slices; slice++) {
-                if (lease.speaks(slice) && terms.get(slice) == 0) {
+                if (lease.owns(slice) && terms.get(slice) == 0) {
                     requestTable(slice, lease.term(slice));
                 }
             }
@@ -103,7 +103,7 @@
     public synchronized void frame(Frame frame) {
         long now = timing.now();
         if (frame instanceof Frame.MemberRecord f) {
-            carryOut(lease.member(
+            carryOut(lease.memberRecord(
                     now,
                     f.revision(),
                     new Member(
@@ -115,17 +115,18 @@
                             f.flaps(),
                             f.dead())));
         } else if (frame instanceof Frame.SliceOwnerRecord f && f.slice() >= 0 && f.slice() < config.slices) {
-            carryOut(lease.voice(now, f.slice(), f.revision(), new Voice(f.owner(), f.incarnation(), f.term())));
+            carryOut(lease.sliceOwnerRecord(
+                    now, f.slice(), f.revision(), new SliceOwner(f.owner(), f.incarnation(), f.term())));
         } else if (frame instanceof Frame.Written f) {
             meters.count(f.applied() ? "lease.writes" : "lease.writes.lost");
-            carryOut(lease.answered(now, f.id(), f.applied()));
+            carryOut(lease.writeAnswered(now, f.id(), f.applied()));
         } else if (frame instanceof Frame.Synced) {
             carryOut(lease.synced(now));
         } else if (frame instanceof Frame.Stale f) {
             stale(f.slice(), f.term());
         } else if (frame instanceof Frame.Stored f) {
             Long term = awaitingTable.remove(f.slice());
-            if (term != null && lease.speaks(f.slice())) {
+            if (term != null && lease.owns(f.slice())) {
                 terms.set(f.slice(), term);
                 inbox.test(new Input.FromStore(new Frame.Charge(f.slice(), true)));
                 inbox.test(new Input.FromStore(f));
@@ -137,7 +138,7 @@
     public synchronized void stale(int slice, long term) {
         meters.count("lease.told_stale");
         if (slice >= 0 && slice < config.slices) {
-            carryOut(lease.toldStale(timing.now(), slice, term));
+            carryOut(lease.laterTermSeen(timing.now(), slice, term));
         }
     }
 
@@ -160,11 +161,11 @@
     }
 
     private synchronized boolean otherMembersAlive() {
-        return lease.living(timing.now()).size() > 1;
+        return lease.liveMembers(timing.now()).size() > 1;
     }
 
     private synchronized int held() {
-        return lease.held();
+        return lease.heldSlices();
     }
 
     /** Carries out the steps that the lease state machine returned. */
@@ -177,7 +178,7 @@
                         s.expected(),
                         m.number(),
                         m.incarnation(),
-                        m.beat(),
+                        m.heartbeat(),
                         m.settled(),
                         m.leaving(),
                         m.dead(),
@@ -185,7 +186,7 @@
                 if (m.dead()) {
                     LOG.atWarn().addKeyValue("member", m.number()).log("lease of a member expired; closing its record");
                 }
-            } else if (step instanceof Step.WriteVoice s) {
+            } else if (step instanceof Step.WriteSliceOwner s) {
                 send(new Frame.SliceOwnerRecord(
                         s.id(),
                         s.expected(),
@@ -193,19 +194,19 @@
                         s.value().owner(),
                         s.value().incarnation(),
                         s.value().term()));
-            } else if (step instanceof Step.Begin s) {
+            } else if (step instanceof Step.OwnershipBegins s) {
                 requestTable(s.slice(), s.term());
-            } else if (step instanceof Step.End s) {
+            } else if (step instanceof Step.OwnershipEnds s) {
                 awaitingTable.remove(s.slice());
                 meters.countCause("lease.ended", s.why());
                 if (terms.getAndSet(s.slice(), 0) != 0) {
                     inbox.test(new Input.FromStore(new Frame.Charge(s.slice(), false)));
                 }
-            } else if (step instanceof Step.Left) {
+            } else if (step instanceof Step.AllHandedOver) {
                 LOG.atInfo().log("all slices are handed on");
             }
         }
-        leaseEndsNs = lease.speakUntilNs();
+        leaseEndsNs = lease.leaseEndNs();
     }
 
     /** Reads the table of a slice whose lease began. */
@@ -235,7 +236,7 @@
     synchronized Map<String, Object> state() {
         Map<String, Object> state = new TreeMap<>();
         List<String> members = new ArrayList<>();
-        for (Member m : lease.living(timing.now())) {
+        for (Member m : lease.liveMembers(timing.now())) {
             members.add(m.number() + (m.leaving() ? " leaving" : m.settled() ? "" : " not settled"));
         }
         long minTerm = Long.MAX_VALUE;
--- a/src/main/java/puffinbarrow/emulator/CoordinatorModel.java
+++ b/src/main/java/puffinbarrow/emulator/CoordinatorModel.java
@@ -16,9 +16,9 @@
 import puffinbarrow.coordinator.Input;
 import puffinbarrow.coordinator.LeaseHolder;
 import puffinbarrow.coordinator.Meters;
+import puffinbarrow.memory.FactCollector;
 import puffinbarrow.memory.Facts;
-import puffinbarrow.memory.Notes;
-import puffinbarrow.memory.Recall;
+import puffinbarrow.memory.RecallFilter;
 import puffinbarrow.proto.Frame;
 
 /**
@@ -44,7 +44,7 @@
      */
     private final class MemoryModel implements CoordinatorCore.Memory {
         private static final long WRITE_INTERVAL_NS = SECOND / 2;
-        private final Notes notes = new Notes(incarnation);
+        private final FactCollector notes = new FactCollector(incarnation);
         private long nextWriteAtNs = Long.MIN_VALUE;
 
         MemoryModel() {
@@ -53,18 +53,19 @@
 
         @Override
         public List<Event.Recalled> recall(List<Event.Entry> list) {
-            List<Event.Recalled> events = Recall.of(savedFacts, list, now(), new ArrayList<>());
+            List<Event.Recalled> events = RecallFilter.recalledEvents(savedFacts, list, now(), new ArrayList<>());
             recalledFacts += events.size();
             return events;
         }
 
         @Override
         public void recordTurn(long at, List<Event> events, List<Order> orders, Controller controller) {
-            notes.heard(at, events);
-            notes.ordered(orders);
+            notes.recordEvents(at, events);
+            notes.recordOrders(orders);
             if (at >= nextWriteAtNs) {
                 nextWriteAtNs = at + WRITE_INTERVAL_NS;
-                notes.changed(at, at, false, controller.rememberedState()).forEach(savedFacts::put);
+                notes.takeChangedFacts(at, at, false, controller.rememberedState())
+                        .forEach(savedFacts::put);
             }
         }
     }
--- a/src/main/java/puffinbarrow/lease/Lease.java
+++ b/src/main/java/puffinbarrow/lease/Lease.java
@@ -116,14 +116,14 @@
     /** The last known record of a slice, and this member's write to it. */
     private static final class SliceView {
         State state = State.IDLE;
-        Voice record = Voice.NONE;
+        SliceOwner record = SliceOwner.NONE;
         long revision;
         /** Id of the unanswered write, or 0. */
         long pendingWrite;
 
         long expectedRevision;
         long sentAtNs;
-        Voice requested;
+        SliceOwner requested;
     }
 
     /** The last known record of a member, this one included. */
@@ -246,7 +246,7 @@
     }
 
     /** A member's current record in the store, from the watch or as part of an answer to a write. */
-    public List<Step> member(long now, long revision, Member member) {
+    public List<Step> memberRecord(long now, long revision, Member member) {
         MemberView view = members.computeIfAbsent(member.number(), n -> new MemberView());
         if (revision <= view.revision) {
             return takeSteps();
@@ -273,7 +273,7 @@
     }
 
     /** A slice's current owner record in the store. */
-    public List<Step> voice(long now, int slice, long revision, Voice voice) {
+    public List<Step> sliceOwnerRecord(long now, int slice, long revision, SliceOwner voice) {
         SliceView view = slices[slice];
         if (revision <= view.revision) {
             return takeSteps();
@@ -285,7 +285,7 @@
     }
 
     /** The answer to a write. The resulting record is passed to {@link #member} or {@link #voice} before. */
-    public List<Step> answered(long now, long id, boolean applied) {
+    public List<Step> writeAnswered(long now, long id, boolean applied) {
         if (id == heartbeatWrite) {
             if (applied) {
                 heartbeatApplied(now);
@@ -306,7 +306,7 @@
     }
 
     /** A proxy, the store or a peer has seen a later term of the slice than the one this member holds. */
-    public List<Step> toldStale(long now, int slice, long term) {
+    public List<Step> laterTermSeen(long now, int slice, long term) {
         if (slices[slice].record.term() < term && slices[slice].state == State.OWNER) {
             transition(slice, Input.RECORD_NAMES_OTHER, now);
         }
@@ -331,9 +331,9 @@
                 rebalance(now);
             }
         }
-        if (leaving && !leftReported && held() == 0) {
+        if (leaving && !leftReported && heldSlices() == 0) {
             leftReported = true;
-            pendingSteps.add(new Step.Left());
+            pendingSteps.add(new Step.AllHandedOver());
         }
         return takeSteps();
     }
@@ -347,12 +347,12 @@
     // ---- Queries.
 
     /** Orders may be sent before this time, by this member's clock; {@code Long.MIN_VALUE} without a lease. */
-    public long speakUntilNs() {
+    public long leaseEndNs() {
         return leaseHeld ? leaseEndNs : Long.MIN_VALUE;
     }
 
     /** Whether this member owns the slice; the lease end must be checked separately. */
-    public boolean speaks(int slice) {
+    public boolean owns(int slice) {
         return slices[slice].state == State.OWNER;
     }
 
@@ -362,7 +362,7 @@
     }
 
     /** Slices that this member owns or is handing over. */
-    public int held() {
+    public int heldSlices() {
         int held = 0;
         for (SliceView slice : slices) {
             held += slice.state == State.OWNER || slice.state == State.HANDING_OVER ? 1 : 0;
@@ -375,7 +375,7 @@
     }
 
     /** The members whose lease this member considers valid, itself included. */
-    public Collection<Member> living(long now) {
+    public Collection<Member> liveMembers(long now) {
         return members.values().stream()
                 .filter(view -> isLive(view, now))
                 .map(view -> view.member)
@@ -389,7 +389,7 @@
         MemberView previous = members.get(settings.memberNumber);
         if (previous != null && previous.member != null) {
             // If the previous incarnation was short, this one waits longer before it is assigned slices.
-            boolean shortLived = previous.member.beat() < (long) SHORT_INCARNATION_LEASES * HEARTBEATS_PER_LEASE;
+            boolean shortLived = previous.member.heartbeat() < (long) SHORT_INCARNATION_LEASES * HEARTBEATS_PER_LEASE;
             flaps = shortLived ? Math.min(MAX_FLAPS, previous.member.flaps() + 1) : 0;
         }
     }
@@ -431,7 +431,7 @@
 
     private void heartbeatApplied(long now) {
         heartbeatWrite = 0;
-        heartbeat = heartbeatRecord.beat();
+        heartbeat = heartbeatRecord.heartbeat();
         nextHeartbeatAtNs = heartbeatSentAtNs + settings.leaseNs / HEARTBEATS_PER_LEASE;
         // Counted from the first sending: no other member can have seen the heartbeat earlier.
         long endNs = heartbeatSentAtNs
@@ -470,7 +470,7 @@
 
     // ---- Slices.
 
-    private boolean namesSelf(Voice voice) {
+    private boolean namesSelf(SliceOwner voice) {
         return voice.owner() == settings.memberNumber && voice.incarnation() == incarnation;
     }
 
@@ -495,7 +495,7 @@
     }
 
     /** Whether the owner that the record names may still act as owner, as far as this member can tell. */
-    private boolean ownerMayBeActive(Voice voice, long now) {
+    private boolean ownerMayBeActive(SliceOwner voice, long now) {
         if (voice.owner() < 0) {
             return false;
         }
@@ -542,7 +542,7 @@
             } else if (view.pendingWrite != 0 && now - view.sentAtNs > settings.leaseNs / HEARTBEATS_PER_LEASE) {
                 // No answer: the same write is sent again; the store applies it at most once.
                 view.sentAtNs = now;
-                pendingSteps.add(new Step.WriteVoice(view.pendingWrite, i, view.expectedRevision, view.requested));
+                pendingSteps.add(new Step.WriteSliceOwner(view.pendingWrite, i, view.expectedRevision, view.requested));
                 transfersLeft--;
             } else if (view.state == State.IDLE
                     && view.pendingWrite == 0
@@ -604,26 +604,29 @@
         SliceView view = slices[slice];
         switch (effect) {
             case WRITE_SELF -> writeOwner(
-                    slice, new Voice(settings.memberNumber, incarnation, view.record.term() + 1), now);
+                    slice, new SliceOwner(settings.memberNumber, incarnation, view.record.term() + 1), now);
             case WRITE_SUCCESSOR -> {
-                pendingSteps.add(new Step.End(slice, Step.Why.HANDED_ON));
+                pendingSteps.add(new Step.OwnershipEnds(slice, Step.Why.HANDED_ON));
                 Member successor = members.get(assignment[slice]).member;
-                writeOwner(slice, new Voice(successor.number(), successor.incarnation(), view.record.term() + 1), now);
+                writeOwner(
+                        slice,
+                        new SliceOwner(successor.number(), successor.incarnation(), view.record.term() + 1),
+                        now);
             }
-            case BEGIN -> pendingSteps.add(new Step.Begin(slice, view.record.term()));
-            case END_EXPIRED -> pendingSteps.add(new Step.End(slice, Step.Why.LAPSED));
-            case END_TAKEN_BY_ANOTHER -> pendingSteps.add(new Step.End(slice, Step.Why.TAKEN_BY_ANOTHER));
+            case BEGIN -> pendingSteps.add(new Step.OwnershipBegins(slice, view.record.term()));
+            case END_EXPIRED -> pendingSteps.add(new Step.OwnershipEnds(slice, Step.Why.LAPSED));
+            case END_TAKEN_BY_ANOTHER -> pendingSteps.add(new Step.OwnershipEnds(slice, Step.Why.TAKEN_BY_ANOTHER));
             default -> {}
         }
     }
 
-    private void writeOwner(int slice, Voice requested, long now) {
+    private void writeOwner(int slice, SliceOwner requested, long now) {
         SliceView view = slices[slice];
         view.requested = requested;
         view.pendingWrite = nextWriteId++;
         view.expectedRevision = disabledGuards.contains(Guard.EXPECTED_REVISION) ? -1 : view.revision;
         view.sentAtNs = now;
         sliceByWrite.put(view.pendingWrite, slice);
-        pendingSteps.add(new Step.WriteVoice(view.pendingWrite, slice, view.expectedRevision, requested));
+        pendingSteps.add(new Step.WriteSliceOwner(view.pendingWrite, slice, view.expectedRevision, requested));
     }
 }
--- a/src/main/java/puffinbarrow/lease/Member.java
+++ b/src/main/java/puffinbarrow/lease/Member.java
@@ -13,8 +13,8 @@
  *     further heartbeat
  */
 public record Member(
-        int number, long incarnation, long beat, boolean settled, boolean leaving, int flaps, boolean dead) {
+        int number, long incarnation, long heartbeat, boolean settled, boolean leaving, int flaps, boolean dead) {
     Member closed() {
-        return new Member(number, incarnation, beat, settled, leaving, flaps, true);
+        return new Member(number, incarnation, heartbeat, settled, leaving, flaps, true);
     }
 }
--- a/src/main/java/puffinbarrow/lease/Pause.java
+++ b/src/main/java/puffinbarrow/lease/OwnerChangePause.java
@@ -19,7 +19,7 @@
  * its writes are blocked, so a change back and forth costs two pauses. The length is bounded by the rule on slices
  * without a server and by the longest expiry of a write.
  */
-public final class Pause {
+public final class OwnerChangePause {
     /** State of a slice that this coordinator holds. */
     private static final class SliceView {
         /** The server that proxies may send to, or null. */
@@ -44,7 +44,7 @@
     private long lastLeftAtNs = Long.MIN_VALUE / 2;
 
     private int lastMark;
-    private long changes;
+    private long ownerChanges;
 
     /**
      * Creates an instance that knows no slices.
@@ -52,7 +52,7 @@
      * @param proxyLeaseNs how long a proxy without a stream continues to send
      * @param maxWriteNs the longest that a write may be in progress, by its expiry
      */
-    public Pause(long proxyLeaseNs, long maxWriteNs) {
+    public OwnerChangePause(long proxyLeaseNs, long maxWriteNs) {
         this.proxyLeaseNs = proxyLeaseNs;
         this.maxWriteNs = maxWriteNs;
     }
@@ -60,7 +60,7 @@
     /**
      * This coordinator acquired the slice; {@code owner} is the server of its stored line, null if the table is empty.
      */
-    public void charged(long nowNs, int slice, String owner) {
+    public void sliceAcquired(long nowNs, int slice, String owner) {
         SliceView view = slices.computeIfAbsent(slice, n -> new SliceView());
         view.owner = owner;
         view.nextLine = null;
@@ -71,12 +71,12 @@
     }
 
     /** This coordinator no longer holds the slice. */
-    public void lost(int slice) {
+    public void sliceLost(int slice) {
         slices.remove(slice);
     }
 
     /** Returns the orders with each change of owner replaced by clearing the slice's table, and a mark at the end. */
-    public List<Order> orders(long nowNs, List<Order> orders, Collection<Integer> connectedProxies) {
+    public List<Order> delayOwnerChanges(long nowNs, List<Order> orders, Collection<Integer> connectedProxies) {
         List<Order> out = new ArrayList<>();
         List<SliceView> newlyPaused = new ArrayList<>();
         for (Order order : orders) {
@@ -129,11 +129,11 @@
         view.untilNs = Math.max(Math.max(view.untilNs, lastLeftAtNs + proxyLeaseNs), nowNs) + maxWriteNs;
         newlyPaused.add(view);
         out.add(new Order.ClearTable(slice));
-        changes++;
+        ownerChanges++;
     }
 
     /** A proxy has applied all orders up to the mark. Marks of this class are negative, unlike all others. */
-    public void applied(long nowNs, int proxy, long mark) {
+    public void markConfirmed(long nowNs, int proxy, long mark) {
         for (SliceView view : slices.values()) {
             // Marks on a stream are confirmed in order: a later one, which is lower, covers all earlier ones.
             if (view.paused && view.mark >= mark && view.unconfirmedProxies.remove(proxy)) {
@@ -143,7 +143,7 @@
     }
 
     /** A proxy's stream broke. */
-    public void left(long nowNs, int proxy) {
+    public void proxyLeft(long nowNs, int proxy) {
         lastLeftAtNs = nowNs;
         for (SliceView view : slices.values()) {
             if (view.paused && view.unconfirmedProxies.remove(proxy)) {
@@ -153,7 +153,7 @@
     }
 
     /** Returns the lines whose pause is over, once each. */
-    public List<Order> due(long nowNs) {
+    public List<Order> dueLines(long nowNs) {
         List<Order> due = new ArrayList<>();
         for (SliceView view : slices.values()) {
             if (view.paused && view.unconfirmedProxies.isEmpty() && nowNs >= view.untilNs) {
@@ -187,7 +187,7 @@
     }
 
     /** The number of pauses begun so far. */
-    public long changes() {
-        return changes;
+    public long ownerChanges() {
+        return ownerChanges;
     }
 }
--- a/src/main/java/puffinbarrow/lease/Simulation.java
+++ b/src/main/java/puffinbarrow/lease/Simulation.java
@@ -83,14 +83,14 @@
      * @param unevenness the difference between the most and the fewest slices held by a running member at the end
      */
     public record Outcome(
-            String broken,
+            String violation,
             long steps,
-            Histogram silentMs,
+            Histogram ownerlessMs,
             long writes,
-            long moves,
+            long ownerChanges,
             long refused,
-            long doubled,
-            int unevenness) {}
+            long duplicatesIgnored,
+            int imbalance) {}
 
     private record ScheduledEvent(long atNs, long number, Runnable action) implements Comparable<ScheduledEvent> {
         @Override
@@ -194,7 +194,7 @@
                         plan.drift,
                         plan.jumps,
                         remaining);
-                if (run(candidate, disabledGuards, fencing).broken() != null) {
+                if (run(candidate, disabledGuards, fencing).violation() != null) {
                     smallest = candidate;
                     reduced = true;
                     break;
@@ -439,8 +439,8 @@
 
         boolean isOwner(int slice) {
             return lease != null
-                    && lease.speaks(slice)
-                    && (localTime() < lease.speakUntilNs() || disabledGuards.contains(Lease.Guard.STOP_AT_EXPIRY));
+                    && lease.owns(slice)
+                    && (localTime() < lease.leaseEndNs() || disabledGuards.contains(Lease.Guard.STOP_AT_EXPIRY));
         }
 
         /** Sends an order for a random slice, if owned, and schedules the next. */
@@ -500,9 +500,10 @@
 
         List<Step> applyRecord(String key, StoredRecord record) {
             return key.startsWith("m")
-                    ? lease.member(localTime(), record.revision, (Member) record.value)
-                    : lease.voice(
-                            localTime(), Integer.parseInt(key.substring(1)), record.revision, (Voice) record.value);
+                    ? lease.memberRecord(localTime(), record.revision, (Member) record.value)
+                    : lease.sliceOwnerRecord(
+                            localTime(), Integer.parseInt(key.substring(1)), record.revision, (SliceOwner)
+                                    record.value);
         }
 
         void perform(List<Step> steps) {
@@ -514,16 +515,16 @@
                                 (1 + 10 * random.nextDouble() * random.nextDouble()) * MS * storeDelayFactor,
                                 () -> storeReceives(this, expectedStream, write));
                     }
-                } else if (step instanceof Step.Begin begin) {
+                } else if (step instanceof Step.OwnershipBegins begin) {
                     ownershipBegins(this, begin);
-                } else if (step instanceof Step.End end) {
+                } else if (step instanceof Step.OwnershipEnds end) {
                     ownershipEnds(end.slice(), number);
                 }
             }
         }
     }
 
-    private void ownershipBegins(Host host, Step.Begin begin) {
+    private void ownershipBegins(Host host, Step.OwnershipBegins begin) {
         String owner = host.number + "/" + host.lease.incarnation();
         String before = ownerByTerm.putIfAbsent((long) begin.slice() << 32 | begin.term(), owner);
         if (before != null && !before.equals(owner)) {
@@ -533,7 +534,7 @@
         for (Host other : hosts) {
             if (other != host && other.isOwner(begin.slice()) && !plan.jumps) {
                 fail("slice " + begin.slice() + ": " + host.number + " becomes the owner while " + other.number
-                        + " still is, until " + (other.lease.speakUntilNs() - other.localTime()) / 1e6
+                        + " still is, until " + (other.lease.leaseEndNs() - other.localTime()) / 1e6
                         + " ms from now by its clock");
             }
         }
@@ -561,13 +562,13 @@
         writes++;
         String key = write instanceof Step.WriteMember m
                 ? "m" + m.value().number()
-                : "v" + ((Step.WriteVoice) write).slice();
-        Object value = write instanceof Step.WriteMember w ? w.value() : ((Step.WriteVoice) write).value();
+                : "v" + ((Step.WriteSliceOwner) write).slice();
+        Object value = write instanceof Step.WriteMember w ? w.value() : ((Step.WriteSliceOwner) write).value();
         StoredRecord record = store.getOrDefault(key, new StoredRecord(0, null));
         boolean applied = write.expected() == record.revision || write.expected() < 0;
         if (applied) {
-            if (value instanceof Voice voice
-                    && record.value instanceof Voice before
+            if (value instanceof SliceOwner voice
+                    && record.value instanceof SliceOwner before
                     && voice.term() <= before.term()
                     && fencing) {
                 fail("slice " + key + ": the store receives term " + voice.term() + " after " + before.term());
@@ -577,7 +578,7 @@
             for (Host host : hosts) {
                 host.deliver(host.streamNumber, () -> host.perform(host.applyRecord(key, next)));
             }
-            if (value instanceof Voice voice) {
+            if (value instanceof SliceOwner voice) {
                 for (Proxy proxy : proxies) {
                     after(
                             (5 + 200 * random.nextDouble()) * MS,
@@ -590,7 +591,8 @@
             if (!applied && current.revision > 0) {
                 from.deliver(streamNumber, () -> from.perform(from.applyRecord(key, current)));
             }
-            from.deliver(streamNumber, () -> from.perform(from.lease.answered(from.localTime(), write.id(), applied)));
+            from.deliver(
+                    streamNumber, () -> from.perform(from.lease.writeAnswered(from.localTime(), write.id(), applied)));
         }
     }
 
@@ -622,7 +624,7 @@
                 refused++;
                 Host from = hosts[order.from];
                 if (from.lease != null) {
-                    from.run(() -> from.perform(from.lease.toldStale(from.localTime(), order.slice, known)));
+                    from.run(() -> from.perform(from.lease.laterTermSeen(from.localTime(), order.slice, known)));
                 }
                 return;
             }
--- a/src/main/java/puffinbarrow/lease/Voice.java
+++ b/src/main/java/puffinbarrow/lease/SliceOwner.java
@@ -7,7 +7,7 @@
  * @param incarnation the owner's incarnation that acquired the slice
  * @param term the term of the ownership; it grows with each change of owner
  */
-public record Voice(int owner, long incarnation, long term) {
+public record SliceOwner(int owner, long incarnation, long term) {
     /** The record of a slice that never had an owner. */
-    static final Voice NONE = new Voice(-1, 0, 0);
+    static final SliceOwner NONE = new SliceOwner(-1, 0, 0);
 }
--- a/src/main/java/puffinbarrow/lease/Step.java
+++ b/src/main/java/puffinbarrow/lease/Step.java
@@ -16,16 +16,16 @@
     record WriteMember(long id, long expected, Member value) implements Write {}
 
     /** Writes a slice's owner record. */
-    record WriteVoice(long id, int slice, long expected, Voice value) implements Write {}
+    record WriteSliceOwner(long id, int slice, long expected, SliceOwner value) implements Write {}
 
     /** This member now owns the slice: orders for it may be sent under this term. */
-    record Begin(int slice, long term) implements Step {}
+    record OwnershipBegins(int slice, long term) implements Step {}
 
     /** This member no longer owns the slice: no more orders may be sent for it. */
-    record End(int slice, Why why) implements Step {}
+    record OwnershipEnds(int slice, Why why) implements Step {}
 
     /** A leaving member no longer holds any slice. */
-    record Left() implements Step {}
+    record AllHandedOver() implements Step {}
 
     /** Why ownership of a slice ended. The names are the causes in the metric {@code lease.ended}. */
     enum Why {
--- a/src/main/java/puffinbarrow/memory/Codec.java
+++ b/src/main/java/puffinbarrow/memory/Codec.java
@@ -98,9 +98,9 @@
     /** Adds a fact to the batch. */
     void add(Facts.Fact fact) {
         count++;
-        if (fact instanceof Facts.OfServer f) {
+        if (fact instanceof Facts.ServerFact f) {
             byte[] id = f.id().getBytes(StandardCharsets.UTF_8);
-            byte[] standing = f.standing().getBytes(StandardCharsets.UTF_8);
+            byte[] standing = f.state().getBytes(StandardCharsets.UTF_8);
             ensureCapacity(64
                     + id.length
                     + standing.length
@@ -113,8 +113,11 @@
             putTimes(f.falls());
             putTimes(f.returns());
             putText(standing);
-            buffer.putLong(f.holdNs()).putDouble(f.tookNs()).putDouble(f.size()).putDouble(f.load());
-        } else if (fact instanceof Facts.OfSlice f) {
+            buffer.putLong(f.holdNs())
+                    .putDouble(f.latencyNs())
+                    .putDouble(f.size())
+                    .putDouble(f.load());
+        } else if (fact instanceof Facts.SliceFact f) {
             ensureCapacity(40);
             buffer.put((byte) SLICE)
                     .putInt(f.slice())
@@ -128,18 +131,18 @@
                 putText(server);
                 buffer.putDouble(line.weight());
             }
-        } else if (fact instanceof Facts.OfSelf f) {
-            ensureCapacity(72 + 4 * f.charges().size());
+        } else if (fact instanceof Facts.CoordinatorFact f) {
+            ensureCapacity(72 + 4 * f.heldSlices().size());
             buffer.put((byte) SELF)
                     .putLong(f.atNs())
-                    .putLong(f.runNs())
+                    .putLong(f.monotonicNs())
                     .putLong(f.incarnation())
-                    .put((byte) (f.cleanEnd() ? 1 : 0))
+                    .put((byte) (f.cleanShutdown() ? 1 : 0))
                     .putDouble(f.calmLoad())
                     .putDouble(f.shed())
-                    .put((byte) (f.strained() ? 1 : 0))
-                    .putInt(f.charges().size());
-            f.charges().forEach(buffer::putInt);
+                    .put((byte) (f.overloaded() ? 1 : 0))
+                    .putInt(f.heldSlices().size());
+            f.heldSlices().forEach(buffer::putInt);
             buffer.putDouble(f.calmWhole());
         }
     }
@@ -265,7 +268,7 @@
                 double tookNs = in.getDouble();
                 double size = version >= 2 ? in.getDouble() : 1;
                 double load = version >= 2 ? in.getDouble() : Double.NaN;
-                Facts.Fact fact = new Facts.OfServer(
+                Facts.Fact fact = new Facts.ServerFact(
                         id, atNs, drainingSinceNs, starts, falls, returns, standing, holdNs, size, tookNs, load);
                 deferred.accept(() -> visitor.fact(fact));
             }
@@ -279,7 +282,7 @@
                 for (int i = 0; i < count; i++) {
                     lines.add(new Facts.Line(getText(in), in.getDouble()));
                 }
-                Facts.Fact fact = new Facts.OfSlice(slice, atNs, lines, demand, tableVersion);
+                Facts.Fact fact = new Facts.SliceFact(slice, atNs, lines, demand, tableVersion);
                 deferred.accept(() -> visitor.fact(fact));
             }
             case SELF -> {
@@ -299,7 +302,7 @@
                     charges.add(in.getInt());
                 }
                 double calmWhole = version >= 2 ? in.getDouble() : 0;
-                Facts.Fact fact = new Facts.OfSelf(
+                Facts.Fact fact = new Facts.CoordinatorFact(
                         atNs, runNs, incarnation, cleanEnd, charges, calmLoad, calmWhole, shed, strained);
                 deferred.accept(() -> visitor.fact(fact));
             }
--- a/src/main/java/puffinbarrow/memory/Kills.java
+++ b/src/main/java/puffinbarrow/memory/CrashRecoveryCheck.java
@@ -18,7 +18,7 @@
  * state no older than the last acknowledged commit. Every commit writes its number into each of its facts, so that a
  * partial commit is detected. Run by the command {@code bench memory-kill} and by a test.
  */
-public final class Kills {
+public final class CrashRecoveryCheck {
     /** More than one, so that a commit can be torn. */
     private static final int FACTS_PER_COMMIT = 40;
 
@@ -34,7 +34,7 @@
      */
     public record Outcome(int rounds, int whole, int ignored, int wrong, long commits, List<String> evidence) {}
 
-    private Kills() {}
+    private CrashRecoveryCheck() {}
 
     /** Runs in the child process: commits until killed and prints each commit's number once it is acknowledged. */
     public static void write(Path folder, PrintStream out) throws IOException {
@@ -45,7 +45,7 @@
                 long number = store.sequence() + 1;
                 List<Facts.Fact> facts = new ArrayList<>();
                 for (int i = 0; i < FACTS_PER_COMMIT; i++) {
-                    facts.add(new Facts.OfSlice(
+                    facts.add(new Facts.SliceFact(
                             i, number, List.of(new Facts.Line("10.0.0." + i + ":80", 1)), number, number));
                 }
                 store.commit(facts, List.of());
--- a/src/main/java/puffinbarrow/memory/Notes.java
+++ b/src/main/java/puffinbarrow/memory/FactCollector.java
@@ -16,7 +16,7 @@
  * Derives facts from a coordinator's events and orders. The coordinator calls it on the decision thread, the emulator
  * in simulated time; an event costs a few map operations. Does no I/O; the wall time is passed in, in nanoseconds.
  */
-public final class Notes {
+public final class FactCollector {
     /** What is known of a server; see {@link Facts.OfServer} for the fields. */
     private static final class ServerNotes {
         boolean listed;
@@ -44,14 +44,14 @@
     private final long incarnation;
 
     /** Starts empty; {@code incarnation} goes into the coordinator's own fact. */
-    public Notes(long incarnation) {
+    public FactCollector(long incarnation) {
         this.incarnation = incarnation;
     }
 
     /** Takes over the servers' facts of the previous run. */
     public void resume(Facts.Image image) {
         for (Facts.Fact fact : image.all()) {
-            if (fact instanceof Facts.OfServer f) {
+            if (fact instanceof Facts.ServerFact f) {
                 ServerNotes server = new ServerNotes();
                 server.listed = !f.starts().isEmpty();
                 server.starts.addAll(f.starts());
@@ -64,7 +64,7 @@
     }
 
     /** Takes note of events that the coordinator received. */
-    public void heard(long wallNs, Collection<Event> events) {
+    public void recordEvents(long wallNs, Collection<Event> events) {
         for (Event event : events) {
             if (event instanceof Event.ServerList e && e.kind() != Event.ListKind.BROKEN) {
                 applyList(wallNs, e);
@@ -134,7 +134,7 @@
 
     private static void addTime(List<Long> times, long timeNs) {
         times.add(timeNs);
-        if (times.size() > Facts.OfServer.TIMES) {
+        if (times.size() > Facts.ServerFact.TIMES) {
             times.remove(0);
         }
     }
@@ -144,7 +144,7 @@
     }
 
     /** Takes note of lines that the coordinator ordered. */
-    public void ordered(Collection<Order> orders) {
+    public void recordOrders(Collection<Order> orders) {
         for (Order order : orders) {
             if (order instanceof Order.SetLine o) {
                 SliceNotes slice = notesOf(o.table());
@@ -163,7 +163,7 @@
      * @param cleanEnd whether the coordinator is shutting down in order
      * @param known the values that the decision logic wants remembered
      */
-    public List<Facts.Fact> changed(long wallNs, long runNs, boolean cleanEnd, List<Event.Recalled> known) {
+    public List<Facts.Fact> takeChangedFacts(long wallNs, long runNs, boolean cleanEnd, List<Event.Recalled> known) {
         double[] fleetValues = new double[Event.Recall.values().length];
         Map<String, Double> holdNsByServer = new HashMap<>();
         for (Event.Recalled recalled : known) {
@@ -183,7 +183,7 @@
         List<Facts.Fact> facts = new ArrayList<>(dirtyServers.size() + dirtySlices.size() + 1);
         for (String id : dirtyServers) {
             ServerNotes server = servers.get(id);
-            facts.add(new Facts.OfServer(
+            facts.add(new Facts.ServerFact(
                     id,
                     wallNs,
                     server.drainingSinceNs,
@@ -202,11 +202,11 @@
             SliceNotes slice = slices.get(number);
             List<Facts.Line> lines = new ArrayList<>(slice.lines.size());
             slice.lines.forEach((server, weight) -> lines.add(new Facts.Line(server, weight)));
-            facts.add(new Facts.OfSlice(number, wallNs, lines, slice.demand, slice.version));
+            facts.add(new Facts.SliceFact(number, wallNs, lines, slice.demand, slice.version));
         }
         dirtyServers.clear();
         dirtySlices.clear();
-        facts.add(new Facts.OfSelf(
+        facts.add(new Facts.CoordinatorFact(
                 wallNs,
                 runNs,
                 incarnation,
--- a/src/main/java/puffinbarrow/memory/Keeper.java
+++ b/src/main/java/puffinbarrow/memory/FactWriter.java
@@ -19,7 +19,7 @@
  * directory can be opened again, which is tried every {@link #REOPEN_INTERVAL_MS}; facts offered meanwhile wait in the
  * map.
  */
-public final class Keeper implements AutoCloseable {
+public final class FactWriter implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger("puffinbarrow.memory");
     /**
      * The most that a restart loses. Reports arrive less often, so that committing more often would only cost disk
@@ -45,7 +45,7 @@
     private volatile long commits;
     private volatile long bytes;
     private volatile long failures;
-    private volatile boolean well;
+    private volatile boolean healthy;
     private boolean closing;
     /** The open store, or null while the directory cannot be used; only the writer thread changes it once started. */
     private Store store;
@@ -54,7 +54,7 @@
     private Facts.Image remembered = new Facts.Image();
     private final Thread writer = new Thread(this::runWriter, "memory");
 
-    private Keeper(Path folder, long maxBytes, int maxPendingKeys) {
+    private FactWriter(Path folder, long maxBytes, int maxPendingKeys) {
         this.folder = folder;
         this.maxBytes = maxBytes;
         this.maxPendingKeys = maxPendingKeys;
@@ -68,8 +68,8 @@
      * @param maxBytes the most bytes that the directory may take
      * @param maxPendingKeys the most facts that may wait for the disk
      */
-    public static Keeper open(Path folder, long maxBytes, int maxPendingKeys) {
-        Keeper keeper = new Keeper(folder, maxBytes, maxPendingKeys);
+    public static FactWriter open(Path folder, long maxBytes, int maxPendingKeys) {
+        FactWriter keeper = new FactWriter(folder, maxBytes, maxPendingKeys);
         keeper.tryOpen();
         if (keeper.store != null) {
             // A copy, because the store changes its own image.
@@ -87,8 +87,8 @@
     }
 
     /** Whether the directory is open and the last commit succeeded. */
-    public boolean well() {
-        return well;
+    public boolean healthy() {
+        return healthy;
     }
 
     /** The number of facts dropped because too many keys were waiting. */
@@ -134,7 +134,7 @@
             store = Store.open(candidate, maxBytes, messages);
             disk = candidate;
             messages.forEach(LOG::info);
-            well = true;
+            healthy = true;
             LOG.atInfo()
                     .addKeyValue("folder", folder)
                     .addKeyValue("facts", store.image().size())
@@ -152,10 +152,10 @@
     /** Counts the failure, and logs the first one after each success. */
     private void recordFailure(String message) {
         failures++;
-        if (well || failures == 1) {
+        if (healthy || failures == 1) {
             LOG.warn("{}; the coordinator continues without memory", message);
         }
-        well = false;
+        healthy = false;
     }
 
     private static void closeQuietly(AutoCloseable resource) {
--- a/src/main/java/puffinbarrow/memory/Facts.java
+++ b/src/main/java/puffinbarrow/memory/Facts.java
@@ -34,17 +34,17 @@
      * @param tookNs the mean latency in the latest report, in nanoseconds
      * @param load the latest reported value of {@code Measure.BUSY}, or NaN if unknown
      */
-    public record OfServer(
+    public record ServerFact(
             String id,
             long atNs,
             long drainingSinceNs,
             List<Long> starts,
             List<Long> falls,
             List<Long> returns,
-            String standing,
+            String state,
             long holdNs,
             double size,
-            double tookNs,
+            double latencyNs,
             double load)
             implements Fact {
         /** The most times kept in each list; enough to tell flapping from a release. */
@@ -68,7 +68,7 @@
      * @param demand the flows of the slice in the latest report
      * @param version how many lines have been ordered for the slice by this process
      */
-    public record OfSlice(int slice, long atNs, List<Line> lines, double demand, long version) implements Fact {
+    public record SliceFact(int slice, long atNs, List<Line> lines, double demand, long version) implements Fact {
         @Override
         public String key() {
             return "slice " + slice;
@@ -88,16 +88,16 @@
      * @param shed the amount of traffic being shed, in traffic groups, with fractions
      * @param strained whether the fleet was overloaded
      */
-    public record OfSelf(
+    public record CoordinatorFact(
             long atNs,
-            long runNs,
+            long monotonicNs,
             long incarnation,
-            boolean cleanEnd,
-            List<Integer> charges,
+            boolean cleanShutdown,
+            List<Integer> heldSlices,
             double calmLoad,
             double calmWhole,
             double shed,
-            boolean strained)
+            boolean overloaded)
             implements Fact {
         @Override
         public String key() {
@@ -130,8 +130,8 @@
         }
 
         /** The coordinator's own fact, or null. */
-        public OfSelf self() {
-            return facts.get("self") instanceof OfSelf self ? self : null;
+        public CoordinatorFact self() {
+            return facts.get("self") instanceof CoordinatorFact self ? self : null;
         }
     }
 }
--- a/src/main/java/puffinbarrow/memory/Inspect.java
+++ b/src/main/java/puffinbarrow/memory/FolderInspector.java
@@ -13,7 +13,7 @@
 /**
  * Operations of the command line on a memory folder, which a coordinator may be using. Only {@link #compact} writes.
  */
-public final class Inspect {
+public final class FolderInspector {
     /**
      * Contents of a folder.
      *
@@ -22,12 +22,12 @@
      * @param image the facts found
      * @param words one line for each file that was used or rejected
      */
-    public record Found(boolean whole, long commit, Facts.Image image, List<String> words) {}
+    public record Found(boolean complete, long commit, Facts.Image image, List<String> messages) {}
 
-    private Inspect() {}
+    private FolderInspector() {}
 
     /** Reads a folder without locking it. */
-    public static Found look(Path folder) throws IOException {
+    public static Found read(Path folder) throws IOException {
         if (!Files.isDirectory(folder)) {
             throw new IOException("no folder " + folder);
         }
@@ -53,17 +53,17 @@
                 out.writeStartObject();
                 out.writeStringField("key", fact.key());
                 out.writeNumberField("atNs", fact.atNs());
-                if (fact instanceof Facts.OfServer f) {
+                if (fact instanceof Facts.ServerFact f) {
                     out.writeNumberField("drainingSinceNs", f.drainingSinceNs());
                     writeTimes(out, "starts", f.starts());
                     writeTimes(out, "falls", f.falls());
                     writeTimes(out, "returns", f.returns());
-                    out.writeStringField("standing", f.standing());
+                    out.writeStringField("standing", f.state());
                     out.writeNumberField("holdNs", f.holdNs());
                     out.writeNumberField("size", f.size());
-                    out.writeNumberField("tookNs", f.tookNs());
+                    out.writeNumberField("tookNs", f.latencyNs());
                     out.writeNumberField("load", f.load());
-                } else if (fact instanceof Facts.OfSlice f) {
+                } else if (fact instanceof Facts.SliceFact f) {
                     out.writeObjectFieldStart("lines");
                     for (Facts.Line line : f.lines()) {
                         out.writeNumberField(line.server(), line.weight());
@@ -71,14 +71,14 @@
                     out.writeEndObject();
                     out.writeNumberField("demand", f.demand());
                     out.writeNumberField("version", f.version());
-                } else if (fact instanceof Facts.OfSelf f) {
+                } else if (fact instanceof Facts.CoordinatorFact f) {
                     out.writeNumberField("incarnation", f.incarnation());
-                    out.writeBooleanField("cleanEnd", f.cleanEnd());
-                    out.writeNumberField("charges", f.charges().size());
+                    out.writeBooleanField("cleanEnd", f.cleanShutdown());
+                    out.writeNumberField("charges", f.heldSlices().size());
                     out.writeNumberField("calmLoad", f.calmLoad());
                     out.writeNumberField("calmWhole", f.calmWhole());
                     out.writeNumberField("shed", f.shed());
-                    out.writeBooleanField("strained", f.strained());
+                    out.writeBooleanField("strained", f.overloaded());
                 }
                 out.writeEndObject();
             }
--- a/src/main/java/puffinbarrow/memory/Recall.java
+++ b/src/main/java/puffinbarrow/memory/RecallFilter.java
@@ -12,7 +12,7 @@
  * fact's age by a half-life per kind. The current server list takes precedence over remembered facts. Stateless; called
  * once, when the first list arrives.
  */
-public final class Recall {
+public final class RecallFilter {
     private static final long SECOND = 1_000_000_000L;
     private static final long MINUTE = 60 * SECOND;
 
@@ -41,7 +41,7 @@
     /** Older memory is ignored: after a longer downtime the fleet is a different one. */
     private static final long MAX_AGE_NS = 7 * 24 * 60 * MINUTE;
 
-    private Recall() {}
+    private RecallFilter() {}
 
     /**
      * Returns the events for the remembered facts that still count.
@@ -50,10 +50,10 @@
      * @param nowNs the wall time
      * @param messages receives lines for the log: the memory's age, or why it is ignored
      */
-    public static List<Event.Recalled> of(
+    public static List<Event.Recalled> recalledEvents(
             Facts.Image image, List<Event.Entry> list, long nowNs, List<String> messages) {
         List<Event.Recalled> events = new ArrayList<>();
-        Facts.OfSelf self = image.self();
+        Facts.CoordinatorFact self = image.self();
         if (self == null) {
             return events;
         }
@@ -71,16 +71,16 @@
                 Locale.ROOT,
                 "memory of %.1f s ago, %s shutdown, %d facts",
                 ageNs / 1e9,
-                self.cleanEnd() ? "clean" : "unclean",
+                self.cleanShutdown() ? "clean" : "unclean",
                 image.size()));
         addIfConfident(events, Event.Recall.CALM_LOAD, "", self.calmLoad(), ageNs);
         addIfConfident(events, Event.Recall.CALM_WHOLE, "", self.calmWhole(), ageNs);
         addIfConfident(events, Event.Recall.SHED, "", self.shed(), ageNs);
-        addIfConfident(events, Event.Recall.STRAINED, "", self.strained() ? 1 : 0, ageNs);
+        addIfConfident(events, Event.Recall.STRAINED, "", self.overloaded() ? 1 : 0, ageNs);
         int unknown = 0;
         int restarted = 0;
         for (Event.Entry entry : list) {
-            if (!(image.get("server " + entry.server()) instanceof Facts.OfServer server)) {
+            if (!(image.get("server " + entry.server()) instanceof Facts.ServerFact server)) {
                 unknown++;
                 continue;
             }
@@ -105,7 +105,7 @@
 
     /** A single fall is a release or a crash; a server that falls again within minutes is flapping. */
     private static void addFlapping(
-            List<Event.Recalled> events, Facts.OfServer server, boolean sameProcess, long nowNs) {
+            List<Event.Recalled> events, Facts.ServerFact server, boolean sameProcess, long nowNs) {
         double falls = sameProcess ? 0 : 1;
         for (long fall : server.falls()) {
             falls += fall > nowNs + MAX_CLOCK_STEP_NS ? 0 : confidence(Event.Recall.FLAPPING, nowNs - fall);
--- a/src/test/java/puffinbarrow/lease/LeaseTest.java
+++ b/src/test/java/puffinbarrow/lease/LeaseTest.java
@@ -32,11 +32,11 @@
             List<Step> next = new ArrayList<>();
             for (Step step : unanswered) {
                 if (step instanceof Step.WriteMember w) {
-                    next.addAll(lease.member(now, ++revision[0], w.value()));
-                    next.addAll(lease.answered(now, w.id(), true));
-                } else if (step instanceof Step.WriteVoice w) {
-                    next.addAll(lease.voice(now, w.slice(), ++revision[0], w.value()));
-                    next.addAll(lease.answered(now, w.id(), true));
+                    next.addAll(lease.memberRecord(now, ++revision[0], w.value()));
+                    next.addAll(lease.writeAnswered(now, w.id(), true));
+                } else if (step instanceof Step.WriteSliceOwner w) {
+                    next.addAll(lease.sliceOwnerRecord(now, w.slice(), ++revision[0], w.value()));
+                    next.addAll(lease.writeAnswered(now, w.id(), true));
                 }
             }
             all.addAll(next);
@@ -59,16 +59,16 @@
         for (; now <= 2 * LEASE; now += 75 * MS) {
             all.addAll(answerWrites(lease, now, lease.tick(now), revision));
             assertTrue(
-                    now >= LEASE || stepsOfType(Step.Begin.class, all).isEmpty(),
+                    now >= LEASE || stepsOfType(Step.OwnershipBegins.class, all).isEmpty(),
                     "no slice is acquired within the first lease");
         }
-        assertEquals(4, stepsOfType(Step.Begin.class, all).size());
+        assertEquals(4, stepsOfType(Step.OwnershipBegins.class, all).size());
         assertEquals(1, lease.term(3));
-        long until = lease.speakUntilNs();
+        long until = lease.leaseEndNs();
         // The store is unreachable: no heartbeat is answered.
-        assertEquals(List.of(), stepsOfType(Step.End.class, lease.disconnected(now)));
-        assertEquals(List.of(), stepsOfType(Step.End.class, lease.tick(until - 1)));
-        List<Step.End> ends = stepsOfType(Step.End.class, lease.tick(until));
+        assertEquals(List.of(), stepsOfType(Step.OwnershipEnds.class, lease.disconnected(now)));
+        assertEquals(List.of(), stepsOfType(Step.OwnershipEnds.class, lease.tick(until - 1)));
+        List<Step.OwnershipEnds> ends = stepsOfType(Step.OwnershipEnds.class, lease.tick(until));
         assertEquals(4, ends.size());
         assertEquals(Step.Why.LAPSED, ends.get(0).why());
         assertEquals(101, lease.incarnation());
@@ -83,8 +83,8 @@
         Step.WriteMember again =
                 stepsOfType(Step.WriteMember.class, lease.tick(400 * MS)).get(0);
         assertEquals(first, again);
-        lease.member(500 * MS, 1, first.value());
-        assertEquals(LEASE - LEASE / 10, lease.speakUntilNs());
+        lease.memberRecord(500 * MS, 1, first.value());
+        assertEquals(LEASE - LEASE / 10, lease.leaseEndNs());
     }
 
     @Test
@@ -96,9 +96,10 @@
         for (long now = 0; now <= 2 * LEASE; now += 75 * MS) {
             answerWrites(lease, now, lease.tick(now), revision);
         }
-        assertEquals(List.of(), lease.toldStale(2 * LEASE, 2, 1), "its own term changes nothing");
-        assertEquals(List.of(new Step.End(2, Step.Why.TAKEN_BY_ANOTHER)), lease.toldStale(2 * LEASE, 2, 2));
-        assertTrue(!lease.speaks(2) && lease.speaks(1));
+        assertEquals(List.of(), lease.laterTermSeen(2 * LEASE, 2, 1), "its own term changes nothing");
+        assertEquals(
+                List.of(new Step.OwnershipEnds(2, Step.Why.TAKEN_BY_ANOTHER)), lease.laterTermSeen(2 * LEASE, 2, 2));
+        assertTrue(!lease.owns(2) && lease.owns(1));
     }
 
     @Test
@@ -118,26 +119,26 @@
     private static Simulation.Outcome runWithoutViolation(int members, long lengthLeases, Fault... faults) {
         Simulation.Outcome outcome = Simulation.run(
                 new Simulation.Plan(3, members, 40, 3, LEASE, lengthLeases * LEASE, 0.05, false, List.of(faults)));
-        assertNull(outcome.broken());
+        assertNull(outcome.violation());
         return outcome;
     }
 
     @Test
     void coldStartAssignsOnceAndFailedMemberIsReplacedWithinTwoLeases() {
-        assertEquals(40, runWithoutViolation(3, 10).moves());
+        assertEquals(40, runWithoutViolation(3, 10).ownerChanges());
         Simulation.Outcome killed = runWithoutViolation(3, 40, new Fault(Kind.KILL, 20 * LEASE, 15 * LEASE, 1));
         assertTrue(
-                killed.silentMs().getMaxValue() < 2 * LEASE / MS,
-                "longest time without owner, ms: " + killed.silentMs().getMaxValue());
+                killed.ownerlessMs().getMaxValue() < 2 * LEASE / MS,
+                "longest time without owner, ms: " + killed.ownerlessMs().getMaxValue());
         // The member's third of the slices moves away and back, and few others.
-        assertTrue(killed.moves() <= 40 + 2 * 15 + 8, "" + killed.moves());
+        assertTrue(killed.ownerChanges() <= 40 + 2 * 15 + 8, "" + killed.ownerChanges());
     }
 
     @Test
     void ordersQueuedDuringPauseAreFenced() {
         Simulation.Outcome paused = runWithoutViolation(3, 60, new Fault(Kind.PAUSE, 10 * LEASE, 20 * LEASE, 0));
         assertTrue(paused.refused() > 0, "its queued orders are sent on resume");
-        assertTrue(paused.silentMs().getTotalCount() > 0, "others became owners meanwhile");
+        assertTrue(paused.ownerlessMs().getTotalCount() > 0, "others became owners meanwhile");
     }
 
     @Test
@@ -150,7 +151,7 @@
                 new Fault(Kind.STORE_SLOW, 12 * LEASE, 5 * LEASE, 0),
                 new Fault(Kind.ANSWERS_LOST, 20 * LEASE, 9 * LEASE, 2));
         Simulation.Outcome down = runWithoutViolation(4, 40, new Fault(Kind.STORE_DOWN, 10 * LEASE, 2 * LEASE, 0));
-        assertTrue(down.silentMs().getTotalCount() >= 40, "all leases expired");
+        assertTrue(down.ownerlessMs().getTotalCount() >= 40, "all leases expired");
     }
 
     @Test
@@ -161,14 +162,14 @@
         }
         Simulation.Outcome outcome = runWithoutViolation(3, 40, flaps);
         // Its third of the slices moves away and back once, though it joined two dozen times.
-        assertTrue(outcome.moves() <= 40 + 2 * 15 + 8, "" + outcome.moves());
+        assertTrue(outcome.ownerChanges() <= 40 + 2 * 15 + 8, "" + outcome.ownerChanges());
     }
 
     @Test
     void leavingMemberHandsOverAllSlicesWithinAQuarterLease() {
         Simulation.Outcome left = runWithoutViolation(3, 30, new Fault(Kind.LEAVE, 10 * LEASE, 0, 1));
         assertTrue(
-                left.silentMs().getMaxValue() < LEASE / 4 / MS,
-                "longest time without owner, ms: " + left.silentMs().getMaxValue());
+                left.ownerlessMs().getMaxValue() < LEASE / 4 / MS,
+                "longest time without owner, ms: " + left.ownerlessMs().getMaxValue());
     }
 }
--- a/src/test/java/puffinbarrow/lease/SimulationTest.java
+++ b/src/test/java/puffinbarrow/lease/SimulationTest.java
@@ -24,7 +24,7 @@
         for (long seed = 1; seed <= 8; seed++) {
             assertNull(
                     Simulation.run(Simulation.plan(seed, 4, 24, LEASE, 60 * LEASE, 0.05, true))
-                            .broken(),
+                            .violation(),
                     "seed " + seed);
         }
     }
@@ -34,9 +34,9 @@
         long steps = 0;
         for (long seed = 1; steps < 300_000; seed++) {
             Simulation.Outcome outcome = Simulation.run(plan(seed));
-            if (outcome.broken() != null) {
+            if (outcome.violation() != null) {
                 Simulation.Plan smallest = Simulation.shrink(plan(seed));
-                assertNull(outcome.broken(), "seed " + seed + ", smallest set of faults " + smallest.faults());
+                assertNull(outcome.violation(), "seed " + seed + ", smallest set of faults " + smallest.faults());
             }
             steps += outcome.steps();
         }
@@ -47,8 +47,8 @@
         Simulation.Outcome first = Simulation.run(plan(9));
         Simulation.Outcome second = Simulation.run(plan(9));
         assertEquals(
-                List.of(first.steps(), first.writes(), first.moves(), first.refused()),
-                List.of(second.steps(), second.writes(), second.moves(), second.refused()));
+                List.of(first.steps(), first.writes(), first.ownerChanges(), first.refused()),
+                List.of(second.steps(), second.writes(), second.ownerChanges(), second.refused()));
         assertTrue(first.refused() > 0, "late orders of old terms arrive and are refused");
     }
 
@@ -68,7 +68,7 @@
     private static String firstViolation(Set<Lease.Guard> disabledGuards, boolean fencing) {
         for (long seed = 1; seed <= 300; seed++) {
             String violation =
-                    Simulation.run(plan(seed), disabledGuards, fencing).broken();
+                    Simulation.run(plan(seed), disabledGuards, fencing).violation();
             if (violation != null) {
                 return violation;
             }
--- a/src/test/java/puffinbarrow/memory/RecallTest.java
+++ b/src/test/java/puffinbarrow/memory/RecallTest.java
@@ -19,7 +19,7 @@
     private final List<String> messages = new ArrayList<>();
 
     private void putSelf(long ago, double calm, double shed, boolean strained) {
-        image.put(new Facts.OfSelf(NOW - ago, 0, 1, false, List.of(), calm, calm, shed, strained));
+        image.put(new Facts.CoordinatorFact(NOW - ago, 0, 1, false, List.of(), calm, calm, shed, strained));
     }
 
     private void putServer(String id, long ago, long started, long holdNs, long... fellAgo) {
@@ -27,7 +27,7 @@
         for (long fell : fellAgo) {
             falls.add(NOW - fell);
         }
-        image.put(new Facts.OfServer(id, NOW - ago, 0, List.of(started), falls, List.of(), "well", holdNs, 1, 1, 0));
+        image.put(new Facts.ServerFact(id, NOW - ago, 0, List.of(started), falls, List.of(), "well", holdNs, 1, 1, 0));
     }
 
     private static Event.Entry listed(String id, long started) {
@@ -35,7 +35,7 @@
     }
 
     private double confidence(Recall kind, String server, Event.Entry... list) {
-        return puffinbarrow.memory.Recall.of(image, List.of(list), NOW, messages).stream()
+        return puffinbarrow.memory.RecallFilter.recalledEvents(image, List.of(list), NOW, messages).stream()
                 .filter(e -> e.kind() == kind && e.server().equals(server))
                 .mapToDouble(Event.Recalled::confidence)
                 .findFirst()
@@ -76,35 +76,41 @@
     @Test
     void oldFutureAndEmptyMemoryAreIgnored() {
         putServer("a", SECOND, 5, 12 * SECOND, MINUTE, MINUTE);
-        assertEquals(List.of(), puffinbarrow.memory.Recall.of(image, List.of(listed("a", 5)), NOW, messages));
+        assertEquals(
+                List.of(),
+                puffinbarrow.memory.RecallFilter.recalledEvents(image, List.of(listed("a", 5)), NOW, messages));
         putSelf(8 * 24 * 60 * MINUTE, 3, 1, true);
-        assertEquals(List.of(), puffinbarrow.memory.Recall.of(image, List.of(listed("a", 5)), NOW, messages));
+        assertEquals(
+                List.of(),
+                puffinbarrow.memory.RecallFilter.recalledEvents(image, List.of(listed("a", 5)), NOW, messages));
         assertTrue(messages.toString().contains("8 days old"));
         putSelf(-3600 * SECOND, 3, 1, true);
-        assertEquals(List.of(), puffinbarrow.memory.Recall.of(image, List.of(listed("a", 5)), NOW, messages));
+        assertEquals(
+                List.of(),
+                puffinbarrow.memory.RecallFilter.recalledEvents(image, List.of(listed("a", 5)), NOW, messages));
         assertTrue(messages.toString().contains("3600 s ahead"));
     }
 
     @Test
     void notesDeriveFactsFromEventsAndContinueAfterARestart() {
-        Notes notes = new Notes(1);
-        notes.heard(
+        FactCollector notes = new FactCollector(1);
+        notes.recordEvents(
                 NOW,
                 List.of(
                         new Event.ServerList(Event.ListKind.WHOLE, List.of(listed("a", 5), listed("b", 5))),
                         new Event.SliceCharge(3, true)));
-        notes.heard(
+        notes.recordEvents(
                 NOW + 1,
                 List.of(new Event.ServerList(
                         Event.ListKind.PATCH, List.of(new Event.Entry("a", 0, 0, 0, Event.Listed.GONE, 1, 5)))));
-        notes.ordered(List.of(new Order.SetLine(3, "b", 1), new Order.SetLine(3, "a", 0)));
-        notes.changed(NOW + 2, 0, false, List.of()).forEach(image::put);
-        Notes later = new Notes(2);
+        notes.recordOrders(List.of(new Order.SetLine(3, "b", 1), new Order.SetLine(3, "a", 0)));
+        notes.takeChangedFacts(NOW + 2, 0, false, List.of()).forEach(image::put);
+        FactCollector later = new FactCollector(2);
         later.resume(image);
-        later.heard(
+        later.recordEvents(
                 NOW + 10, List.of(new Event.ServerList(Event.ListKind.WHOLE, List.of(listed("a", 9), listed("b", 5)))));
-        later.heard(NOW + 11, List.of(new Event.ServerList(Event.ListKind.PATCH, List.of(listed("a", 11)))));
-        later.changed(
+        later.recordEvents(NOW + 11, List.of(new Event.ServerList(Event.ListKind.PATCH, List.of(listed("a", 11)))));
+        later.takeChangedFacts(
                         NOW + 12,
                         0,
                         true,
@@ -112,14 +118,14 @@
                                 new Event.Recalled(Recall.HOLD_NS, "b", 6, 1),
                                 new Event.Recalled(Recall.SHED, "", 0.5, 1)))
                 .forEach(image::put);
-        Facts.OfServer a = (Facts.OfServer) image.get("server a");
-        Facts.OfServer b = (Facts.OfServer) image.get("server b");
+        Facts.ServerFact a = (Facts.ServerFact) image.get("server a");
+        Facts.ServerFact b = (Facts.ServerFact) image.get("server b");
         assertEquals(List.of(5L, 9L, 11L), a.starts());
         assertEquals(3, a.falls().size(), "removed once, restarted twice while listed");
         assertEquals(6, b.holdNs());
-        assertEquals("held", b.standing());
-        assertEquals(List.of(new Facts.Line("b", 1)), ((Facts.OfSlice) image.get("slice 3")).lines());
-        assertTrue(image.self().cleanEnd());
+        assertEquals("held", b.state());
+        assertEquals(List.of(new Facts.Line("b", 1)), ((Facts.SliceFact) image.get("slice 3")).lines());
+        assertTrue(image.self().cleanShutdown());
         assertEquals(0.5, image.self().shed());
     }
 }
--- a/src/test/java/puffinbarrow/memory/StoreTest.java
+++ b/src/test/java/puffinbarrow/memory/StoreTest.java
@@ -26,13 +26,13 @@
     private static List<Facts.Fact> factsOfCommit(long number) {
         List<Facts.Fact> facts = new ArrayList<>();
         for (int i = 0; i < 40; i++) {
-            facts.add(new Facts.OfSlice(i, number, List.of(new Facts.Line("s" + i, 1)), number, number));
+            facts.add(new Facts.SliceFact(i, number, List.of(new Facts.Line("s" + i, 1)), number, number));
         }
         return facts;
     }
 
-    private static Facts.OfServer server(String id, long at) {
-        return new Facts.OfServer(id, at, 7, List.of(1L, 2L), List.of(3L), List.of(4L), "held", 6, 1.5, 9, 0.4);
+    private static Facts.ServerFact server(String id, long at) {
+        return new Facts.ServerFact(id, at, 7, List.of(1L, 2L), List.of(3L), List.of(4L), "held", 6, 1.5, 9, 0.4);
     }
 
     private static SimDisk diskAfter(int commits) throws IOException {
@@ -48,10 +48,10 @@
     @Test
     void committedFactsAreReadWithAllFields() throws IOException {
         SimDisk disk = new SimDisk();
-        Facts.OfSelf self = new Facts.OfSelf(5, 6, 7, true, List.of(1, 2), 0.5, 0.4, 0.75, true);
+        Facts.CoordinatorFact self = new Facts.CoordinatorFact(5, 6, 7, true, List.of(1, 2), 0.5, 0.4, 0.75, true);
         try (Store store = Store.open(disk, MAX_BYTES, new ArrayList<>())) {
             store.commit(
-                    List.of(server("a:1", 5), self, new Facts.OfSlice(3, 5, List.of(new Facts.Line("a:1", 1)), 2, 9)),
+                    List.of(server("a:1", 5), self, new Facts.SliceFact(3, 5, List.of(new Facts.Line("a:1", 1)), 2, 9)),
                     List.of());
             store.commit(List.of(server("b:1", 6)), List.of("slice 3"));
         }
@@ -81,14 +81,20 @@
             });
             SimDisk after = disk.afterPowerCut(random);
             Store.Contents found = Store.read(after);
-            assertEquals(null, Kills.violation(found, acknowledged[0]), "cut at " + cut + ": " + found.messages());
+            assertEquals(
+                    null,
+                    CrashRecoveryCheck.violation(found, acknowledged[0]),
+                    "cut at " + cut + ": " + found.messages());
             // A second cut while the store is opened again.
             after.stepsLeft = random.nextInt(3000);
             try (Store again = Store.open(after, MAX_BYTES, new ArrayList<>())) {
                 assertTrue(again.sequence() >= acknowledged[0]);
             } catch (SimDisk.PowerCut second) {
                 Store.Contents later = Store.read(after.afterPowerCut(random));
-                assertEquals(null, Kills.violation(later, acknowledged[0]), "second cut after the one at " + cut);
+                assertEquals(
+                        null,
+                        CrashRecoveryCheck.violation(later, acknowledged[0]),
+                        "second cut after the one at " + cut);
             }
             cuts++;
         }
@@ -165,7 +171,7 @@
             SimDisk disk = new SimDisk();
             Codec codec = new Codec();
             codec.beginBatch();
-            codec.add(new Facts.OfSlice(1, 5, List.of(), 1, 1));
+            codec.add(new Facts.SliceFact(1, 5, List.of(), 1, 1));
             codec.addEnd(1);
             ByteBuffer batch = codec.endBatch(4);
             ByteBuffer file = ByteBuffer.allocate(Codec.FILE_HEADER + batch.remaining());
@@ -202,10 +208,10 @@
             @Override
             public void removed(String key) {}
         });
-        Facts.OfServer found = (Facts.OfServer) read.get(0);
+        Facts.ServerFact found = (Facts.ServerFact) read.get(0);
         assertEquals(1, found.size());
         assertTrue(Double.isNaN(found.load()));
-        assertEquals(9, found.tookNs());
+        assertEquals(9, found.latencyNs());
     }
 
     @Test
@@ -229,7 +235,7 @@
             IOException second =
                     assertThrows(IOException.class, () -> Store.open(new RealDisk(folder), MAX_BYTES, messages));
             assertTrue(second.getMessage().contains("another coordinator"));
-            assertEquals(1, Inspect.look(folder).commit());
+            assertEquals(1, FolderInspector.read(folder).commit());
         }
         try (Store store = Store.open(new RealDisk(folder), MAX_BYTES, messages)) {
             assertEquals(1, store.sequence());
@@ -239,7 +245,7 @@
     @Test
     void writingStopsWhenTheFolderIsRemovedAndResumesWhenItCanBeCreated(@TempDir Path parent) throws Exception {
         Path folder = parent.resolve("memory");
-        Keeper keeper = Keeper.open(folder, MAX_BYTES, 100);
+        FactWriter keeper = FactWriter.open(folder, MAX_BYTES, 100);
         keeper.offer(factsOfCommit(1));
         await(() -> keeper.commits() == 1);
         for (String name : new RealDisk(folder).list()) {
@@ -248,24 +254,24 @@
         Files.delete(folder);
         Files.writeString(folder, "in the way");
         keeper.offer(factsOfCommit(2));
-        await(() -> !keeper.well());
+        await(() -> !keeper.healthy());
         keeper.offer(factsOfCommit(3));
         Files.delete(folder);
-        await(keeper::well);
+        await(keeper::healthy);
         await(() -> keeper.commits() == 2);
         keeper.close();
-        assertEquals(40, Inspect.look(folder).image().size());
-        assertTrue(Inspect.look(folder).image().all().stream().allMatch(f -> f.atNs() == 3));
+        assertEquals(40, FolderInspector.read(folder).image().size());
+        assertTrue(FolderInspector.read(folder).image().all().stream().allMatch(f -> f.atNs() == 3));
     }
 
     @Test
     void newKeysAboveTheLimitAreDroppedAndCounted(@TempDir Path parent) throws Exception {
         Path blocked = Files.writeString(parent.resolve("file"), "no folder");
-        Keeper keeper = Keeper.open(blocked, MAX_BYTES, 40);
+        FactWriter keeper = FactWriter.open(blocked, MAX_BYTES, 40);
         keeper.offer(factsOfCommit(1));
         keeper.offer(factsOfCommit(2));
         keeper.offer(List.of(server("one too many", 1)));
-        assertTrue(keeper.skipped() >= 1 && !keeper.well() && keeper.failures() >= 1);
+        assertTrue(keeper.skipped() >= 1 && !keeper.healthy() && keeper.failures() >= 1);
         keeper.kill();
     }
 
@@ -286,7 +292,7 @@
                 "bench",
                 "memory-writer",
                 folder.toString());
-        Kills.Outcome outcome = Kills.run(child, folder, 12, 3);
+        CrashRecoveryCheck.Outcome outcome = CrashRecoveryCheck.run(child, folder, 12, 3);
         assertEquals(List.of(), outcome.evidence());
         assertEquals(12, outcome.whole() + outcome.ignored());
         assertTrue(outcome.whole() > 10 && outcome.commits() > 12);
