--- a/src/main/java/puffinbarrow/audit/Audit.java
+++ b/src/main/java/puffinbarrow/audit/Audit.java
@@ -57,10 +57,10 @@
     public record Verdict(
             List<Finding> findings,
             long longestBareNs,
-            long latestDrainNs,
-            double mostColdPart,
-            double mostQueued,
-            int mostMessages,
+            long longestDrainNs,
+            double maxColdLoad,
+            double maxQueuedLines,
+            int maxMessagesInSpan,
             long attempts,
             long ordersFrames) {
         /** Returns whether all rules were kept. */
@@ -120,7 +120,7 @@
 
     /** A server since its latest start, with the work sent to it during the last {@link CoordinatorConfig#fallNs}. */
     private static final class ColdServer {
-        Seen.Started start;
+        Observation.ServerStarted start;
         final ArrayDeque<SentWork> window = new ArrayDeque<>();
         double workNs;
         /** The part of {@link #workNs} that informed proxies sent. */
@@ -147,7 +147,7 @@
     private record OwnerOrder(long orderedAtNs, String server) {}
 
     /** An attempt; {@code ended} is null while it runs. */
-    private record Attempt(Seen.Sent sent, Seen.Ended ended) {}
+    private record Attempt(Observation.AttemptSent sent, Observation.AttemptEnded ended) {}
 
     private final CoordinatorConfig config;
     /** Time that evidence counts from. */
@@ -158,7 +158,7 @@
     private final TreeMap<Integer, Proxy> proxies = new TreeMap<>();
     private final Map<String, ColdServer> coldServers = new HashMap<>();
     private final Map<Long, List<Attempt>> attemptsByFlow = new HashMap<>();
-    private final Map<Long, List<Seen.Ran>> runsByFlow = new HashMap<>();
+    private final Map<Long, List<Observation.WorkChanged>> runsByFlow = new HashMap<>();
     /** Server of each write in progress, by slice and flow; only with single owners. */
     private final Map<Integer, Map<Long, String>> activeWrites = new HashMap<>();
     /** Server that began the latest write, by slice; only with single owners. */
@@ -171,7 +171,7 @@
     private final Set<String> reportedKeys = new HashSet<>();
     private final Map<Integer, LineQueue> queues = new TreeMap<>();
     /** First attempts of flows, in order; a flow is checked and dropped once no retry of it can follow. */
-    private final ArrayDeque<Seen.Sent> firstAttempts = new ArrayDeque<>();
+    private final ArrayDeque<Observation.AttemptSent> firstAttempts = new ArrayDeque<>();
 
     /** How long after its first attempt a flow may still be retried. */
     private final long flowLifetimeNs;
@@ -190,13 +190,13 @@
         this.epochNs = epochNs;
         this.flowLifetimeNs = EXPIRY_MARGIN_NS
                 + config.groups.stream()
-                        .mapToLong(g -> g.expiryNs() + g.windowNs())
+                        .mapToLong(g -> g.expiryNs() + g.dedupWindowNs())
                         .max()
                         .orElse(0);
     }
 
     /** Sets the time that evidence counts from, for findings from now on. */
-    public void countFrom(long atNs) {
+    public void setEpoch(long atNs) {
         epochNs = atNs;
     }
 
@@ -206,15 +206,15 @@
      * @param seen in order of time
      * @param epochNs the time that evidence counts from
      */
-    public static Verdict judge(CoordinatorConfig config, List<Seen> seen, long epochNs) {
+    public static Verdict judge(CoordinatorConfig config, List<Observation> seen, long epochNs) {
         Audit audit = new Audit(config, epochNs);
-        seen.forEach(audit::take);
-        return audit.verdict(
+        seen.forEach(audit::add);
+        return audit.conclude(
                 seen.isEmpty() ? epochNs : seen.get(seen.size() - 1).at());
     }
 
     /** Returns the result for a recording that ended at that time; {@link #take} must not be called afterwards. */
-    public Verdict verdict(long at) {
+    public Verdict conclude(long at) {
         finish(at);
         return new Verdict(
                 findings, longestBareNs, latestDrainNs, mostColdPart, mostQueued, mostMessages, attempts, ordersFrames);
@@ -229,11 +229,11 @@
     }
 
     /** Adds an event, in order of time. Memory grows with the fleet and what is in progress, not with the recording. */
-    public void take(Seen seen) {
-        if (seen instanceof Seen.ListTold s) {
+    public void add(Observation seen) {
+        if (seen instanceof Observation.ListSent s) {
             applyList(s);
             recheckSlicesOf(s.coordinator(), s.at());
-        } else if (seen instanceof Seen.ChargeTold s) {
+        } else if (seen instanceof Observation.ChargeSent s) {
             Coordinator coordinator = coordinator(s.coordinator());
             if (s.given()) {
                 coordinator.inChargeSince.put(s.slice(), s.at());
@@ -241,7 +241,7 @@
                 coordinator.inChargeSince.remove(s.slice());
             }
             proxies.forEach((number, proxy) -> updateBare(number, proxy, s.slice(), s.at()));
-        } else if (seen instanceof Seen.Stream s) {
+        } else if (seen instanceof Observation.StreamChanged s) {
             Proxy proxy = proxy(s.proxy());
             if (s.up()) {
                 proxy.joinedAt.put(s.coordinator(), s.at());
@@ -250,30 +250,30 @@
                 proxy.joinedAt.remove(s.coordinator());
             }
             proxy.owners.keySet().forEach(slice -> updateBare(s.proxy(), proxy, slice, s.at()));
-        } else if (seen instanceof Seen.Arrived s) {
+        } else if (seen instanceof Observation.OrdersReceived s) {
             countQueuedLines(s);
-        } else if (seen instanceof Seen.Applied s) {
+        } else if (seen instanceof Observation.OrdersApplied s) {
             applyOrders(s);
-        } else if (seen instanceof Seen.Took s) {
+        } else if (seen instanceof Observation.TermApplied s) {
             checkTerm(s);
-        } else if (seen instanceof Seen.TableRead s) {
+        } else if (seen instanceof Observation.TableRead s) {
             TreeMap<String, Double> table = proxy(s.proxy()).tables.computeIfAbsent(s.slice(), n -> new TreeMap<>());
             table.clear();
             s.lines().forEach(line -> table.put(line.server(), line.weight()));
             updateBare(s.proxy(), proxy(s.proxy()), s.slice(), s.at());
-        } else if (seen instanceof Seen.OwnerRead s) {
+        } else if (seen instanceof Observation.OwnerRead s) {
             proxy(s.proxy()).owners.put(s.slice(), s.coordinator());
             updateBare(s.proxy(), proxy(s.proxy()), s.slice(), s.at());
-        } else if (seen instanceof Seen.Sent s) {
+        } else if (seen instanceof Observation.AttemptSent s) {
             checkAttempt(s);
-        } else if (seen instanceof Seen.Ended s) {
+        } else if (seen instanceof Observation.AttemptEnded s) {
             List<Attempt> flowAttempts = attemptsByFlow.get(s.flow());
             if (flowAttempts != null) {
                 flowAttempts.replaceAll(t -> t.sent().attempt() == s.attempt() ? new Attempt(t.sent(), s) : t);
             }
-        } else if (seen instanceof Seen.Ran s) {
+        } else if (seen instanceof Observation.WorkChanged s) {
             checkRun(s);
-        } else if (seen instanceof Seen.Started s) {
+        } else if (seen instanceof Observation.ServerStarted s) {
             ColdServer server = new ColdServer();
             server.start = s;
             coldServers.put(s.server(), server);
@@ -288,7 +288,7 @@
         return proxies.computeIfAbsent(number, n -> new Proxy());
     }
 
-    private void applyList(Seen.ListTold told) {
+    private void applyList(Observation.ListSent told) {
         if (told.kind() == Event.ListKind.BROKEN) {
             return;
         }
@@ -362,13 +362,13 @@
     /** Takes account of an interval that the proxy had no backend for the slice. */
     private void endBare(int number, int slice, long since, long until) {
         longestBareNs = Math.max(longestBareNs, until - since);
-        if (until - since > config.bareNs) {
+        if (until - since > config.noBackendLimitNs) {
             report(
                     Rule.BARE,
                     until,
                     number + "/" + slice,
                     "proxy " + number + " had no backend for slice " + slice + " for " + (until - since) / 1_000_000
-                            + " ms, " + config.bareNs / 1_000_000 + " allowed");
+                            + " ms, " + config.noBackendLimitNs / 1_000_000 + " allowed");
         }
     }
 
@@ -383,7 +383,7 @@
     // ---- Rule VOICE.
 
     /** Checks that the term belongs to one coordinator and that the proxy does not return to an older one. */
-    private void checkTerm(Seen.Took took) {
+    private void checkTerm(Observation.TermApplied took) {
         Integer known = coordinatorByTerm
                 .computeIfAbsent(took.slice(), s -> new HashMap<>())
                 .putIfAbsent(took.term(), took.coordinator());
@@ -410,7 +410,7 @@
 
     // ---- State of the proxies.
 
-    private void applyOrders(Seen.Applied applied) {
+    private void applyOrders(Observation.OrdersApplied applied) {
         Proxy proxy = proxy(applied.proxy());
         Set<String> masks = proxy.masks.computeIfAbsent(applied.coordinator(), c -> new TreeSet<>());
         Set<Integer> touched = new TreeSet<>();
@@ -444,12 +444,12 @@
 
     // ---- Rule QUEUE.
 
-    private void countQueuedLines(Seen.Arrived arrived) {
+    private void countQueuedLines(Observation.OrdersReceived arrived) {
         ordersFrames++;
         LineQueue queue = queues.computeIfAbsent(arrived.coordinator(), c -> new LineQueue());
-        queue.changes.add(new QueueChange(arrived.orderedAtNs(), config.headLines + arrived.lines()));
-        queue.changes.add(
-                new QueueChange(Math.max(arrived.at(), arrived.orderedAtNs()), -config.headLines - arrived.lines()));
+        queue.changes.add(new QueueChange(arrived.orderedAtNs(), config.messageOverheadLines + arrived.lines()));
+        queue.changes.add(new QueueChange(
+                Math.max(arrived.at(), arrived.orderedAtNs()), -config.messageOverheadLines - arrived.lines()));
         applyChanges(arrived.coordinator(), queue, arrived.at() - MAX_TRANSIT_NS);
         ArrayDeque<Long> times =
                 proxy(arrived.proxy()).messageTimes.computeIfAbsent(arrived.coordinator(), c -> new ArrayDeque<>());
@@ -458,13 +458,13 @@
             times.pollFirst();
         }
         mostMessages = Math.max(mostMessages, times.size());
-        if (config.messages > 0 && times.size() > config.messages) {
+        if (config.maxMessages > 0 && times.size() > config.maxMessages) {
             report(
                     Rule.QUEUE,
                     arrived.at(),
                     "messages " + arrived.coordinator() + "/" + arrived.proxy(),
                     "coordinator " + arrived.coordinator() + " wrote " + times.size() + " messages to proxy "
-                            + arrived.proxy() + " within " + config.messagesSpanNs / 1e9 + " s, " + config.messages
+                            + arrived.proxy() + " within " + config.messagesSpanNs / 1e9 + " s, " + config.maxMessages
                             + " allowed");
         }
     }
@@ -491,7 +491,7 @@
 
     // ---- Rules DRAIN and COLD.
 
-    private void checkAttempt(Seen.Sent sent) {
+    private void checkAttempt(Observation.AttemptSent sent) {
         attempts++;
         attemptsByFlow
                 .computeIfAbsent(sent.flow(), f -> {
@@ -532,21 +532,21 @@
     }
 
     /** Reports an overload of a cold server if informed proxies sent at least two thirds of the work. */
-    private void checkColdLoad(Seen.Sent sent, ColdServer server, boolean informed) {
+    private void checkColdLoad(Observation.AttemptSent sent, ColdServer server, boolean informed) {
         if (server == null
                 || server.start.coldNs() <= 0
-                || sent.at() - server.start.at() > server.start.coldNs() + config.fallNs) {
+                || sent.at() - server.start.at() > server.start.coldNs() + config.overloadNs) {
             return;
         }
         server.window.addLast(new SentWork(sent.at(), sent.workNs(), informed));
         server.workNs += sent.workNs();
         server.informedWorkNs += informed ? sent.workNs() : 0;
-        while (sent.at() - server.window.peekFirst().at() > config.fallNs) {
+        while (sent.at() - server.window.peekFirst().at() > config.overloadNs) {
             SentWork old = server.window.pollFirst();
             server.workNs -= old.workNs();
             server.informedWorkNs -= old.informed() ? old.workNs() : 0;
         }
-        double budget = config.fallMultiple * capacity(server.start, sent.at()) * config.fallNs;
+        double budget = config.fallMultiple * capacity(server.start, sent.at()) * config.overloadNs;
         if (server.informedWorkNs >= server.workNs * 2 / 3) {
             mostColdPart = Math.max(mostColdPart, server.workNs / budget);
             // Ten percent of tolerance, since the random work of flows is uneven over a second.
@@ -564,18 +564,18 @@
     }
 
     /** Returns what the server can do at its age, in cores of speed 1. */
-    private static double capacity(Seen.Started start, long at) {
+    private static double capacity(Observation.ServerStarted start, long at) {
         double age = start.coldNs() <= 0 ? 1 : Math.min(1, Math.max(0, (double) (at - start.at()) / start.coldNs()));
         return start.cores() * start.speed() * (start.coldFrom() + (1 - start.coldFrom()) * age);
     }
 
     // ---- Rule TWICE.
 
-    private void checkRun(Seen.Ran ran) {
+    private void checkRun(Observation.WorkChanged ran) {
         if (ran.begins()) {
             runsByFlow.computeIfAbsent(ran.flow(), f -> new ArrayList<>(1)).add(ran);
         }
-        boolean write = config.groups.get(ran.group()).repeats() != CoordinatorConfig.Repeats.RETRIABLE;
+        boolean write = config.groups.get(ran.group()).retrySafety() != CoordinatorConfig.RetrySafety.RETRIABLE;
         if (!config.soleOwner || !write) {
             return;
         }
@@ -613,7 +613,7 @@
         while (!firstAttempts.isEmpty() && (firstAttempts.peekFirst().at() < before || before == Long.MAX_VALUE)) {
             long flow = firstAttempts.pollFirst().flow();
             checkRetries(attemptsByFlow.remove(flow));
-            List<Seen.Ran> ran = runsByFlow.remove(flow);
+            List<Observation.WorkChanged> ran = runsByFlow.remove(flow);
             if (ran != null) {
                 checkEffects(ran);
             }
@@ -623,11 +623,11 @@
     /** Checks that a non-retriable flow was sent again only with proof that the attempt before never ran. */
     private void checkRetries(List<Attempt> flowAttempts) {
         for (int i = 1; i < flowAttempts.size(); i++) {
-            Seen.Sent again = flowAttempts.get(i).sent();
+            Observation.AttemptSent again = flowAttempts.get(i).sent();
             CoordinatorConfig.Group group = config.groups.get(again.group());
-            Seen.Ended before = flowAttempts.get(i - 1).ended();
-            boolean mayHaveRun = before == null || !before.proof();
-            if (mayHaveRun && group.repeats() == CoordinatorConfig.Repeats.NON_RETRIABLE) {
+            Observation.AttemptEnded before = flowAttempts.get(i - 1).ended();
+            boolean mayHaveRun = before == null || !before.provenNotRun();
+            if (mayHaveRun && group.retrySafety() == CoordinatorConfig.RetrySafety.NON_RETRIABLE) {
                 report(
                         Rule.TWICE,
                         again.at(),
@@ -639,11 +639,11 @@
     }
 
     /** Checks that the flow took effect once, or again only as its group allows. */
-    private void checkEffects(List<Seen.Ran> all) {
+    private void checkEffects(List<Observation.WorkChanged> all) {
         CoordinatorConfig.Group group = config.groups.get(all.get(0).group());
         for (int i = 1; i < all.size(); i++) {
-            Seen.Ran first = all.get(0);
-            Seen.Ran again = all.get(i);
+            Observation.WorkChanged first = all.get(0);
+            Observation.WorkChanged again = all.get(i);
             boolean inScope =
                     switch (group.dedupScope()) {
                         case "zone" -> first.zone() == again.zone();
@@ -651,9 +651,9 @@
                         default -> true;
                     };
             boolean broken =
-                    switch (group.repeats()) {
+                    switch (group.retrySafety()) {
                         case RETRIABLE -> false;
-                        case DEDUPED -> !inScope || again.at() - first.at() > group.windowNs();
+                        case DEDUPED -> !inScope || again.at() - first.at() > group.dedupWindowNs();
                         case NON_RETRIABLE -> true;
                     };
             if (broken) {
--- a/src/main/java/puffinbarrow/audit/Recorder.java
+++ b/src/main/java/puffinbarrow/audit/Recorder.java
@@ -11,7 +11,7 @@
  * may be called from any thread.
  */
 public final class Recorder {
-    private final ConcurrentLinkedQueue<Seen> queue = new ConcurrentLinkedQueue<>();
+    private final ConcurrentLinkedQueue<Observation> queue = new ConcurrentLinkedQueue<>();
     private final AtomicLong count = new AtomicLong();
     private final long capacity;
 
@@ -21,21 +21,21 @@
     }
 
     /** Adds an event, or drops it if the recorder is full. */
-    public void add(Seen seen) {
+    public void add(Observation seen) {
         if (count.incrementAndGet() <= capacity) {
             queue.add(seen);
         }
     }
 
     /** Returns the number of events that were dropped. */
-    public long lost() {
+    public long droppedCount() {
         return Math.max(0, count.get() - capacity);
     }
 
     /** Returns the events so far in order of time; events of equal time keep the order in which they were added. */
-    public List<Seen> all() {
-        List<Seen> all = new ArrayList<>(queue);
-        all.sort(Comparator.comparingLong(Seen::at));
+    public List<Observation> sorted() {
+        List<Observation> all = new ArrayList<>(queue);
+        all.sort(Comparator.comparingLong(Observation::at));
         return all;
     }
 }
--- a/src/main/java/puffinbarrow/config/Words.java
+++ b/src/main/java/puffinbarrow/config/ArgumentReader.java
@@ -10,7 +10,7 @@
  * expected, and the method returns a valid substitute, so that one pass finds the mistakes of all statements; only the
  * first mistake of a statement is reported. Not thread-safe; each parser uses an instance for each statement.
  */
-public final class Words {
+public final class ArgumentReader {
     private final Statement statement;
     private final List<Problem> problems;
     /** Index of the next word; the keyword has index 0. */
@@ -18,23 +18,23 @@
     /** No mistake has been found in the statement so far. */
     private boolean valid = true;
 
-    public Words(Statement statement, List<Problem> problems) {
+    public ArgumentReader(Statement statement, List<Problem> problems) {
         this.statement = statement;
         this.problems = problems;
     }
 
     /** Returns whether there are words left. */
-    public boolean more() {
+    public boolean hasMore() {
         return next < statement.words().size();
     }
 
     /** Returns whether no mistake has been found in the statement so far. */
-    public boolean sound() {
+    public boolean valid() {
         return valid;
     }
 
     /** Reports a mistake, unless an earlier one of the same statement was reported. */
-    public void wrong(String found, String expected) {
+    public void reportMistake(String found, String expected) {
         if (valid) {
             problems.add(statement.problem(statement.keyword() + ": found " + found + ", expected " + expected));
         }
@@ -42,7 +42,7 @@
     }
 
     /** Reports a keyword that is none of these, and skips the remaining words. */
-    public void unknown(List<String> keywords) {
+    public void reportUnknownKeyword(List<String> keywords) {
         String suggestion = nearest(statement.keyword(), keywords);
         problems.add(statement.problem("unknown keyword '" + statement.keyword() + "', expected one of "
                 + String.join(", ", keywords) + (suggestion == null ? "" : " (did you mean " + suggestion + "?)")));
@@ -51,16 +51,16 @@
 
     /** Returns the next word; empty if there is none. */
     public String text(String expected) {
-        if (!more()) {
-            wrong("the end of the line", expected);
+        if (!hasMore()) {
+            reportMistake("the end of the line", expected);
             return "";
         }
         return statement.words().get(next++);
     }
 
     /** Consumes the next word if it is the given one, and returns whether it was. */
-    public boolean take(String word) {
-        if (more() && statement.words().get(next).equals(word)) {
+    public boolean takeIfNext(String word) {
+        if (hasMore() && statement.words().get(next).equals(word)) {
             next++;
             return true;
         }
@@ -69,8 +69,8 @@
 
     /** Consumes the next word, which must be the given one. */
     public void expect(String word) {
-        if (!take(word)) {
-            wrong(more() ? quote(statement.words().get(next)) : "the end of the line", quote(word));
+        if (!takeIfNext(word)) {
+            reportMistake(hasMore() ? quote(statement.words().get(next)) : "the end of the line", quote(word));
         }
     }
 
@@ -79,7 +79,7 @@
         String word = text("one of " + String.join(", ", words));
         if (valid && !List.of(words).contains(word)) {
             String suggestion = nearest(word, List.of(words));
-            wrong(
+            reportMistake(
                     quote(word),
                     "one of " + String.join(", ", words)
                             + (suggestion == null ? "" : " (did you mean " + suggestion + "?)"));
@@ -98,12 +98,12 @@
         } catch (NumberFormatException notANumber) {
             // Reported below, as a number out of range is.
         }
-        wrong(quote(word), what + " from " + plain(least) + " to " + plain(most));
+        reportMistake(quote(word), what + " from " + plain(least) + " to " + plain(most));
         return least;
     }
 
     /** Returns the next word as an integer from {@code least} to {@code most}; {@code least} after a mistake. */
-    public long whole(String what, long least, long most) {
+    public long integer(String what, long least, long most) {
         String word = text(what);
         try {
             long value = Long.parseLong(word);
@@ -113,7 +113,7 @@
         } catch (NumberFormatException notANumber) {
             // Reported below.
         }
-        wrong(quote(word), what + ", a whole number from " + least + " to " + most);
+        reportMistake(quote(word), what + ", a whole number from " + least + " to " + most);
         return least;
     }
 
@@ -130,16 +130,16 @@
         } catch (NumberFormatException notANumber) {
             // Reported below.
         }
-        wrong(quote(word), what + ", a share such as 0.25 or 25%");
+        reportMistake(quote(word), what + ", a share such as 0.25 or 25%");
         return 1;
     }
 
     /** Returns a time such as 250us, 20ms, 1.5s, 2m or 1h, in nanoseconds; 1 after a mistake. */
-    public long time(String what) {
+    public long durationNs(String what) {
         String word = text(what);
         long value = nanos(word);
         if (value < 0) {
-            wrong(quote(word), what + ", a time such as 20ms, 1.5s or 2m");
+            reportMistake(quote(word), what + ", a time such as 20ms, 1.5s or 2m");
             return 1;
         }
         return value;
@@ -163,7 +163,7 @@
     }
 
     /** Returns a size such as 512, 64k, 4m or 1g, in bytes; 1 after a mistake. */
-    public long size(String what) {
+    public long sizeBytes(String what) {
         String word = text(what).toLowerCase(Locale.ROOT);
         int shift = word.endsWith("k") ? 10 : word.endsWith("m") ? 20 : word.endsWith("g") ? 30 : 0;
         try {
@@ -174,7 +174,7 @@
         } catch (NumberFormatException notANumber) {
             // Reported below.
         }
-        wrong(quote(word), what + ", a size such as 64k or 4m");
+        reportMistake(quote(word), what + ", a size such as 64k or 4m");
         return 1;
     }
 
@@ -195,7 +195,7 @@
         } catch (NumberFormatException notANumber) {
             // Reported below.
         }
-        wrong(quote(word), what + " as ADDRESS:PORT, such as 127.0.0.1:7400");
+        reportMistake(quote(word), what + " as ADDRESS:PORT, such as 127.0.0.1:7400");
         return new InetSocketAddress("127.0.0.1", 0);
     }
 
@@ -205,9 +205,9 @@
     }
 
     /** Reports a word that is left over. */
-    public void end() {
-        if (valid && more()) {
-            wrong(quote(statement.words().get(next)), "the end of the line");
+    public void expectEnd() {
+        if (valid && hasMore()) {
+            reportMistake(quote(statement.words().get(next)), "the end of the line");
         }
     }
 
--- a/src/main/java/puffinbarrow/config/CoordinatorConfig.java
+++ b/src/main/java/puffinbarrow/config/CoordinatorConfig.java
@@ -20,7 +20,7 @@
      * Whether a flow of a group may be executed more than once: freely, within the scope and window in which servers
      * drop duplicates, or not at all.
      */
-    public enum Repeats {
+    public enum RetrySafety {
         RETRIABLE,
         DEDUPED,
         NON_RETRIABLE
@@ -41,14 +41,14 @@
             double utility,
             long budgetNs,
             long expiryNs,
-            Repeats repeats,
+            RetrySafety retrySafety,
             String dedupScope,
-            long windowNs) {}
+            long dedupWindowNs) {}
 
     /** Number of this coordinator, from 0 to {@link #of} - 1. */
     public int number;
     /** Number of coordinators. */
-    public int of = 1;
+    public int coordinatorCount = 1;
     /** Zone of this coordinator, one of {@link #zones}; empty: not stated. */
     public String zone = "";
 
@@ -80,19 +80,19 @@
     /** Lines that the channel to the proxies carries per second. */
     public double linesPerS = 4000;
     /** Overhead of one message, in lines. */
-    public double headLines = 12;
+    public double messageOverheadLines = 12;
     /** Most messages to one proxy within {@link #messagesSpanNs}; 0: no limit. */
-    public int messages;
+    public int maxMessages;
 
     public long messagesSpanNs = 10_000_000_000L;
     /** Time between two reports of a proxy. */
     public long roundNs = 1_000_000_000L;
     /** Report lines that the coordinator takes in per second. */
-    public double intakePerS = 300;
+    public double reportLinesPerS = 300;
     /** Time within which proxies must have stopped sending to a server that drains or is gone. */
     public long graceNs = 3_000_000_000L;
     /** Longest time that a proxy may be without a backend for a slice. */
-    public long bareNs = 6_000_000_000L;
+    public long noBackendLimitNs = 6_000_000_000L;
     /** Age at which a backend is warm at the latest. */
     public long warmNs = 17_000_000_000L;
     /** Part of its full capacity that a backend has right after its start, 0 to 1. */
@@ -100,7 +100,7 @@
     /** A cold backend that gets more than this multiple of its present capacity for {@link #fallNs} crashes. */
     public double fallMultiple = 4;
 
-    public long fallNs = 1_500_000_000L;
+    public long overloadNs = 1_500_000_000L;
     /** The coordinator probes backends. */
     public boolean probes;
     /** A server that disappears from the list stays in use; false: proxies must stop sending to it. */
@@ -113,15 +113,15 @@
     public long proxyLeaseNs = 1_500_000_000L;
 
     /** Most frames that may wait for the next batch. */
-    public int inbox = 65_536;
+    public int inboxFrames = 65_536;
     /** Most bytes that may wait to be sent on one stream. */
-    public long outboundBytes = 4 << 20;
+    public long maxOutboundBytes = 4 << 20;
     /** Longest frame that is accepted, in bytes. */
-    public int frameBytes = 1 << 20;
+    public int maxFrameBytes = 1 << 20;
     /** Time within which a new stream must send its hello. */
-    public long helloNs = 5_000_000_000L;
+    public long helloTimeoutNs = 5_000_000_000L;
     /** Time after which a silent stream is closed. */
-    public long idleNs = 15_000_000_000L;
+    public long idleTimeoutNs = 15_000_000_000L;
     /** Log lines are JSON; false: text. */
     public boolean logJson;
 
@@ -198,15 +198,15 @@
 
     /** Reads the file and its includes; all mistakes are added to {@code problems}, and none stops the reading. */
     public static CoordinatorConfig read(Path file, List<Problem> problems) {
-        return of(Lines.read(file, problems), file.toString(), problems);
+        return coordinatorCount(StatementReader.read(file, problems), file.toString(), problems);
     }
 
     /** Parses the text as {@link #read} does a file; {@code name} stands for the file in problems. */
     public static CoordinatorConfig parse(String name, String text, List<Problem> problems) {
-        return of(Lines.parse(name, text, problems), name, problems);
+        return coordinatorCount(StatementReader.parse(name, text, problems), name, problems);
     }
 
-    private static CoordinatorConfig of(List<Statement> statements, String name, List<Problem> problems) {
+    private static CoordinatorConfig coordinatorCount(List<Statement> statements, String name, List<Problem> problems) {
         CoordinatorConfig config = new CoordinatorConfig();
         config.statements = statements;
         for (Statement statement : statements) {
@@ -218,11 +218,11 @@
     }
 
     /** Returns a configuration with the given decision settings and default sockets, for replaying a recording. */
-    public static CoordinatorConfig of(Settings from, long seed) {
+    public static CoordinatorConfig coordinatorCount(Settings from, long seed) {
         CoordinatorConfig config = new CoordinatorConfig();
         // Decisions do not see the number; the largest leaves all others to the peers in the recording.
         config.number = 999;
-        config.of = 1000;
+        config.coordinatorCount = 1000;
         config.seed = seed;
         config.listOnRequest = from.listOnRequest();
         config.levels = from.levelIsRate() ? "rate" : from.levelsApplied() ? "share" : "off";
@@ -232,7 +232,7 @@
                     group.utility(),
                     group.budgetNs(),
                     group.budgetNs(),
-                    Repeats.RETRIABLE,
+                    RetrySafety.RETRIABLE,
                     "all",
                     0));
         }
@@ -240,8 +240,8 @@
         config.soleOwner = from.soleOwner();
         config.queueLines = from.queueLimitLines();
         config.linesPerS = from.linesPerS();
-        config.headLines = from.messageOverheadLines();
-        config.messages = from.messagesAllowed();
+        config.messageOverheadLines = from.messageOverheadLines();
+        config.maxMessages = from.messagesAllowed();
         config.messagesSpanNs = from.messagesSpanNs();
         config.roundNs = from.roundNs();
         config.graceNs = from.graceNs();
@@ -256,7 +256,7 @@
     private void apply(Statement statement, List<Problem> problems) {
         String keyword = statement.keyword();
         if (!KEYWORDS.containsKey(keyword)) {
-            String suggestion = Words.nearest(keyword, KEYWORDS.keySet());
+            String suggestion = ArgumentReader.nearest(keyword, KEYWORDS.keySet());
             problems.add(statement.problem("unknown keyword '" + keyword + "', expected one of the settings"
                     + (suggestion == null
                             ? ""
@@ -269,12 +269,12 @@
                     keyword + ": given twice, expected once (first at " + before.file() + ":" + before.line() + ")"));
             return;
         }
-        Words words = new Words(statement, problems);
+        ArgumentReader words = new ArgumentReader(statement, problems);
         switch (keyword) {
             case "coordinator" -> {
-                number = (int) words.whole("its number", 0, 999);
+                number = (int) words.integer("its number", 0, 999);
                 words.expect("of");
-                of = (int) words.whole("how many coordinators there are", 1, 1000);
+                coordinatorCount = (int) words.integer("how many coordinators there are", 1, 1000);
             }
             case "zone" -> zone = words.text("a zone");
             case "zones" -> zones = names(words);
@@ -286,96 +286,97 @@
             }
             case "store" -> store = words.address("the table store");
             case "peer" -> {
-                int peer = (int) words.whole("the peer's number", 0, 999);
+                int peer = (int) words.integer("the peer's number", 0, 999);
                 if (peers.put(peer, words.address("the peer")) != null) {
-                    words.wrong("peer " + peer + " again", "each peer once");
+                    words.reportMistake("peer " + peer + " again", "each peer once");
                 }
             }
-            case "seed" -> seed = words.whole("a seed", 0, Long.MAX_VALUE);
+            case "seed" -> seed = words.integer("a seed", 0, Long.MAX_VALUE);
             case "group" -> group(words);
             case "slices" -> {
-                slices = (int) words.whole("how many slices keys fall into", 0, 65_534);
-                soleOwner = words.take("sole-owner");
+                slices = (int) words.integer("how many slices keys fall into", 0, 65_534);
+                soleOwner = words.takeIfNext("sole-owner");
             }
             case "levels" -> levels = words.oneOf("share", "rate", "off");
             case "queue" -> queueLines = words.number("lines that may wait in the channel", 1, 1e9);
             case "pace" -> linesPerS = words.number("lines per second", 1, 1e9);
-            case "head" -> headLines = words.number("overhead lines of a message", 0, 1e6);
+            case "head" -> messageOverheadLines = words.number("overhead lines of a message", 0, 1e6);
             case "messages" -> {
-                messages = (int) words.whole("messages to one proxy (0: no limit)", 0, 1_000_000);
+                maxMessages = (int) words.integer("messages to one proxy (0: no limit)", 0, 1_000_000);
                 words.expect("per");
-                messagesSpanNs = words.time("the span they are counted over");
+                messagesSpanNs = words.durationNs("the span they are counted over");
             }
-            case "round" -> roundNs = words.time("the time between reports of a proxy");
-            case "intake" -> intakePerS = words.number("report lines per second", 1, 1e9);
-            case "grace" -> graceNs = words.time("the grace period for drains");
-            case "bare" -> bareNs = words.time("how long a proxy may lack a backend");
-            case "warm" -> warmNs = words.time("when a backend is warm at the latest");
+            case "round" -> roundNs = words.durationNs("the time between reports of a proxy");
+            case "intake" -> reportLinesPerS = words.number("report lines per second", 1, 1e9);
+            case "grace" -> graceNs = words.durationNs("the grace period for drains");
+            case "bare" -> noBackendLimitNs = words.durationNs("how long a proxy may lack a backend");
+            case "warm" -> warmNs = words.durationNs("when a backend is warm at the latest");
             case "cold-share" -> coldShare = words.share("the part of its work a cold backend can do");
             case "fall-multiple" -> {
                 fallMultiple = words.number("a multiple of present capacity", 1, 1000);
                 words.expect("for");
-                fallNs = words.time("how long a backend withstands the overload");
+                overloadNs = words.durationNs("how long a backend withstands the overload");
             }
             case "probes" -> probes = words.onOff();
             case "gone" -> keepGoneServers = words.oneOf("binds", "stays").equals("stays");
-            case "tick" -> tickNs = words.time("the time between batches");
-            case "inbox" -> inbox = (int) words.whole("frames that may wait for a decision", 16, 100_000_000);
-            case "outbound" -> outboundBytes = words.size("bytes that may wait for one stream");
-            case "frame" -> frameBytes = (int) Math.min(1 << 28, words.size("the longest frame"));
-            case "hello" -> helloNs = words.time("how long a stream may take to say hello");
-            case "idle" -> idleNs = words.time("how long a stream may be silent");
+            case "tick" -> tickNs = words.durationNs("the time between batches");
+            case "inbox" -> inboxFrames = (int) words.integer("frames that may wait for a decision", 16, 100_000_000);
+            case "outbound" -> maxOutboundBytes = words.sizeBytes("bytes that may wait for one stream");
+            case "frame" -> maxFrameBytes = (int) Math.min(1 << 28, words.sizeBytes("the longest frame"));
+            case "hello" -> helloTimeoutNs = words.durationNs("how long a stream may take to say hello");
+            case "idle" -> idleTimeoutNs = words.durationNs("how long a stream may be silent");
             case "log" -> {
                 logJson = words.oneOf("text", "json").equals("json");
                 logLevel = words.oneOf("info", "error", "warn", "debug", "trace");
             }
             case "port-file" -> portFile = Path.of(words.text("a path"));
             case "failed-batches" -> failedBatches = Path.of(words.text("a folder"));
-            case "proxy-lease" -> proxyLeaseNs = words.time("how long a disconnected proxy goes on sending writes");
-            case "lease" -> leaseNs = words.time("how long a coordinator's lease lasts");
+            case "proxy-lease" -> proxyLeaseNs =
+                    words.durationNs("how long a disconnected proxy goes on sending writes");
+            case "lease" -> leaseNs = words.durationNs("how long a coordinator's lease lasts");
             case "memory" -> {
                 memory = Path.of(words.text("a folder"));
-                if (words.take("at-most")) {
-                    memoryBytes = words.size("the most bytes of disk it may take");
+                if (words.takeIfNext("at-most")) {
+                    memoryBytes = words.sizeBytes("the most bytes of disk it may take");
                 }
             }
             default -> throw new IllegalStateException(keyword);
         }
-        words.end();
+        words.expectEnd();
     }
 
-    private static List<String> names(Words words) {
+    private static List<String> names(ArgumentReader words) {
         List<String> names = new ArrayList<>();
         do {
             names.add(words.text("a zone's name"));
-        } while (words.more());
+        } while (words.hasMore());
         return names;
     }
 
-    private void group(Words words) {
+    private void group(ArgumentReader words) {
         String name = words.text("the group's name");
         words.expect("utility");
         double utility = words.number("its utility", 0, 1e9);
         words.expect("budget");
-        long budget = words.time("its latency budget");
+        long budget = words.durationNs("its latency budget");
         words.expect("expiry");
-        long expiry = words.time("its expiry");
+        long expiry = words.durationNs("its expiry");
         String repeatWord = words.oneOf("retriable", "deduped", "non-retriable");
         String scope = "all";
         long window = 0;
-        Repeats repeats = Repeats.RETRIABLE;
+        RetrySafety repeats = RetrySafety.RETRIABLE;
         if (repeatWord.equals("deduped")) {
-            repeats = Repeats.DEDUPED;
+            repeats = RetrySafety.DEDUPED;
             scope = words.oneOf("all", "zone", "cell");
-            window = words.time("how long servers drop duplicates");
+            window = words.durationNs("how long servers drop duplicates");
         } else if (repeatWord.equals("non-retriable")) {
-            repeats = Repeats.NON_RETRIABLE;
+            repeats = RetrySafety.NON_RETRIABLE;
         }
-        if (words.sound() && budget > expiry) {
-            words.wrong("a budget over its expiry", "a budget of at most " + expiry / 1e9 + "s");
+        if (words.valid() && budget > expiry) {
+            words.reportMistake("a budget over its expiry", "a budget of at most " + expiry / 1e9 + "s");
         }
-        if (words.sound() && groups.stream().anyMatch(g -> g.name().equals(name))) {
-            words.wrong("group " + name + " again", "each group once");
+        if (words.valid() && groups.stream().anyMatch(g -> g.name().equals(name))) {
+            words.reportMistake("group " + name + " again", "each group once");
         }
         groups.add(new Group(name, utility, budget, expiry, repeats, scope, window));
     }
@@ -391,8 +392,11 @@
         if (groups.size() > 30) {
             addProblem(problems, "group", "found " + groups.size() + " groups, expected 30 at most");
         }
-        if (number >= of) {
-            addProblem(problems, "coordinator", "found number " + number + " of " + of + ", expected one below " + of);
+        if (number >= coordinatorCount) {
+            addProblem(
+                    problems,
+                    "coordinator",
+                    "found number " + number + " of " + coordinatorCount + ", expected one below " + coordinatorCount);
         }
         if (!zone.isEmpty() && !zones.contains(zone)) {
             addProblem(problems, "zone", "found '" + zone + "', expected one of " + String.join(", ", zones));
@@ -413,11 +417,12 @@
                             + " lines per second, expected no longer than the grace period of " + graceNs / 1e9 + "s");
         }
         // A message costs at least its overhead, so one that fills the queue leaves no room for lines.
-        if (headLines >= queueLines) {
+        if (messageOverheadLines >= queueLines) {
             addProblem(
                     problems,
                     "head",
-                    "found an overhead of " + headLines + " lines, expected less than the queue's " + queueLines);
+                    "found an overhead of " + messageOverheadLines + " lines, expected less than the queue's "
+                            + queueLines);
         }
         if (tickNs > roundNs) {
             addProblem(
@@ -459,12 +464,12 @@
     }
 
     /** Copies the settings that may change while the coordinator runs. */
-    public void adopt(CoordinatorConfig reloaded) {
+    public void applyReloadable(CoordinatorConfig reloaded) {
         logJson = reloaded.logJson;
         logLevel = reloaded.logLevel;
-        inbox = reloaded.inbox;
-        idleNs = reloaded.idleNs;
-        helloNs = reloaded.helloNs;
+        inboxFrames = reloaded.inboxFrames;
+        idleTimeoutNs = reloaded.idleTimeoutNs;
+        helloTimeoutNs = reloaded.helloTimeoutNs;
     }
 
     /** Returns the index of this coordinator's zone in {@link #zones}; 0 if it has none. */
@@ -485,8 +490,8 @@
                 soleOwner,
                 queueLines,
                 linesPerS,
-                headLines,
-                messages,
+                messageOverheadLines,
+                maxMessages,
                 messagesSpanNs,
                 roundNs,
                 graceNs,
--- a/src/main/java/puffinbarrow/config/Lines.java
+++ b/src/main/java/puffinbarrow/config/StatementReader.java
@@ -16,27 +16,27 @@
  * file, whose path is relative to the including one. All mistakes are collected; none stops the reading. An instance
  * serves one call.
  */
-public final class Lines {
+public final class StatementReader {
     /** Deepest nesting of includes; a site, a role and a machine's own file need less, so more is a mistake. */
     private static final int MAX_INCLUDE_DEPTH = 8;
 
     private final List<Statement> statements = new ArrayList<>();
     private final List<Problem> problems;
 
-    private Lines(List<Problem> problems) {
+    private StatementReader(List<Problem> problems) {
         this.problems = problems;
     }
 
     /** Returns the statements of the file and its includes, in order; mistakes are added to {@code problems}. */
     public static List<Statement> read(Path file, List<Problem> problems) {
-        Lines lines = new Lines(problems);
+        StatementReader lines = new StatementReader(problems);
         lines.readFile(file, new LinkedHashSet<>(), null);
         return lines.statements;
     }
 
     /** Returns the statements of the text, for which {@code name} stands as the file in problems. */
     public static List<Statement> parse(String name, String text, List<Problem> problems) {
-        Lines lines = new Lines(problems);
+        StatementReader lines = new StatementReader(problems);
         lines.parseText(name, null, text, new LinkedHashSet<>());
         return lines.statements;
     }
--- a/src/main/java/puffinbarrow/coordinator/Coordinator.java
+++ b/src/main/java/puffinbarrow/coordinator/Coordinator.java
@@ -175,7 +175,7 @@
     }
 
     private void open() throws IOException {
-        listener = net.listen(config.listen, config.outboundBytes, channel -> new ClientConnection());
+        listener = net.listen(config.listen, config.maxOutboundBytes, channel -> new ClientConnection());
         admin = net.listen(config.admin, ADMIN_QUEUE_BYTES, channel -> new AdminConnection());
         Frame.Hello hello = new Frame.Hello(
                 Frame.MAJOR,
@@ -248,7 +248,7 @@
             Consumer<Frame> frames,
             Consumer<FrameSink> connectionChanged) {
         Dialer dialer = new Dialer(
-                net, name, to, () -> hello, config.outboundBytes, config.frameBytes, frames, connectionChanged);
+                net, name, to, () -> hello, config.maxOutboundBytes, config.maxFrameBytes, frames, connectionChanged);
         dialers.add(dialer);
         return dialer.start();
     }
@@ -333,14 +333,14 @@
         }
         if (running) {
             net.schedule(
-                    Math.max(MIN_IDLE_CHECK_MS, Math.min(MAX_IDLE_CHECK_MS, config.idleNs / 4_000_000)),
+                    Math.max(MIN_IDLE_CHECK_MS, Math.min(MAX_IDLE_CHECK_MS, config.idleTimeoutNs / 4_000_000)),
                     this::checkConnections);
         }
     }
 
     /** A connection from a proxy or a peer: handshake, dispatch of frames, and backpressure while the inbox is full. */
     private final class ClientConnection implements Link.Receiver, FrameSink {
-        private final FrameReader reader = new FrameReader(config.frameBytes, this::onFrame);
+        private final FrameReader reader = new FrameReader(config.maxFrameBytes, this::onFrame);
         private final long openedAtNs = System.nanoTime();
         private volatile Link link;
         /** The peer's hello, once it was accepted. */
@@ -357,9 +357,9 @@
 
         ClientConnection() {
             connections.add(this);
-            net.schedule(config.helloNs / 1_000_000 + 1, () -> {
+            net.schedule(config.helloTimeoutNs / 1_000_000 + 1, () -> {
                 if (hello == null && link != null) {
-                    refuse(Frame.RefusalReason.EXPECTED_HELLO, "no hello within " + config.helloNs / 1e9 + " s");
+                    refuse(Frame.RefusalReason.EXPECTED_HELLO, "no hello within " + config.helloTimeoutNs / 1e9 + " s");
                 }
             });
         }
@@ -434,7 +434,9 @@
                         Frame.RefusalReason.VERSION,
                         "version " + first.major() + ", " + Frame.MAJOR + " is spoken here");
             } else if (first.role() == Frame.Role.PEER) {
-                if (first.number() == config.number || first.number() < 0 || first.number() >= config.of) {
+                if (first.number() == config.number
+                        || first.number() < 0
+                        || first.number() >= config.coordinatorCount) {
                     refuse(Frame.RefusalReason.UNKNOWN_PEER, "no peer " + first.number());
                     return;
                 }
@@ -485,10 +487,10 @@
             if (open == null || hello == null) {
                 return;
             }
-            if (now - lastReceivedNs > config.idleNs || now > answerDeadlineNs) {
+            if (now - lastReceivedNs > config.idleTimeoutNs || now > answerDeadlineNs) {
                 meters.countCause("streams.refused", Frame.RefusalReason.TOO_SLOW);
                 open.close(Link.Cause.CLOSED_HERE, "silent for " + (now - lastReceivedNs) / 1_000_000 + " ms");
-            } else if (now - lastReceivedNs > config.idleNs / 3) {
+            } else if (now - lastReceivedNs > config.idleTimeoutNs / 3) {
                 send(FrameWriter.encode(new Frame.Ping(now)));
             }
         }
@@ -643,8 +645,8 @@
     public List<Problem> reload(CoordinatorConfig again) {
         List<Problem> refused = config.refusedChanges(again);
         refused.forEach(p -> LOG.atWarn().log(p.toString()));
-        config.adopt(again);
-        core.inboxLimit(config.inbox);
+        config.applyReloadable(again);
+        core.inboxLimit(config.inboxFrames);
         return refused;
     }
 
--- a/src/main/java/puffinbarrow/coordinator/CoordinatorCore.java
+++ b/src/main/java/puffinbarrow/coordinator/CoordinatorCore.java
@@ -51,7 +51,7 @@
         public static final RateLimits UNLIMITED = new RateLimits(1e15, 1e15, 0);
 
         static RateLimits of(CoordinatorConfig config) {
-            return new RateLimits(config.linesPerS, config.intakePerS, config.roundNs);
+            return new RateLimits(config.linesPerS, config.reportLinesPerS, config.roundNs);
         }
     }
 
@@ -185,8 +185,9 @@
         this.environment = around;
         this.meters = meters;
         this.sliced = config.slices > 0;
-        this.inbox = new Inbox<>(config.inbox);
-        this.channel = new PacedChannel(config.queueLines, tempo.linesPerS(), config.messages, config.messagesSpanNs);
+        this.inbox = new Inbox<>(config.inboxFrames);
+        this.channel =
+                new PacedChannel(config.queueLines, tempo.linesPerS(), config.maxMessages, config.messagesSpanNs);
         this.aggregator = new ReportAggregator(tempo.intakePerS(), tempo.reportIntervalNs());
         this.controller = factory.start(config.settings(), config.seed);
         meters.gauge("streams.joined", this, c -> c.proxies.size());
@@ -208,7 +209,7 @@
             ownerPause = new OwnerChangePause(
                     config.proxyLeaseNs,
                     config.groups.stream()
-                            .filter(g -> g.repeats() != CoordinatorConfig.Repeats.RETRIABLE)
+                            .filter(g -> g.retrySafety() != CoordinatorConfig.RetrySafety.RETRIABLE)
                             .mapToLong(CoordinatorConfig.Group::expiryNs)
                             .max()
                             .orElse(0));
@@ -618,7 +619,7 @@
                 bytes = writer.encodeCopy(new Frame.Orders(turn, now, carried.size(), all, terms(all)));
                 lines = all.size();
             }
-            enqueue(now, each.getKey(), each.getValue(), bytes, config.headLines + lines, mark);
+            enqueue(now, each.getKey(), each.getValue(), bytes, config.messageOverheadLines + lines, mark);
         }
         meters.add("orders.lines", common.size());
     }
@@ -759,7 +760,7 @@
     /** Returns the lines of the admin listener's status answer. */
     private Map<String, Object> status() {
         Map<String, Object> status = new TreeMap<>();
-        status.put("coordinator", config.number + " of " + config.of);
+        status.put("coordinator", config.number + " of " + config.coordinatorCount);
         status.put("proxies", List.copyOf(proxies.keySet()));
         status.put("slices in charge", ownedSlices.size() + " of " + config.slices);
         status.put("masked", List.copyOf(masked));
--- a/src/main/java/puffinbarrow/day/Day.java
+++ b/src/main/java/puffinbarrow/day/Day.java
@@ -18,8 +18,8 @@
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
 import puffinbarrow.audit.Audit;
+import puffinbarrow.audit.Observation;
 import puffinbarrow.audit.Recorder;
-import puffinbarrow.audit.Seen;
 import puffinbarrow.config.CoordinatorConfig;
 import puffinbarrow.control.Controller;
 import puffinbarrow.control.Event;
@@ -227,7 +227,7 @@
                 recorder,
                 plan.randomSource(FIRST_BACKEND_STREAM + backendsCreated),
                 config.fallMultiple,
-                config.fallNs);
+                config.overloadNs);
         backendsCreated++;
         backends.put(backend.id(), backend);
         return backend;
@@ -320,7 +320,7 @@
         }
         Map<Integer, Map<String, Double>> metrics = new TreeMap<>();
         coordinators.forEach((number, c) -> metrics.put(number, c.metrics()));
-        List<Seen> seen = recorder.all();
+        List<Observation> seen = recorder.sorted();
         List<Ended> flows = List.copyOf(ended);
         Audit.Verdict verdict = Audit.judge(plan.stretched(), seen, beganAt);
         return new DayReport(
@@ -331,7 +331,7 @@
                 scenario,
                 result[0],
                 beganAt,
-                recorder.lost(),
+                recorder.droppedCount(),
                 metrics,
                 List.copyOf(log),
                 FaultEffects.summary(script, seen, flows, beganAt),
@@ -348,14 +348,14 @@
     }
 
     /** Counts attempts at servers that were made to flap or drain, in the 10 s after each coordinator's restart. */
-    private long attemptsAtUnstable(List<Seen> seen) {
+    private long attemptsAtUnstable(List<Observation> seen) {
         long count = 0;
         for (Script.Trouble fault : script.troubles) {
             long from = beganAt + fault.atNs() + fault.forNs();
             count += fault.kind() != Script.Kind.KILL
                     ? 0
                     : seen.stream()
-                            .filter(s -> s instanceof Seen.Sent sent
+                            .filter(s -> s instanceof Observation.AttemptSent sent
                                     && sent.at() >= from
                                     && sent.at() < from + 10 * SECOND
                                     && strikes.unstable().contains(sent.server()))
--- a/src/main/java/puffinbarrow/day/DayReport.java
+++ b/src/main/java/puffinbarrow/day/DayReport.java
@@ -224,30 +224,28 @@
                         Locale.ROOT,
                         "nobody left without a backend: longest %.2f s of %.2f s",
                         verdict.longestBareNs() / 1e9,
-                        config.bareNs / 1e9));
+                        config.noBackendLimitNs / 1e9));
         summaries.put(Audit.Rule.TWICE, "no effect twice: " + verdict.attempts() + " attempts looked at");
         summaries.put(
                 Audit.Rule.DRAIN,
                 String.format(
                         Locale.ROOT,
                         "drains kept: the last send %.2f s after the word, %.2f s " + "allowed",
-                        verdict.latestDrainNs() / 1e9,
+                        verdict.longestDrainNs() / 1e9,
                         config.graceNs / 1e9));
         summaries.put(
                 Audit.Rule.COLD,
                 String.format(
-                        Locale.ROOT,
-                        "no cold backend pushed over: at most %.2f of the budget",
-                        verdict.mostColdPart()));
+                        Locale.ROOT, "no cold backend pushed over: at most %.2f of the budget", verdict.maxColdLoad()));
         summaries.put(
                 Audit.Rule.QUEUE,
                 String.format(
                         Locale.ROOT,
                         "a short queue: %.0f lines of %.0f, %d messages%s",
-                        verdict.mostQueued(),
+                        verdict.maxQueuedLines(),
                         config.queueLines,
-                        verdict.mostMessages(),
-                        config.messages > 0 ? " of " + config.messages : ""));
+                        verdict.maxMessagesInSpan(),
+                        config.maxMessages > 0 ? " of " + config.maxMessages : ""));
         summaries.put(Audit.Rule.VOICE, "one voice: no slice had two under one term, no proxy took an older one");
         return summaries;
     }
--- a/src/main/java/puffinbarrow/day/FaultEffects.java
+++ b/src/main/java/puffinbarrow/day/FaultEffects.java
@@ -5,7 +5,7 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
-import puffinbarrow.audit.Seen;
+import puffinbarrow.audit.Observation;
 import puffinbarrow.control.Event;
 import puffinbarrow.control.Order;
 import puffinbarrow.load.Ended;
@@ -22,13 +22,13 @@
     private FaultEffects() {}
 
     /** Returns a line for each fault of the script, in its order. */
-    static List<String> summary(Script script, List<Seen> seen, List<Ended> flows, long beganAt) {
+    static List<String> summary(Script script, List<Observation> seen, List<Ended> flows, long beganAt) {
         List<String> lines = new ArrayList<>();
         for (Script.Trouble fault : script.troubles) {
             long from = beganAt + fault.atNs();
             long to = from + durationNs(script, fault) + SYMPTOM_DELAY_NS;
             Map<String, Long> counts = new TreeMap<>();
-            for (Seen event : seen) {
+            for (Observation event : seen) {
                 if (event.at() >= from && event.at() < to) {
                     count(event, counts);
                 }
@@ -64,25 +64,25 @@
         return Math.min(script.lengthNs - fault.atNs(), (long) (batches * (fault.forNs() + 2_000_000_000L)));
     }
 
-    private static void count(Seen event, Map<String, Long> counts) {
-        if (event instanceof Seen.Ended ended && !ended.good()) {
-            add(counts, ended.proof() ? "tries turned away" : "tries failed", 1);
-        } else if (event instanceof Seen.Sent sent && sent.attempt() > 0) {
+    private static void count(Observation event, Map<String, Long> counts) {
+        if (event instanceof Observation.AttemptEnded ended && !ended.good()) {
+            add(counts, ended.provenNotRun() ? "tries turned away" : "tries failed", 1);
+        } else if (event instanceof Observation.AttemptSent sent && sent.attempt() > 0) {
             add(counts, "tries again", 1);
-        } else if (event instanceof Seen.Stream stream) {
+        } else if (event instanceof Observation.StreamChanged stream) {
             add(counts, stream.up() ? "streams joined" : "streams broken", 1);
-        } else if (event instanceof Seen.ChargeTold charge) {
+        } else if (event instanceof Observation.ChargeSent charge) {
             add(counts, charge.given() ? "charges given" : "charges taken", 1);
-        } else if (event instanceof Seen.ListTold list) {
+        } else if (event instanceof Observation.ListSent list) {
             add(counts, "lists told " + list.kind().name().toLowerCase(Locale.ROOT), 1);
             for (Event.Entry entry : list.entries()) {
                 if (entry.listed() != Event.Listed.READY) {
                     add(counts, "servers told " + entry.listed().name().toLowerCase(Locale.ROOT), 1);
                 }
             }
-        } else if (event instanceof Seen.Started) {
+        } else if (event instanceof Observation.ServerStarted) {
             add(counts, "cold starts", 1);
-        } else if (event instanceof Seen.Applied applied && applied.proxy() == 0) {
+        } else if (event instanceof Observation.OrdersApplied applied && applied.proxy() == 0) {
             // Counted at proxy 0 only, as each proxy is sent the same orders.
             for (Order order : applied.orders()) {
                 if (order instanceof Order.Mask mask) {
--- a/src/main/java/puffinbarrow/day/Plan.java
+++ b/src/main/java/puffinbarrow/day/Plan.java
@@ -134,7 +134,7 @@
         }
         CoordinatorConfig config = config(0, List.of());
         config.graceNs = (long) (config.graceNs / pace) + stoppedNs + suspendedNs;
-        config.bareNs = (long) (config.bareNs / pace) + stoppedNs + suspendedNs;
+        config.noBackendLimitNs = (long) (config.noBackendLimitNs / pace) + stoppedNs + suspendedNs;
         return config;
     }
 
@@ -146,7 +146,7 @@
     /** Returns the longest time for which servers recognize repeats of a deduped flow, in ns. */
     public static long dedupNs(CoordinatorConfig config) {
         return config.groups.stream()
-                .mapToLong(CoordinatorConfig.Group::windowNs)
+                .mapToLong(CoordinatorConfig.Group::dedupWindowNs)
                 .max()
                 .orElse(0);
     }
@@ -192,7 +192,7 @@
                     group.expiryNs() / 1_000_000,
                     group.budgetNs() / 5000,
                     script.workSpread > 0 ? " spread " + script.workSpread : "",
-                    group.repeats() == CoordinatorConfig.Repeats.RETRIABLE ? "" : " non-retriable"));
+                    group.retrySafety() == CoordinatorConfig.RetrySafety.RETRIABLE ? "" : " non-retriable"));
         }
         for (Script.Trouble fault : script.troubles) {
             String period = fault.atNs() / 1_000_000 + "ms for " + fault.forNs() / 1_000_000 + "ms";
--- a/src/main/java/puffinbarrow/day/Script.java
+++ b/src/main/java/puffinbarrow/day/Script.java
@@ -6,10 +6,10 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
-import puffinbarrow.config.Lines;
+import puffinbarrow.config.ArgumentReader;
 import puffinbarrow.config.Problem;
 import puffinbarrow.config.Statement;
-import puffinbarrow.config.Words;
+import puffinbarrow.config.StatementReader;
 
 /**
  * A scripted day: the fleet, its traffic, and the faults with their times. Read by {@link Day} and the emulator before
@@ -190,12 +190,12 @@
 
     /** Reads a script from a file and adds what is wrong with it to the problems. */
     public static Script read(Path file, List<Problem> problems) {
-        return of(Lines.read(file, problems), problems);
+        return of(StatementReader.read(file, problems), problems);
     }
 
     /** Reads a script from text; {@code name} stands for the file in problems. */
     public static Script parse(String name, String text, List<Problem> problems) {
-        return of(Lines.parse(name, text, problems), problems);
+        return of(StatementReader.parse(name, text, problems), problems);
     }
 
     /** Adds a problem for each size beyond what one machine can play on sockets; the emulator takes more. */
@@ -218,9 +218,9 @@
     public static Script of(List<Statement> statements, List<Problem> problems) {
         Script script = new Script();
         for (Statement statement : statements) {
-            Words words = new Words(statement, problems);
+            ArgumentReader words = new ArgumentReader(statement, problems);
             script.readStatement(statement, words);
-            words.end();
+            words.expectEnd();
         }
         for (Trouble fault : script.troubles) {
             if (fault.atNs() > script.lengthNs) {
@@ -242,26 +242,26 @@
     }
 
     /** Reads one line of the script into the fields. */
-    private void readStatement(Statement statement, Words words) {
+    private void readStatement(Statement statement, ArgumentReader words) {
         switch (statement.keyword()) {
-            case "coordinators" -> coordinators = (int) words.whole("how many coordinators", 1, 50);
-            case "proxies" -> proxies = (int) words.whole("how many proxies", 1, 10_000);
+            case "coordinators" -> coordinators = (int) words.integer("how many coordinators", 1, 50);
+            case "proxies" -> proxies = (int) words.integer("how many proxies", 1, 10_000);
             case "backends" -> {
-                backends = (int) words.whole("how many backends", 1, 10_000);
-                if (words.take("cores")) {
-                    cores = (int) words.whole("their cores", 1, 64);
+                backends = (int) words.integer("how many backends", 1, 10_000);
+                if (words.takeIfNext("cores")) {
+                    cores = (int) words.integer("their cores", 1, 64);
                 }
-                if (words.take("speed")) {
+                if (words.takeIfNext("speed")) {
                     speedLow = words.number("the slowest's speed", 0.05, 20);
                     words.expect("to");
                     speedHigh = words.number("the fastest's speed", speedLow, 20);
                 }
             }
-            case "zones" -> zones = (int) words.whole("how many zones", 1, 9);
-            case "slices" -> slices = (int) words.whole("how many slices", 1, 65_534);
+            case "zones" -> zones = (int) words.integer("how many zones", 1, 9);
+            case "slices" -> slices = (int) words.integer("how many slices", 1, 65_534);
             case "rate" -> rate = words.number("flows a second", 0.1, 200_000);
-            case "length" -> lengthNs = words.time("the day's length");
-            case "seed" -> seed = words.whole("a seed", 0, Long.MAX_VALUE);
+            case "length" -> lengthNs = words.durationNs("the day's length");
+            case "seed" -> seed = words.integer("a seed", 0, Long.MAX_VALUE);
             case "work" -> {
                 if (words.oneOf("spread", "exponential").equals("spread")) {
                     workSpread = words.number("the log-normal spread of flows' work", 0.001, 3);
@@ -269,44 +269,44 @@
                     workSpread = 0;
                 }
             }
-            case "retries" -> retries = (int) words.whole("a client's own retries", 0, 5);
+            case "retries" -> retries = (int) words.integer("a client's own retries", 0, 5);
             case "cold" -> {
                 coldFrom = words.share("the share that a cold backend can do");
                 words.expect("for");
-                coldNs = words.time("until it is warm");
+                coldNs = words.durationNs("until it is warm");
             }
-            case "transit" -> transitNs = words.time("the mean delay of a message");
-            case "sums-late" -> sumsLateNs = words.time("how late sums arrive");
+            case "transit" -> transitNs = words.durationNs("the mean delay of a message");
+            case "sums-late" -> sumsLateNs = words.durationNs("how late sums arrive");
             case "notice" -> {
-                noticeLowNs = words.time("the shortest delay of the server list");
+                noticeLowNs = words.durationNs("the shortest delay of the server list");
                 words.expect("to");
-                noticeHighNs = words.time("the longest delay");
-                if (words.sound() && noticeHighNs < noticeLowNs) {
-                    words.wrong("a longest delay below the shortest", "a longer time");
+                noticeHighNs = words.durationNs("the longest delay");
+                if (words.valid() && noticeHighNs < noticeLowNs) {
+                    words.reportMistake("a longest delay below the shortest", "a longer time");
                 }
             }
             case "takeover" -> {
-                takeoverNs = words.time("until the store reassigns slices");
+                takeoverNs = words.durationNs("until the store reassigns slices");
                 leaseNs = 0;
             }
-            case "lease" -> leaseNs = words.time("a coordinator's lease");
+            case "lease" -> leaseNs = words.durationNs("a coordinator's lease");
             case "memory" -> memory = words.onOff();
             case "list" -> ask = words.oneOf("push", "ask").equals("ask");
             case "set" -> {
                 StringBuilder line = new StringBuilder();
-                while (words.more()) {
+                while (words.hasMore()) {
                     line.append(words.text("a setting")).append(' ');
                 }
                 settings.add(line.toString().trim());
             }
             case "at" -> readFault(statement, words);
-            default -> words.unknown(KEYWORDS);
+            default -> words.reportUnknownKeyword(KEYWORDS);
         }
     }
 
     /** Reads the rest of a line {@code at}. */
-    private void readFault(Statement statement, Words words) {
-        long at = words.time("when it begins");
+    private void readFault(Statement statement, ArgumentReader words) {
+        long at = words.durationNs("when it begins");
         String text = String.join(
                 " ",
                 statement
@@ -317,13 +317,13 @@
         switch (words.oneOf(
                 "traffic", "hot", "heavy", "backends", "release", "list", "coordinator", "cut", "proxies", "store")) {
             case "traffic" -> {
-                Kind kind = words.take("peak") ? Kind.PEAK : Kind.TRAFFIC;
+                Kind kind = words.takeIfNext("peak") ? Kind.PEAK : Kind.TRAFFIC;
                 words.expect("x");
                 double factor = words.number("times the usual", 0, 100);
                 add(kind, at, readDuration(words), Pick.NONE, 0, factor, 0, 0, "", text);
             }
             case "hot" -> {
-                int keys = (int) words.whole("how many keys", 1, 100);
+                int keys = (int) words.integer("how many keys", 1, 100);
                 words.expect("keys");
                 double share = words.share("their share of traffic");
                 add(Kind.HOT, at, readDuration(words), Pick.NONE, share, 0, 0, keys, "", text);
@@ -339,7 +339,7 @@
                 words.expect("batch");
                 double batch = words.share("the share in one batch");
                 words.expect("drain");
-                long drain = words.time("a batch's drain");
+                long drain = words.durationNs("a batch's drain");
                 add(Kind.RELEASE, at, drain, new Pick(0, share, -1), batch, 0, 0, 0, "", text);
             }
             case "list" -> {
@@ -352,7 +352,7 @@
                 }
             }
             case "coordinator" -> {
-                int number = (int) words.whole("its number", 0, 49);
+                int number = (int) words.integer("its number", 0, 49);
                 switch (words.oneOf("killed", "pace", "stops", "frozen", "leaves")) {
                     case "frozen" -> add(Kind.FREEZE, at, readDuration(words), Pick.NONE, 0, 0, 0, number, "", text);
                     case "leaves" -> add(Kind.LEAVE, at, readDuration(words), Pick.NONE, 0, 0, 0, number, "", text);
@@ -376,7 +376,7 @@
             }
             case "cut" -> {
                 words.expect("coordinator");
-                int number = (int) words.whole("its number", 0, 49);
+                int number = (int) words.integer("its number", 0, 49);
                 words.expect("from");
                 String from = words.oneOf("peers", "store", "registry", "proxies", "all");
                 add(Kind.CUT, at, readDuration(words), Pick.NONE, 0, 0, 0, number, from, text);
@@ -385,7 +385,7 @@
                 switch (words.oneOf("away", "slow", "loses")) {
                     case "away" -> add(Kind.STORE_AWAY, at, readDuration(words), Pick.NONE, 0, 0, 0, 0, "", text);
                     case "slow" -> {
-                        long by = words.time("by how much");
+                        long by = words.durationNs("by how much");
                         add(Kind.STORE_SLOW, at, readDuration(words), Pick.NONE, 0, by, 0, 0, "", text);
                     }
                     default -> {
@@ -404,9 +404,9 @@
     }
 
     /** Reads the rest of a line {@code at TIME backends}. */
-    private void readBackendFault(long at, Words words, String text) {
-        if (words.take("add")) {
-            int count = (int) words.whole("how many", 1, 10_000);
+    private void readBackendFault(long at, ArgumentReader words, String text) {
+        if (words.takeIfNext("add")) {
+            int count = (int) words.integer("how many", 1, 10_000);
             add(Kind.ADD, at, 0, new Pick(count, 0, -1), 0, 0, 0, 0, "", text);
             return;
         }
@@ -443,9 +443,9 @@
                         text);
             }
             case "pause", "flap" -> {
-                long outage = words.time("how long each time");
+                long outage = words.durationNs("how long each time");
                 words.expect("every");
-                long every = words.time("how often");
+                long every = words.durationNs("how often");
                 long lasts = readDuration(words);
                 add(what.equals("pause") ? Kind.PAUSE : Kind.FLAP, at, lasts, pick, 0, outage, every, 0, "", text);
             }
@@ -455,18 +455,18 @@
     }
 
     /** Reads {@code for TIME}; in ns. */
-    private static long readDuration(Words words) {
+    private static long readDuration(ArgumentReader words) {
         words.expect("for");
-        return words.time("how long it lasts");
+        return words.durationNs("how long it lasts");
     }
 
     /** Reads which backends are struck. */
-    private Pick readPick(Words words) {
-        if (words.take("zone")) {
-            return new Pick(0, 0, (int) words.whole("the zone's number", 0, zones - 1));
+    private Pick readPick(ArgumentReader words) {
+        if (words.takeIfNext("zone")) {
+            return new Pick(0, 0, (int) words.integer("the zone's number", 0, zones - 1));
         }
-        if (words.take("cells")) {
-            return new Pick(0, 0, -1, (int) words.whole("how many cells", 1, 1000));
+        if (words.takeIfNext("cells")) {
+            return new Pick(0, 0, -1, (int) words.integer("how many cells", 1, 1000));
         }
         String word = words.text("a count, a share such as 25%, zone NUMBER or cells COUNT");
         try {
@@ -475,7 +475,7 @@
             }
             return new Pick(Integer.parseInt(word), 0, -1);
         } catch (NumberFormatException notANumber) {
-            words.wrong("'" + word + "'", "a count, a share such as 25%, zone NUMBER or cells COUNT");
+            words.reportMistake("'" + word + "'", "a count, a share such as 25%, zone NUMBER or cells COUNT");
             return Pick.NONE;
         }
     }
--- a/src/main/java/puffinbarrow/day/TakeoverTimes.java
+++ b/src/main/java/puffinbarrow/day/TakeoverTimes.java
@@ -5,7 +5,7 @@
 import java.util.Locale;
 import java.util.Map;
 import org.HdrHistogram.Histogram;
-import puffinbarrow.audit.Seen;
+import puffinbarrow.audit.Observation;
 
 /**
  * Measures how long slices had no coordinator in charge after theirs was killed, suspended or told to leave, from what
@@ -15,7 +15,7 @@
     private TakeoverTimes() {}
 
     /** @param beganAt when the day began, in ns of {@link System#nanoTime} */
-    static String summary(Script script, List<Seen> seen, long beganAt) {
+    static String summary(Script script, List<Observation> seen, long beganAt) {
         Histogram lost = new Histogram(3);
         Histogram left = new Histogram(3);
         for (Script.Trouble fault : script.troubles) {
@@ -28,8 +28,8 @@
                 continue;
             }
             Map<Integer, Integer> inCharge = new HashMap<>();
-            for (Seen event : seen) {
-                if (!(event instanceof Seen.ChargeTold charge) || !charge.given()) {
+            for (Observation event : seen) {
+                if (!(event instanceof Observation.ChargeSent charge) || !charge.given()) {
                     continue;
                 }
                 if (charge.at() < beganAt + fault.atNs()) {
--- a/src/main/java/puffinbarrow/emulator/CoordinatorModel.java
+++ b/src/main/java/puffinbarrow/emulator/CoordinatorModel.java
@@ -144,7 +144,7 @@
                 this,
                 fleet.script.memory ? new MemoryModel() : CoordinatorCore.Memory.NONE,
                 meters,
-                new CoordinatorCore.RateLimits(config.linesPerS, config.intakePerS, config.roundNs));
+                new CoordinatorCore.RateLimits(config.linesPerS, config.reportLinesPerS, config.roundNs));
         holder = null;
         if (config.leaseNs > 0) {
             holder = new LeaseHolder(
--- a/src/main/java/puffinbarrow/emulator/Experiment.java
+++ b/src/main/java/puffinbarrow/emulator/Experiment.java
@@ -14,10 +14,10 @@
 import java.util.regex.Pattern;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
-import puffinbarrow.config.Lines;
+import puffinbarrow.config.ArgumentReader;
 import puffinbarrow.config.Problem;
 import puffinbarrow.config.Statement;
-import puffinbarrow.config.Words;
+import puffinbarrow.config.StatementReader;
 
 /**
  * Describes an experiment: a base day, lines drawn anew for each seed, factors with levels, policies and seeds. A run
@@ -75,21 +75,21 @@
      * @param builtIn returns the text of a day that comes with the program, or null
      */
     public static Experiment read(Path file, Function<String, String> builtIn, List<Problem> problems) {
-        return build(Lines.read(file, problems), file, builtIn, problems);
+        return build(StatementReader.read(file, problems), file, builtIn, problems);
     }
 
     /** Reads an experiment from a text; the name stands for the file in problems. */
     public static Experiment parse(String name, String text, Function<String, String> builtIn, List<Problem> problems) {
-        return build(Lines.parse(name, text, problems), Path.of(name), builtIn, problems);
+        return build(StatementReader.parse(name, text, problems), Path.of(name), builtIn, problems);
     }
 
     private static Experiment build(
             List<Statement> statements, Path file, Function<String, String> builtIn, List<Problem> problems) {
         Experiment experiment = new Experiment();
         for (Statement statement : statements) {
-            Words words = new Words(statement, problems);
+            ArgumentReader words = new ArgumentReader(statement, problems);
             experiment.readStatement(statement, words, file, builtIn);
-            words.end();
+            words.expectEnd();
         }
         if (experiment.policies.isEmpty()) {
             experiment.policies.add("ours");
@@ -101,7 +101,7 @@
     }
 
     /** Reads a line of the file. */
-    private void readStatement(Statement statement, Words words, Path file, Function<String, String> builtIn) {
+    private void readStatement(Statement statement, ArgumentReader words, Path file, Function<String, String> builtIn) {
         switch (statement.keyword()) {
             case "name" -> name = words.text("the experiment's name");
             case "day" -> {
@@ -112,12 +112,12 @@
                             ? Files.readString(besideFile, StandardCharsets.UTF_8)
                             : builtIn.apply(day);
                     if (dayText == null) {
-                        words.wrong("'" + day + "'", "the file of a day beside this one, or default or monday");
+                        words.reportMistake("'" + day + "'", "the file of a day beside this one, or default or monday");
                     } else {
                         baseDay = dayText;
                     }
                 } catch (IOException unreadable) {
-                    words.wrong("'" + day + "', which cannot be read", "the file of a day");
+                    words.reportMistake("'" + day + "', which cannot be read", "the file of a day");
                 }
             }
             case "line" -> fixedLines.add(restOfLine(words));
@@ -125,11 +125,11 @@
                 String factor = words.text("the factor's name");
                 String level = words.text("the level's name");
                 List<String> levelLines = new ArrayList<>();
-                while (words.more()) {
+                while (words.hasMore()) {
                     levelLines.add(words.text("a line of a day in quotes"));
                 }
                 if (factors.computeIfAbsent(factor, f -> new LinkedHashMap<>()).put(level, levelLines) != null) {
-                    words.wrong("level " + level + " of " + factor + " a second time", "each level once");
+                    words.reportMistake("level " + level + " of " + factor + " a second time", "each level once");
                 }
             }
             case "draw" -> drawnLines.add(new Drawn(1, "", restOfLine(words)));
@@ -141,8 +141,8 @@
             case "policy" -> {
                 do {
                     String policy = words.text("a policy");
-                    if (words.sound() && Policy.named(policy) == null) {
-                        words.wrong(
+                    if (words.valid() && Policy.named(policy) == null) {
+                        words.reportMistake(
                                 "'" + policy + "'",
                                 "one of "
                                         + String.join(
@@ -152,24 +152,24 @@
                                                         .toList()));
                     }
                     policies.add(policy);
-                } while (words.more());
+                } while (words.hasMore());
             }
             case "seeds" -> {
-                firstSeed = words.whole("the first seed", 0, Long.MAX_VALUE / 2);
+                firstSeed = words.integer("the first seed", 0, Long.MAX_VALUE / 2);
                 words.expect("to");
-                lastSeed = words.whole("the last seed", firstSeed, firstSeed + 1_000_000);
+                lastSeed = words.integer("the last seed", firstSeed, firstSeed + 1_000_000);
             }
-            case "most-events" -> maxEvents = words.whole("events after which a run has failed", 1, Long.MAX_VALUE);
-            default -> words.unknown(KEYWORDS);
+            case "most-events" -> maxEvents = words.integer("events after which a run has failed", 1, Long.MAX_VALUE);
+            default -> words.reportUnknownKeyword(KEYWORDS);
         }
     }
 
     /** Returns the remaining words as one line. */
-    private static String restOfLine(Words words) {
+    private static String restOfLine(ArgumentReader words) {
         StringBuilder line = new StringBuilder();
         do {
             line.append(line.length() > 0 ? " " : "").append(words.text("a line of a day"));
-        } while (words.more());
+        } while (words.hasMore());
         return line.toString();
     }
 
--- a/src/main/java/puffinbarrow/emulator/Fleet.java
+++ b/src/main/java/puffinbarrow/emulator/Fleet.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.TreeSet;
 import puffinbarrow.audit.Audit;
-import puffinbarrow.audit.Seen;
+import puffinbarrow.audit.Observation;
 import puffinbarrow.config.CoordinatorConfig;
 import puffinbarrow.control.Event;
 import puffinbarrow.day.Machine;
@@ -116,7 +116,7 @@
                         script.coldNs,
                         Plan.dedupNs(config),
                         config.fallMultiple,
-                        config.fallNs));
+                        config.overloadNs));
         servers.put(server.id(), server);
         return server;
     }
@@ -137,8 +137,8 @@
     }
 
     /** Hands an observation to the audit. */
-    void observe(Seen seen) {
-        audit.take(seen);
+    void observe(Observation seen) {
+        audit.add(seen);
     }
 
     /** Returns the frame in these bytes. One buffer is sent to many proxies, so the last result is cached. */
@@ -217,7 +217,7 @@
         scenario = plan.traffic(config, targets, trafficShares);
         clients = new Clients(this, scenario);
         beganAtNs = simulation.now();
-        audit.countFrom(beganAtNs);
+        audit.setEpoch(beganAtNs);
         clients.start();
         for (Script.Trouble trouble : script.troubles) {
             simulation.after(trouble.atNs(), () -> strikes.strike(trouble));
@@ -257,7 +257,7 @@
         outcome.events = simulation.events();
         outcome.beganAtNs = beganAtNs - Simulation.EPOCH_NS;
         outcome.log = List.copyOf(log);
-        Audit.Verdict verdict = audit.verdict(simulation.now());
+        Audit.Verdict verdict = audit.conclude(simulation.now());
         outcome.verdict = verdict;
         TreeSet<String> broken = new TreeSet<>();
         verdict.findings().forEach(f -> broken.add(f.rule().name().toLowerCase(Locale.ROOT)));
--- a/src/main/java/puffinbarrow/emulator/ModelParameters.java
+++ b/src/main/java/puffinbarrow/emulator/ModelParameters.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Locale;
-import puffinbarrow.config.Words;
+import puffinbarrow.config.ArgumentReader;
 
 /**
  * Parameters of the models of servers, proxies and network that the script of the day does not set; read from its
@@ -101,52 +101,52 @@
             "audited");
 
     /** Reads the words after {@code model}. */
-    void readLine(Words words) {
+    void readLine(ArgumentReader words) {
         switch (words.oneOf(KEYS.toArray(String[]::new))) {
-            case "network" -> networkDelayNs = words.time("the network delay in one direction");
+            case "network" -> networkDelayNs = words.durationNs("the network delay in one direction");
             case "pick" -> pick = Pick.valueOf(constantName(words.oneOf("weighted", "rotate", "two-choices")));
             case "work" -> sharing = Sharing.valueOf(constantName(words.oneOf("slots", "processor")));
             case "overdue" -> overdue = Overdue.valueOf(constantName(words.oneOf("dropped", "goes-on", "stops")));
             case "loss-when-full" -> {
                 lossWhenFull = words.share("the share of its capacity that a full server loses");
-                if (words.sound() && lossWhenFull > 0.95) {
-                    words.wrong("a server that does no work when full", "0.95 at most");
+                if (words.valid() && lossWhenFull > 0.95) {
+                    words.reportMistake("a server that does no work when full", "0.95 at most");
                 }
             }
-            case "handshake" -> handshakeNs = words.time("the work of a handshake at the server");
+            case "handshake" -> handshakeNs = words.durationNs("the work of a handshake at the server");
             case "connections" -> {
-                connectionsPerCore = (int) words.whole("connections accepted per core", 1, 1_000_000);
-                if (words.take("kept")) {
-                    idleConnectionNs = words.time("the time for which an idle connection is kept");
+                connectionsPerCore = (int) words.integer("connections accepted per core", 1, 1_000_000);
+                if (words.takeIfNext("kept")) {
+                    idleConnectionNs = words.durationNs("the time for which an idle connection is kept");
                 }
             }
-            case "waiting-room" -> waitingPerCore = (int) words.whole("flows that may wait per core", 0, 1_000_000);
+            case "waiting-room" -> waitingPerCore = (int) words.integer("flows that may wait per core", 0, 1_000_000);
             case "warm-keys" -> {
-                warmKeysPerCore = (int) words.whole("keys remembered per core", 0, 1_000_000);
-                if (words.take("gain")) {
+                warmKeysPerCore = (int) words.integer("keys remembered per core", 0, 1_000_000);
+                if (words.takeIfNext("gain")) {
                     warmKeyGain = words.share("the share of the work that a warm key saves");
                 }
             }
             case "reports" -> {
                 words.expect("every");
-                reportIntervalNs = Math.max(1, words.time("the interval between load reports"));
-                if (words.take("noise")) {
+                reportIntervalNs = Math.max(1, words.durationNs("the interval between load reports"));
+                if (words.takeIfNext("noise")) {
                     reportNoise = words.share("the largest relative error of the busy share");
                 }
             }
-            case "apply" -> applyNsPerLine = words.time("the time that a proxy takes to apply a line");
+            case "apply" -> applyNsPerLine = words.durationNs("the time that a proxy takes to apply a line");
             case "avoid" -> {
                 failuresToAvoid =
-                        (int) words.whole("failures in a row before a proxy avoids a server (0: never)", 0, 1000);
-                if (words.take("for")) {
-                    avoidNs = words.time("the time for which the server is avoided");
+                        (int) words.integer("failures in a row before a proxy avoids a server (0: never)", 0, 1000);
+                if (words.takeIfNext("for")) {
+                    avoidNs = words.durationNs("the time for which the server is avoided");
                 }
             }
-            case "hold" -> holdNs = words.time("the time for which a flow without a server is held");
+            case "hold" -> holdNs = words.durationNs("the time for which a flow without a server is held");
             case "try" -> attemptBudgets =
                     words.number("the time-out of an attempt that may be retried, in latency budgets", 0.01, 100);
-            case "cell" -> cellSize = (int) words.whole("backends per cell", 1, 10_000);
-            default -> auditedProxies = (int) words.whole("proxies whose tables are audited", 0, 10_000);
+            case "cell" -> cellSize = (int) words.integer("backends per cell", 1, 10_000);
+            default -> auditedProxies = (int) words.integer("proxies whose tables are audited", 0, 10_000);
         }
     }
 
--- a/src/main/java/puffinbarrow/emulator/Proxy.java
+++ b/src/main/java/puffinbarrow/emulator/Proxy.java
@@ -13,7 +13,7 @@
 import java.util.TreeMap;
 import java.util.function.IntConsumer;
 import org.apache.commons.rng.UniformRandomProvider;
-import puffinbarrow.audit.Seen;
+import puffinbarrow.audit.Observation;
 import puffinbarrow.config.CoordinatorConfig;
 import puffinbarrow.control.Event;
 import puffinbarrow.control.Order;
@@ -296,7 +296,7 @@
                 up = false;
                 lostAtNs = simulation.now();
                 pendingOrders.clear();
-                observe(new Seen.Stream(simulation.now(), number, coordinator.number, false));
+                observe(new Observation.StreamChanged(simulation.now(), number, coordinator.number, false));
             }
         }
 
@@ -325,7 +325,7 @@
                 redialPauseNs = CoordinatorModel.MIN_REDIAL_PAUSE_NS;
                 welcomed(w.incarnation());
             } else if (frame instanceof Frame.Orders orders && up) {
-                fleet.observe(new Seen.Arrived(
+                fleet.observe(new Observation.OrdersReceived(
                         simulation.now(),
                         number,
                         coordinator.number,
@@ -353,14 +353,14 @@
                 masks.clear();
                 Arrays.fill(levels, null);
                 if (audited) {
-                    fleet.observe(new Seen.Applied(
+                    fleet.observe(new Observation.OrdersApplied(
                             simulation.now(), number, coordinator.number, simulation.now(), liftedMasks));
                 }
             }
             up = welcomedBefore = true;
             pendingOrders.clear();
             applying = false;
-            observe(new Seen.Stream(simulation.now(), number, coordinator.number, true));
+            observe(new Observation.StreamChanged(simulation.now(), number, coordinator.number, true));
             // Read twice: what the coordinator wrote to the store just before its welcome may still be in transit.
             fleet.store.readAll(Proxy.this);
             simulation.after(STORE_REREAD_DELAY_NS, () -> fleet.store.readAll(Proxy.this));
@@ -415,7 +415,7 @@
                 }
             }
             if (audited) {
-                fleet.observe(new Seen.Applied(
+                fleet.observe(new Observation.OrdersApplied(
                         simulation.now(),
                         number,
                         coordinator.number,
@@ -438,7 +438,7 @@
             });
         }
 
-        private void observe(Seen seen) {
+        private void observe(Observation seen) {
             fleet.observe(seen);
         }
     }
@@ -563,7 +563,7 @@
             if (owners[slice] != owner) {
                 owners[slice] = owner;
                 if (audited) {
-                    fleet.observe(new Seen.OwnerRead(simulation.now(), number, slice, owner));
+                    fleet.observe(new Observation.OwnerRead(simulation.now(), number, slice, owner));
                 }
             }
         }
@@ -574,7 +574,7 @@
                 for (int i = 0; i < table.size(); i++) {
                     lines.add(new Order.SetLine(slice, table.servers[i].id(), table.weights[i]));
                 }
-                fleet.observe(new Seen.TableRead(simulation.now(), number, slice, lines));
+                fleet.observe(new Observation.TableRead(simulation.now(), number, slice, lines));
             }
         }
     }
@@ -598,11 +598,13 @@
                 terms[slice] = term.term();
                 owners[slice] = stream.coordinator.number;
                 if (audited) {
-                    fleet.observe(new Seen.OwnerRead(simulation.now(), number, slice, stream.coordinator.number));
+                    fleet.observe(
+                            new Observation.OwnerRead(simulation.now(), number, slice, stream.coordinator.number));
                 }
             }
             if (audited) {
-                fleet.observe(new Seen.Took(simulation.now(), number, stream.coordinator.number, slice, term.term()));
+                fleet.observe(new Observation.TermApplied(
+                        simulation.now(), number, stream.coordinator.number, slice, term.term()));
             }
         }
         return stale;
@@ -660,7 +662,7 @@
         }
         flow.tried.add(server);
         Attempt attempt = new Attempt(flow, server, flow.attempt, now);
-        fleet.observe(new Seen.Sent(
+        fleet.observe(new Observation.AttemptSent(
                 now,
                 number,
                 server.id(),
@@ -724,7 +726,7 @@
      * might have been named unnoticed.
      */
     private boolean maySend(Flow flow, CoordinatorStream stream, long now) {
-        return config.groups.get(flow.group).repeats() == CoordinatorConfig.Repeats.RETRIABLE
+        return config.groups.get(flow.group).retrySafety() == CoordinatorConfig.RetrySafety.RETRIABLE
                 || stream != null
                         && (stream.up || now - stream.lostAtNs < config.proxyLeaseNs)
                         && (!fleet.store.unavailable() || now - storeLostAtNs < config.proxyLeaseNs);
@@ -800,7 +802,7 @@
         long now = simulation.now();
         boolean succeeded = code == Server.OK;
         boolean provenNotRun = code == Server.REJECTED || code == Server.CONNECT_FAILED;
-        fleet.observe(new Seen.Ended(now, number, flow.id, attempt.number, succeeded, provenNotRun));
+        fleet.observe(new Observation.AttemptEnded(now, number, flow.id, attempt.number, succeeded, provenNotRun));
         if (model.pick == ModelParameters.Pick.TWO_CHOICES) {
             inFlight.get(attempt.server)[0]--;
         }
--- a/src/main/java/puffinbarrow/emulator/RegistryModel.java
+++ b/src/main/java/puffinbarrow/emulator/RegistryModel.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import org.apache.commons.rng.UniformRandomProvider;
-import puffinbarrow.audit.Seen;
+import puffinbarrow.audit.Observation;
 import puffinbarrow.control.Event;
 import puffinbarrow.coordinator.FrameSink;
 import puffinbarrow.proto.Frame;
@@ -96,7 +96,7 @@
                 disconnect(coordinator);
                 return;
             }
-            fleet.observe(new Seen.ListTold(simulation.now(), coordinator.number, kind, list));
+            fleet.observe(new Observation.ListSent(simulation.now(), coordinator.number, kind, list));
             long sentVersion = version;
             simulation.after(fleet.model.networkDelayNs, () -> {
                 if (isOpen()) {
--- a/src/main/java/puffinbarrow/emulator/Server.java
+++ b/src/main/java/puffinbarrow/emulator/Server.java
@@ -9,7 +9,7 @@
 import java.util.PriorityQueue;
 import java.util.function.Consumer;
 import org.apache.commons.rng.UniformRandomProvider;
-import puffinbarrow.audit.Seen;
+import puffinbarrow.audit.Observation;
 import puffinbarrow.control.Event;
 import puffinbarrow.day.Machine;
 
@@ -227,7 +227,8 @@
     /** Starts the warm-up now. */
     void beginCold() {
         startedAtNs = simulation.now();
-        fleet.observe(new Seen.Started(startedAtNs, id, spec.cores, spec.speed, spec.coldFrom, spec.coldNs));
+        fleet.observe(
+                new Observation.ServerStarted(startedAtNs, id, spec.cores, spec.speed, spec.coldFrom, spec.coldNs));
     }
 
     @Override
@@ -404,7 +405,7 @@
             warmKeys.remove(warmKeys.keySet().iterator().next());
         }
         attempt.begun = true;
-        fleet.observe(new Seen.Ran(
+        fleet.observe(new Observation.WorkChanged(
                 simulation.now(),
                 id,
                 spec.zone,
@@ -456,7 +457,7 @@
     private void complete(Job job) {
         Proxy.Attempt attempt = job.attempt;
         completedSinceReport++;
-        fleet.observe(new Seen.Ran(
+        fleet.observe(new Observation.WorkChanged(
                 simulation.now(),
                 id,
                 spec.zone,
--- a/src/main/java/puffinbarrow/emulator/Setup.java
+++ b/src/main/java/puffinbarrow/emulator/Setup.java
@@ -3,10 +3,10 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import puffinbarrow.config.Lines;
+import puffinbarrow.config.ArgumentReader;
 import puffinbarrow.config.Problem;
 import puffinbarrow.config.Statement;
-import puffinbarrow.config.Words;
+import puffinbarrow.config.StatementReader;
 import puffinbarrow.day.Script;
 
 /**
@@ -15,12 +15,12 @@
 public record Setup(Script script, ModelParameters model) {
     /** Reads a file; mistakes are added to the problems. */
     public static Setup read(Path file, List<Problem> problems) {
-        return build(Lines.read(file, problems), problems);
+        return build(StatementReader.read(file, problems), problems);
     }
 
     /** Reads a text; the name stands for the file in problems. */
     public static Setup parse(String name, String text, List<Problem> problems) {
-        return build(Lines.parse(name, text, problems), problems);
+        return build(StatementReader.parse(name, text, problems), problems);
     }
 
     private static Setup build(List<Statement> statements, List<Problem> problems) {
@@ -28,9 +28,9 @@
         List<Statement> scriptStatements = new ArrayList<>();
         for (Statement statement : statements) {
             if (statement.keyword().equals("model")) {
-                Words words = new Words(statement, problems);
+                ArgumentReader words = new ArgumentReader(statement, problems);
                 model.readLine(words);
-                words.end();
+                words.expectEnd();
             } else {
                 scriptStatements.add(statement);
             }
--- a/src/main/java/puffinbarrow/emulator/StoreModel.java
+++ b/src/main/java/puffinbarrow/emulator/StoreModel.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import org.apache.commons.rng.UniformRandomProvider;
-import puffinbarrow.audit.Seen;
+import puffinbarrow.audit.Observation;
 import puffinbarrow.control.Order;
 import puffinbarrow.coordinator.FrameSink;
 import puffinbarrow.proto.Frame;
@@ -225,7 +225,7 @@
 
     /** Tells a coordinator that a slice is given to it or taken from it, with the stored table if given. */
     private void announceCharge(Stream to, int slice, boolean given) {
-        fleet.observe(new Seen.ChargeTold(simulation.now(), to.coordinator.number, slice, given));
+        fleet.observe(new Observation.ChargeSent(simulation.now(), to.coordinator.number, slice, given));
         to.deliver(new Frame.Charge(slice, given));
         if (given) {
             to.deliver(stored(slice));
@@ -354,11 +354,11 @@
     private void ownerChanged(Frame.SliceOwnerRecord ownerRecord) {
         int slice = ownerRecord.slice();
         if (owner[slice] >= 0) {
-            fleet.observe(new Seen.ChargeTold(simulation.now(), owner[slice], slice, false));
+            fleet.observe(new Observation.ChargeSent(simulation.now(), owner[slice], slice, false));
             ownerChanges += owner[slice] == ownerRecord.owner() ? 0 : 1;
         }
         owner[slice] = ownerRecord.owner();
-        fleet.observe(new Seen.ChargeTold(simulation.now(), ownerRecord.owner(), slice, true));
+        fleet.observe(new Observation.ChargeSent(simulation.now(), ownerRecord.owner(), slice, true));
         notifyProxies(slice);
     }
 
--- a/src/main/java/puffinbarrow/load/Scenario.java
+++ b/src/main/java/puffinbarrow/load/Scenario.java
@@ -7,10 +7,10 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import puffinbarrow.config.Lines;
+import puffinbarrow.config.ArgumentReader;
 import puffinbarrow.config.Problem;
 import puffinbarrow.config.Statement;
-import puffinbarrow.config.Words;
+import puffinbarrow.config.StatementReader;
 
 /**
  * What a load run sends: targets, groups, arrivals and shapes of the rate, parsed from a scenario file whose lines
@@ -232,7 +232,7 @@
 
     /** Reads a scenario file. Adds what is wrong to the problems; the scenario is valid only if there are none. */
     public static Scenario read(Path file, List<Problem> problems) {
-        return build(Lines.read(file, problems), file.toString(), problems);
+        return build(StatementReader.read(file, problems), file.toString(), problems);
     }
 
     /**
@@ -241,16 +241,16 @@
      * @param name stands for the file in problems
      */
     public static Scenario parse(String name, String text, List<Problem> problems) {
-        return build(Lines.parse(name, text, problems), name, problems);
+        return build(StatementReader.parse(name, text, problems), name, problems);
     }
 
     /** Builds a scenario from its statements and checks what depends on several of them. */
     private static Scenario build(List<Statement> statements, String name, List<Problem> problems) {
         Scenario scenario = new Scenario();
         for (Statement statement : statements) {
-            Words words = new Words(statement, problems);
+            ArgumentReader words = new ArgumentReader(statement, problems);
             scenario.parseStatement(statement, words);
-            words.end();
+            words.expectEnd();
         }
         if (scenario.trace == null
                 && statements.stream()
@@ -281,54 +281,55 @@
         return scenario;
     }
 
-    private void parseStatement(Statement statement, Words words) {
+    private void parseStatement(Statement statement, ArgumentReader words) {
         switch (statement.keyword()) {
             case "target" -> {
                 InetSocketAddress target = words.address("a loopback target");
-                if (words.sound() && !target.getAddress().isLoopbackAddress()) {
-                    words.wrong("'" + target + "'", "a loopback address, as load is sent to this machine only");
+                if (words.valid() && !target.getAddress().isLoopbackAddress()) {
+                    words.reportMistake("'" + target + "'", "a loopback address, as load is sent to this machine only");
                 }
                 targets.add(target);
-                targetWeights.add(words.take("weight") ? words.number("its weight among the targets", 0.0001, 1e6) : 1);
+                targetWeights.add(
+                        words.takeIfNext("weight") ? words.number("its weight among the targets", 0.0001, 1e6) : 1);
             }
-            case "seed" -> seed = words.whole("a seed", 0, Long.MAX_VALUE);
+            case "seed" -> seed = words.integer("a seed", 0, Long.MAX_VALUE);
             case "length" -> {
-                lengthNs = words.time("the run's length");
+                lengthNs = words.durationNs("the run's length");
                 lengthGiven = true;
             }
             case "rate" -> rate = words.number("flows a second", 0.001, MAX_RATE);
             case "arrivals" -> parseArrivals(words);
             case "shape" -> parseShape(words);
             case "hot" -> {
-                int count = (int) words.whole("the number of keys", 1, 1000);
+                int count = (int) words.integer("the number of keys", 1, 1000);
                 words.expect("keys");
                 double share = words.share("their share of flows");
                 words.expect("at");
-                long at = words.time("the start time");
+                long at = words.durationNs("the start time");
                 words.expect("for");
-                hotKeys.add(new HotKeys(count, share, at, words.time("the duration")));
+                hotKeys.add(new HotKeys(count, share, at, words.durationNs("the duration")));
             }
             case "heavy" -> {
                 double share = words.share("the share of flows");
                 words.expect("x");
                 double factor = words.number("the factor on the work", 1, 1000);
                 words.expect("at");
-                long at = words.time("the start time");
+                long at = words.durationNs("the start time");
                 words.expect("for");
-                heavyWork.add(new HeavyWork(share, factor, at, words.time("the duration")));
+                heavyWork.add(new HeavyWork(share, factor, at, words.durationNs("the duration")));
             }
             case "slices" -> {
-                slices = (int) words.whole("the number of slices", 1, 1_000_000);
-                if (words.take("uneven")) {
+                slices = (int) words.integer("the number of slices", 1, 1_000_000);
+                if (words.takeIfNext("uneven")) {
                     minSliceWeight = words.number("the smallest slice's weight", 0.0001, 1e6);
                     words.expect("to");
                     maxSliceWeight = words.number("the largest slice's weight", minSliceWeight, 1e6);
                 }
-                if (words.take("keys")) {
-                    keysPerSlice = (int) words.whole("the keys of each slice", 1, 1_000_000);
+                if (words.takeIfNext("keys")) {
+                    keysPerSlice = (int) words.integer("the keys of each slice", 1, 1_000_000);
                 }
             }
-            case "senders" -> senders = (int) words.whole("the sending threads", 1, 64);
+            case "senders" -> senders = (int) words.integer("the sending threads", 1, 64);
             case "trace",
                     "trace-speed",
                     "trace-rate",
@@ -338,31 +339,31 @@
                     "column" -> parseTrace(statement.keyword(), words);
             case "group" -> parseGroup(words);
             case "keys" -> {
-                keys = (int) words.whole("the number of keys", 1, 100_000_000);
-                if (words.take("zipf")) {
+                keys = (int) words.integer("the number of keys", 1, 100_000_000);
+                if (words.takeIfNext("zipf")) {
                     zipf = words.number("the exponent", 0, 5);
                 }
             }
             case "retries" -> {
-                retries = (int) words.whole("the retries of a client", 0, 10);
-                if (words.take("wait")) {
-                    retryWaitNs = words.time("the wait before the first retry");
+                retries = (int) words.integer("the retries of a client", 0, 10);
+                if (words.takeIfNext("wait")) {
+                    retryWaitNs = words.durationNs("the wait before the first retry");
                 }
-                obeysRetryAfter = words.take("obey");
+                obeysRetryAfter = words.takeIfNext("obey");
             }
-            case "connections" -> connections = (int) words.whole("the connections to each target", 1, 60_000);
-            case "in-flight" -> inFlight = (int) words.whole("the flows in flight", 1, 1_000_000);
-            default -> words.unknown(KEYWORDS);
+            case "connections" -> connections = (int) words.integer("the connections to each target", 1, 60_000);
+            case "in-flight" -> inFlight = (int) words.integer("the flows in flight", 1, 1_000_000);
+            default -> words.reportUnknownKeyword(KEYWORDS);
         }
     }
 
     /** Parses one of the statements about the trace. */
-    private void parseTrace(String keyword, Words words) {
+    private void parseTrace(String keyword, ArgumentReader words) {
         trace = trace == null ? new FromTrace() : trace;
         switch (keyword) {
             case "trace" -> {
                 trace.file = Path.of(words.text("the trace's file"));
-                if (words.more()) {
+                if (words.hasMore()) {
                     trace.format = Trace.Format.valueOf(
                             words.oneOf("clf", "csv", "json", "har").toUpperCase(Locale.ROOT));
                 }
@@ -376,19 +377,19 @@
                 trace.rate = words.number("the factor on the number of flows", 0.0001, 1000);
             }
             case "trace-cut" -> {
-                trace.cutFromNs = words.time("the start of the cut");
+                trace.cutFromNs = words.durationNs("the start of the cut");
                 words.expect("to");
-                trace.cutToNs = words.time("the end of the cut");
-                if (words.sound() && trace.cutToNs <= trace.cutFromNs) {
-                    words.wrong("an end that is not after the start", "a later time");
+                trace.cutToNs = words.durationNs("the end of the cut");
+                if (words.valid() && trace.cutToNs <= trace.cutFromNs) {
+                    words.reportMistake("an end that is not after the start", "a later time");
                 }
             }
-            case "trace-loop" -> trace.loops = (int) words.whole("the number of times", 1, 1_000_000);
+            case "trace-loop" -> trace.loops = (int) words.integer("the number of times", 1, 1_000_000);
             case "trace-malformed" -> trace.malformedShare = words.share("the share of lines that may be malformed");
             default -> {
                 String field = words.oneOf(TRACE_FIELDS);
                 trace.columns.put(field, words.text("the name of the column"));
-                if (field.equals("time") && words.more()) {
+                if (field.equals("time") && words.hasMore()) {
                     trace.unit = words.oneOf("ns", "us", "ms", "s", "iso");
                 }
             }
@@ -432,27 +433,27 @@
         return flat;
     }
 
-    private void parseArrivals(Words words) {
+    private void parseArrivals(ArgumentReader words) {
         arrivalProcess = ArrivalProcess.valueOf(
                 words.oneOf("poisson", "constant", "bursts").toUpperCase(Locale.ROOT));
-        if (arrivalProcess == ArrivalProcess.BURSTS && words.take("x")) {
+        if (arrivalProcess == ArrivalProcess.BURSTS && words.takeIfNext("x")) {
             burstFactor = words.number("the factor on the rate in a burst", 1, 1000);
             words.expect("for");
-            meanBurstNs = Math.max(1, words.time("a burst's mean length"));
+            meanBurstNs = Math.max(1, words.durationNs("a burst's mean length"));
             words.expect("every");
-            meanPauseNs = Math.max(1, words.time("the mean time between bursts"));
+            meanPauseNs = Math.max(1, words.durationNs("the mean time between bursts"));
         }
     }
 
-    private void parseShape(Words words) {
+    private void parseShape(ArgumentReader words) {
         switch (words.oneOf("peak", "ramp", "jump", "step", "sine")) {
             case "peak" -> {
                 words.expect("x");
                 double factor = words.number("the factor on the rate at the peak", 0, 1000);
                 words.expect("at");
-                long at = words.time("the start time");
+                long at = words.durationNs("the start time");
                 words.expect("width");
-                shapes.add(new Peak(factor, at, Math.max(1, words.time("the width"))));
+                shapes.add(new Peak(factor, at, Math.max(1, words.durationNs("the width"))));
             }
             case "ramp" -> {
                 words.expect("from");
@@ -460,51 +461,51 @@
                 words.expect("to");
                 double to = words.number("the factor at the end", 0, 1000);
                 words.expect("over");
-                shapes.add(new Ramp(from, to, Math.max(1, words.time("the duration"))));
+                shapes.add(new Ramp(from, to, Math.max(1, words.durationNs("the duration"))));
             }
             case "jump" -> {
                 words.expect("x");
                 double factor = words.number("the factor on the rate", 0, 1000);
                 words.expect("at");
-                long at = words.time("the start time");
+                long at = words.durationNs("the start time");
                 words.expect("for");
-                shapes.add(new Jump(factor, at, words.time("the duration")));
+                shapes.add(new Jump(factor, at, words.durationNs("the duration")));
             }
             case "step" -> {
                 words.expect("x");
                 double factor = words.number("the factor on the rate", 0, 1000);
                 words.expect("at");
-                shapes.add(new Jump(factor, words.time("the start time"), Long.MAX_VALUE));
+                shapes.add(new Jump(factor, words.durationNs("the start time"), Long.MAX_VALUE));
             }
             default -> {
                 words.expect("by");
                 double amplitude = words.share("the amplitude");
                 words.expect("every");
-                shapes.add(new Sine(amplitude, Math.max(1, words.time("the period"))));
+                shapes.add(new Sine(amplitude, Math.max(1, words.durationNs("the period"))));
             }
         }
     }
 
-    private void parseGroup(Words words) {
+    private void parseGroup(ArgumentReader words) {
         String name = words.text("the group's name");
         words.expect("share");
         double share = words.number("its weight among the groups", 0, 1e6);
         words.expect("utility");
         double utility = words.number("its utility", 0, 1e6);
         words.expect("budget");
-        long budget = words.time("its latency budget");
+        long budget = words.durationNs("its latency budget");
         words.expect("expiry");
-        long expiry = words.time("its expiry");
+        long expiry = words.durationNs("its expiry");
         words.expect("path");
         String path = words.text("its path");
-        String method = words.take("method") ? words.text("its method") : "GET";
-        int body = words.take("body") ? (int) words.size("its body") : 0;
-        long work = words.take("work") ? words.time("the work asked of stand-in servers") : 0;
-        double spread = words.take("spread") ? words.number("the log-normal spread of its work", 0.001, 3) : 0;
-        boolean repeats = !words.take("non-retriable");
-        String match = words.take("match") ? words.text("the start of the paths of a trace") : "";
-        if (words.sound() && budget > expiry) {
-            words.wrong("a budget longer than the expiry", "a budget of at most " + expiry / 1e9 + "s");
+        String method = words.takeIfNext("method") ? words.text("its method") : "GET";
+        int body = words.takeIfNext("body") ? (int) words.sizeBytes("its body") : 0;
+        long work = words.takeIfNext("work") ? words.durationNs("the work asked of stand-in servers") : 0;
+        double spread = words.takeIfNext("spread") ? words.number("the log-normal spread of its work", 0.001, 3) : 0;
+        boolean repeats = !words.takeIfNext("non-retriable");
+        String match = words.takeIfNext("match") ? words.text("the start of the paths of a trace") : "";
+        if (words.valid() && budget > expiry) {
+            words.reportMistake("a budget longer than the expiry", "a budget of at most " + expiry / 1e9 + "s");
         }
         groups.add(new Group(name, share, utility, budget, expiry, method, path, body, work, spread, repeats, match));
     }
--- a/src/main/java/puffinbarrow/replay/CoordinatorAdapter.java
+++ b/src/main/java/puffinbarrow/replay/CoordinatorAdapter.java
@@ -145,14 +145,14 @@
         registryListener = net.listen(any, 64 << 20, channel -> accept(true));
         storeListener = net.listen(any, 64 << 20, channel -> accept(false));
         backendsListener = net.listen(any, 1 << 20, channel -> new ProbeReceiver());
-        CoordinatorConfig config = CoordinatorConfig.of(settings, seed);
+        CoordinatorConfig config = CoordinatorConfig.coordinatorCount(settings, seed);
         config.registry = registryListener.address();
         config.store = settings.slices() > 0 ? storeListener.address() : null;
         // Each batch is a turn; no tick and no idle time-out may come between.
         config.tickNs = 0;
-        config.idleNs = Long.MAX_VALUE / 2;
-        config.outboundBytes = 64 << 20;
-        config.frameBytes = 16 << 20;
+        config.idleTimeoutNs = Long.MAX_VALUE / 2;
+        config.maxOutboundBytes = 64 << 20;
+        config.maxFrameBytes = 16 << 20;
         coordinator = new Coordinator(
                         config, decisions, CoordinatorCore.RateLimits.UNLIMITED, server -> backendsListener.address())
                 .startManually();
--- a/src/main/java/puffinbarrow/standin/Backend.java
+++ b/src/main/java/puffinbarrow/standin/Backend.java
@@ -12,8 +12,8 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import org.apache.commons.rng.UniformRandomProvider;
+import puffinbarrow.audit.Observation;
 import puffinbarrow.audit.Recorder;
-import puffinbarrow.audit.Seen;
 import puffinbarrow.control.Event;
 import puffinbarrow.coordinator.OrcaReport;
 import puffinbarrow.net.HttpParser;
@@ -210,7 +210,8 @@
                 slowFactor = 1;
                 recentWork.clear();
                 recentWorkNs = 0;
-                recorder.add(new Seen.Started(startedAt, id, shape.cores, shape.speed, shape.coldFrom, shape.coldNs));
+                recorder.add(new Observation.ServerStarted(
+                        startedAt, id, shape.cores, shape.speed, shape.coldFrom, shape.coldNs));
             }
         } catch (IOException portInUse) {
             net.schedule(50, this::startCold);
@@ -221,7 +222,8 @@
     public void beginCold() {
         synchronized (this) {
             startedAt = processAt = System.nanoTime();
-            recorder.add(new Seen.Started(startedAt, id, shape.cores, shape.speed, shape.coldFrom, shape.coldNs));
+            recorder.add(new Observation.ServerStarted(
+                    startedAt, id, shape.cores, shape.speed, shape.coldFrom, shape.coldNs));
         }
     }
 
@@ -384,7 +386,8 @@
 
     private void begin(long now, Job job) {
         busyCores++;
-        recorder.add(new Seen.Ran(now, id, shape.zone, shape.cell, job.slice, job.group, job.flow, true));
+        recorder.add(
+                new Observation.WorkChanged(now, id, shape.zone, shape.cell, job.slice, job.group, job.flow, true));
         boolean warm = shape.warmKeyGain > 0 && cachedKeys.put(job.key, now) != null;
         while (cachedKeys.size() > shape.warmKeys) {
             cachedKeys.remove(cachedKeys.keySet().iterator().next());
@@ -411,7 +414,8 @@
             }
             busyCores--;
             done++;
-            recorder.add(new Seen.Ran(now, id, shape.zone, shape.cell, job.slice, job.group, job.flow, false));
+            recorder.add(new Observation.WorkChanged(
+                    now, id, shape.zone, shape.cell, job.slice, job.group, job.flow, false));
             if (shape.dedupNs > 0) {
                 finishedAt.put(job.flow, now);
                 while (now - finishedAt.values().iterator().next() > shape.dedupNs) {
--- a/src/main/java/puffinbarrow/standin/PlainProxy.java
+++ b/src/main/java/puffinbarrow/standin/PlainProxy.java
@@ -15,8 +15,8 @@
 import java.util.TreeSet;
 import java.util.concurrent.TimeUnit;
 import org.apache.commons.rng.UniformRandomProvider;
+import puffinbarrow.audit.Observation;
 import puffinbarrow.audit.Recorder;
-import puffinbarrow.audit.Seen;
 import puffinbarrow.config.CoordinatorConfig;
 import puffinbarrow.control.Event;
 import puffinbarrow.control.Order;
@@ -273,14 +273,15 @@
                 session.masks.forEach(server -> lifted.add(new Order.Mask(server, false)));
                 session.masks.clear();
                 session.levels.clear();
-                recorder.add(new Seen.Applied(System.nanoTime(), number, session.number, System.nanoTime(), lifted));
+                recorder.add(new Observation.OrdersApplied(
+                        System.nanoTime(), number, session.number, System.nanoTime(), lifted));
             }
             session.lostAt = up == null && session.outlet != null ? System.nanoTime() : session.lostAt;
             session.outlet = up;
             session.joinedBefore |= up != null;
             // Orders in transit are lost with the stream; applied ones stay.
             session.pending.clear();
-            recorder.add(new Seen.Stream(System.nanoTime(), number, session.number, up != null));
+            recorder.add(new Observation.StreamChanged(System.nanoTime(), number, session.number, up != null));
         }
         if (up != null) {
             // Reads twice: what the coordinator wrote to the store just before its welcome may not have arrived there.
@@ -291,7 +292,7 @@
 
     private void onFrame(CoordinatorSession session, Frame frame) {
         if (frame instanceof Frame.Orders orders) {
-            recorder.add(new Seen.Arrived(
+            recorder.add(new Observation.OrdersReceived(
                     System.nanoTime(),
                     number,
                     session.number,
@@ -377,7 +378,8 @@
                     marks.add(o.number());
                 }
             }
-            recorder.add(new Seen.Applied(System.nanoTime(), number, session.number, orders.orderedAtNs(), applied));
+            recorder.add(new Observation.OrdersApplied(
+                    System.nanoTime(), number, session.number, orders.orderedAtNs(), applied));
             to = session.outlet;
         }
         if (to != null) {
@@ -404,9 +406,10 @@
             if (term.term() > known) {
                 terms.put(term.slice(), term.term());
                 owners.put(term.slice(), session.number);
-                recorder.add(new Seen.OwnerRead(System.nanoTime(), number, term.slice(), session.number));
+                recorder.add(new Observation.OwnerRead(System.nanoTime(), number, term.slice(), session.number));
             }
-            recorder.add(new Seen.Took(System.nanoTime(), number, session.number, term.slice(), term.term()));
+            recorder.add(
+                    new Observation.TermApplied(System.nanoTime(), number, session.number, term.slice(), term.term()));
         }
         return stale;
     }
@@ -441,7 +444,7 @@
                 }
                 terms.put(f.slice(), f.term());
                 owners.put(f.slice(), f.coordinator());
-                recorder.add(new Seen.OwnerRead(System.nanoTime(), number, f.slice(), f.coordinator()));
+                recorder.add(new Observation.OwnerRead(System.nanoTime(), number, f.slice(), f.coordinator()));
             }
         } else if (frame instanceof Frame.Stored f) {
             synchronized (this) {
@@ -452,7 +455,7 @@
                     lines.add(new Order.SetLine(f.slice(), line.server(), line.weight()));
                 }
                 tables.put(f.slice(), table);
-                recorder.add(new Seen.TableRead(System.nanoTime(), number, f.slice(), lines));
+                recorder.add(new Observation.TableRead(System.nanoTime(), number, f.slice(), lines));
             }
         }
     }
@@ -541,7 +544,8 @@
                 server = pick(session, now);
                 if (server != null) {
                     tried.add(server);
-                    recorder.add(new Seen.Sent(now, number, server, slice, group, id, attempt, workNs, coordinator));
+                    recorder.add(new Observation.AttemptSent(
+                            now, number, server, slice, group, id, attempt, workNs, coordinator));
                 }
             }
             if (server == null) {
@@ -590,7 +594,7 @@
          * another owner and the store could name another coordinator, and for a proxy lease after either stream broke.
          */
         private boolean mayWrite(CoordinatorSession session, long now) {
-            return config.groups.get(group).repeats() == CoordinatorConfig.Repeats.RETRIABLE
+            return config.groups.get(group).retrySafety() == CoordinatorConfig.RetrySafety.RETRIABLE
                     || session != null
                             && (session.outlet != null || now - session.lostAt < config.proxyLeaseNs)
                             && (storeOutlet != null || now - storeLostAt < config.proxyLeaseNs);
@@ -633,7 +637,8 @@
             long now = System.nanoTime();
             boolean again;
             synchronized (PlainProxy.this) {
-                recorder.add(new Seen.Ended(now, number, id, attemptNumber - 1, result.good(), result.proof()));
+                recorder.add(new Observation.AttemptEnded(
+                        now, number, id, attemptNumber - 1, result.good(), result.proof()));
                 recordOutcome(server, sentAt, now, result);
                 Order.Retry retry = retry();
                 again = !result.good()
--- a/src/main/java/puffinbarrow/standin/Registry.java
+++ b/src/main/java/puffinbarrow/standin/Registry.java
@@ -10,8 +10,8 @@
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
 import org.apache.commons.rng.UniformRandomProvider;
+import puffinbarrow.audit.Observation;
 import puffinbarrow.audit.Recorder;
-import puffinbarrow.audit.Seen;
 import puffinbarrow.control.Event;
 import puffinbarrow.net.Link;
 import puffinbarrow.net.Net;
@@ -172,7 +172,7 @@
                 link.closeWhenSent();
                 return;
             }
-            recorder.add(new Seen.ListTold(System.nanoTime(), coordinator, kind, list));
+            recorder.add(new Observation.ListSent(System.nanoTime(), coordinator, kind, list));
             link.send(bytes);
         }
 
--- a/src/main/java/puffinbarrow/standin/Store.java
+++ b/src/main/java/puffinbarrow/standin/Store.java
@@ -12,8 +12,8 @@
 import java.util.TreeMap;
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.function.LongFunction;
+import puffinbarrow.audit.Observation;
 import puffinbarrow.audit.Recorder;
-import puffinbarrow.audit.Seen;
 import puffinbarrow.control.Order;
 import puffinbarrow.net.Link;
 import puffinbarrow.net.Net;
@@ -203,7 +203,7 @@
 
     /** Tells a coordinator that it is, or is no longer, in charge of the slice, and sends the table with it. */
     private void sendCharge(Stream to, int slice, boolean given) {
-        recorder.add(new Seen.ChargeTold(System.nanoTime(), to.number, slice, given));
+        recorder.add(new Observation.ChargeSent(System.nanoTime(), to.number, slice, given));
         to.send(new Frame.Charge(slice, given));
         if (given) {
             to.send(stored(slice));
@@ -245,11 +245,11 @@
     private void ownershipChanged(Frame.SliceOwnerRecord ownership) {
         int slice = ownership.slice();
         if (owner[slice] >= 0) {
-            recorder.add(new Seen.ChargeTold(System.nanoTime(), owner[slice], slice, false));
+            recorder.add(new Observation.ChargeSent(System.nanoTime(), owner[slice], slice, false));
             handed += owner[slice] == ownership.owner() ? 0 : 1;
         }
         owner[slice] = ownership.owner();
-        recorder.add(new Seen.ChargeTold(System.nanoTime(), ownership.owner(), slice, true));
+        recorder.add(new Observation.ChargeSent(System.nanoTime(), ownership.owner(), slice, true));
         for (Stream reader : readers) {
             sendOwner(reader, slice);
         }
--- a/src/test/java/puffinbarrow/audit/AuditTest.java
+++ b/src/test/java/puffinbarrow/audit/AuditTest.java
@@ -14,7 +14,7 @@
 
 /** The audit of handwritten recordings in which each rule is just kept or just broken. Times are milliseconds. */
 class AuditTest {
-    private final List<Seen> seen = new ArrayList<>();
+    private final List<Observation> seen = new ArrayList<>();
     private long flow;
 
     private static CoordinatorConfig config(String slicesLine) {
@@ -37,27 +37,28 @@
         for (String server : servers) {
             entries.add(new Event.Entry(server, 0, 0, 0, listed, 1, started));
         }
-        seen.add(new Seen.ListTold(ms(at), 0, Event.ListKind.PATCH, entries));
+        seen.add(new Observation.ListSent(ms(at), 0, Event.ListKind.PATCH, entries));
     }
 
     private void applied(long at, Order... orders) {
-        seen.add(new Seen.Applied(ms(at), 0, 0, ms(at), List.of(orders)));
+        seen.add(new Observation.OrdersApplied(ms(at), 0, 0, ms(at), List.of(orders)));
     }
 
-    private Seen.Sent sent(long at, String server, int group, long workMs) {
-        Seen.Sent sent = new Seen.Sent(ms(at), 0, server, 1, group, flow++, 0, ms(workMs), 0);
+    private Observation.AttemptSent sent(long at, String server, int group, long workMs) {
+        Observation.AttemptSent sent =
+                new Observation.AttemptSent(ms(at), 0, server, 1, group, flow++, 0, ms(workMs), 0);
         seen.add(sent);
         return sent;
     }
 
     /** The first attempt ends without an answer, and the flow is sent again to server b. */
-    private void sendAgain(Seen.Sent first, long at, boolean proof) {
-        seen.add(new Seen.Ended(ms(at), 0, first.flow(), 0, false, proof));
-        seen.add(new Seen.Sent(ms(at), 0, "b", 1, first.group(), first.flow(), 1, first.workNs(), 0));
+    private void sendAgain(Observation.AttemptSent first, long at, boolean proof) {
+        seen.add(new Observation.AttemptEnded(ms(at), 0, first.flow(), 0, false, proof));
+        seen.add(new Observation.AttemptSent(ms(at), 0, "b", 1, first.group(), first.flow(), 1, first.workNs(), 0));
     }
 
     private void ran(long at, String server, int zone, int group, long flow) {
-        seen.add(new Seen.Ran(ms(at), server, zone, 0, 1, group, flow, true));
+        seen.add(new Observation.WorkChanged(ms(at), server, zone, 0, 1, group, flow, true));
     }
 
     private TreeSet<Rule> broken(String slicesLine) {
@@ -73,10 +74,11 @@
     @BeforeEach
     void setUpProxyWithTwoServersForSliceOne() {
         listTold(0, Event.Listed.READY, 0, "a", "b", "c");
-        seen.add(new Seen.ChargeTold(ms(0), 0, 1, true));
-        seen.add(new Seen.Stream(ms(0), 0, 0, true));
-        seen.add(new Seen.OwnerRead(ms(0), 0, 1, 0));
-        seen.add(new Seen.TableRead(ms(0), 0, 1, List.of(new Order.SetLine(1, "a", 1), new Order.SetLine(1, "b", 1))));
+        seen.add(new Observation.ChargeSent(ms(0), 0, 1, true));
+        seen.add(new Observation.StreamChanged(ms(0), 0, 0, true));
+        seen.add(new Observation.OwnerRead(ms(0), 0, 1, 0));
+        seen.add(new Observation.TableRead(
+                ms(0), 0, 1, List.of(new Order.SetLine(1, "a", 1), new Order.SetLine(1, "b", 1))));
     }
 
     @Test
@@ -110,9 +112,9 @@
     @Test
     void gracePeriodStartsWhenAProxyJoinsLater() {
         listTold(1000, Event.Listed.DRAINING, 0, "a");
-        seen.add(new Seen.Stream(ms(1200), 0, 0, false));
+        seen.add(new Observation.StreamChanged(ms(1200), 0, 0, false));
         sent(2500, "a", 0, 1);
-        seen.add(new Seen.Stream(ms(2600), 0, 0, true));
+        seen.add(new Observation.StreamChanged(ms(2600), 0, 0, true));
         sent(3500, "a", 0, 1);
         assertBroken();
     }
@@ -156,7 +158,7 @@
 
     @Test
     void overloadingAColdServerIsABreach() {
-        seen.add(new Seen.Started(ms(1000), "c", 1, 1, 0.25, ms(10_000)));
+        seen.add(new Observation.ServerStarted(ms(1000), "c", 1, 1, 0.25, ms(10_000)));
         listTold(1100, Event.Listed.READY, ms(1000), "c");
         applied(1200, new Order.SetLine(1, "c", 1));
         for (int i = 0; i < 9; i++) {
@@ -172,12 +174,12 @@
     @Test
     void waitingLinesAreCountedFromDecisionToArrival() {
         for (int i = 0; i < 3; i++) {
-            seen.add(new Seen.Arrived(ms(3000 + i), 0, 0, i, ms(1000 + 900 * i), 40));
+            seen.add(new Observation.OrdersReceived(ms(3000 + i), 0, 0, i, ms(1000 + 900 * i), 40));
         }
         assertBroken(Rule.QUEUE);
-        seen.removeIf(s -> s instanceof Seen.Arrived);
+        seen.removeIf(s -> s instanceof Observation.OrdersReceived);
         for (int i = 0; i < 3; i++) {
-            seen.add(new Seen.Arrived(ms(1500 + 900 * i), 0, 0, i, ms(1000 + 900 * i), 40));
+            seen.add(new Observation.OrdersReceived(ms(1500 + 900 * i), 0, 0, i, ms(1000 + 900 * i), 40));
         }
         assertBroken();
     }
@@ -185,10 +187,10 @@
     @Test
     void messagesToOneProxyAreCountedWithinTheSpan() {
         for (int i = 0; i < 4; i++) {
-            seen.add(new Seen.Arrived(ms(1000 + 400 * i), 0, 0, i, ms(1000 + 400 * i), 1));
+            seen.add(new Observation.OrdersReceived(ms(1000 + 400 * i), 0, 0, i, ms(1000 + 400 * i), 1));
         }
         assertBroken();
-        seen.add(new Seen.Arrived(ms(2250), 0, 0, 9, ms(2250), 1));
+        seen.add(new Observation.OrdersReceived(ms(2250), 0, 0, 9, ms(2250), 1));
         assertBroken(Rule.QUEUE);
     }
 }
--- a/src/test/java/puffinbarrow/config/ConfigTest.java
+++ b/src/test/java/puffinbarrow/config/ConfigTest.java
@@ -106,7 +106,7 @@
         assertEquals(
                 List.of("c.conf:11: pace: cannot change while running, expected a restart"),
                 config.refusedChanges(reloaded).stream().map(Problem::toString).toList());
-        config.adopt(reloaded);
+        config.applyReloadable(reloaded);
         assertTrue(config.logJson);
         assertEquals(2800, config.linesPerS);
     }
--- a/src/test/java/puffinbarrow/day/TakeoverTest.java
+++ b/src/test/java/puffinbarrow/day/TakeoverTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import puffinbarrow.Logic;
 import puffinbarrow.audit.Audit;
-import puffinbarrow.audit.Seen;
+import puffinbarrow.audit.Observation;
 import puffinbarrow.config.CoordinatorConfig;
 import puffinbarrow.config.Problem;
 import puffinbarrow.control.Order;
@@ -104,15 +104,17 @@
                         + "127.0.0.1:1 push\nstore 127.0.0.1:1\ngroup g utility 1 budget 1s expiry 2s retriable\n",
                 problems);
         assertEquals(List.of(), problems);
-        List<Seen> valid = List.of(
-                new Seen.Took(1, 0, 0, 2, 4),
-                new Seen.Took(2, 1, 0, 2, 4),
-                new Seen.Took(3, 0, 1, 2, 5),
-                new Seen.Applied(4, 0, 1, 3, List.<Order>of()));
+        List<Observation> valid = List.of(
+                new Observation.TermApplied(1, 0, 0, 2, 4),
+                new Observation.TermApplied(2, 1, 0, 2, 4),
+                new Observation.TermApplied(3, 0, 1, 2, 5),
+                new Observation.OrdersApplied(4, 0, 1, 3, List.<Order>of()));
         assertTrue(Audit.judge(config, valid, 0).kept());
-        List<Seen> twoUnderOneTerm = List.of(new Seen.Took(1, 0, 0, 2, 4), new Seen.Took(2, 1, 1, 2, 4));
+        List<Observation> twoUnderOneTerm =
+                List.of(new Observation.TermApplied(1, 0, 0, 2, 4), new Observation.TermApplied(2, 1, 1, 2, 4));
         assertTrue(Audit.judge(config, twoUnderOneTerm, 0).broke(Audit.Rule.VOICE));
-        List<Seen> olderTerm = List.of(new Seen.Took(1, 0, 1, 2, 5), new Seen.Took(2, 0, 0, 2, 4));
+        List<Observation> olderTerm =
+                List.of(new Observation.TermApplied(1, 0, 1, 2, 5), new Observation.TermApplied(2, 0, 0, 2, 4));
         assertTrue(Audit.judge(config, olderTerm, 0).broke(Audit.Rule.VOICE));
     }
 }
