--- a/src/bench/java/puffinbarrow/bench/SocketBench.java
+++ b/src/bench/java/puffinbarrow/bench/SocketBench.java
@@ -53,9 +53,9 @@
             for (int i = 0; i < SERVERS; i++) {
                 entries.add(entry(i, Event.Listed.READY));
             }
-            registry.set(entries);
+            registry.update(entries);
             for (int i = 0; i < slices; i++) {
-                store.begin(i, "10.0.0." + i % SERVERS + ":80");
+                store.setInitialTable(i, "10.0.0." + i % SERVERS + ":80");
             }
             List<Problem> problems = new ArrayList<>();
             config = CoordinatorConfig.parse(
@@ -155,7 +155,7 @@
                 double linesBefore = fleet.value("channel.lines.sent");
                 long appliedBefore = fleet.applied.get();
                 long startNs = System.nanoTime();
-                fleet.registry.set(Fleet.entry(round, Event.Listed.DRAINING));
+                fleet.registry.update(Fleet.entry(round, Event.Listed.DRAINING));
                 fleet.awaitQuiet();
                 double channelS = (fleet.value("channel.lines.sent") - linesBefore) / fleet.config.linesPerS;
                 double tookS = (fleet.lastAppliedNs - startNs) / 1e9;
--- a/src/main/java/puffinbarrow/cli/LoadAccuracyBench.java
+++ b/src/main/java/puffinbarrow/cli/LoadAccuracyBench.java
@@ -18,7 +18,7 @@
 import puffinbarrow.load.Result;
 import puffinbarrow.load.Scenario;
 import puffinbarrow.load.Source;
-import puffinbarrow.standin.Delays;
+import puffinbarrow.standin.DelayedServer;
 
 /** Compares the load generator's figures with the known delays of stand-in targets. */
 @Command(
@@ -34,19 +34,19 @@
     /** Largest relative error of a percentile. */
     private static final double MAX_ERROR = 0.03;
 
-    private static Scenario scenario(Delays target, long seed, String more) {
+    private static Scenario scenario(DelayedServer target, long seed, String more) {
         return LoadBenches.scenario(target.address().getPort(), "seed " + seed + "\n" + more);
     }
 
     /** Starts a stand-in target; {@code delay} maps a uniform random number to a delay in ns. */
-    private static Delays target(DoubleUnaryOperator delay, long seed) throws Exception {
-        return new Delays(delay, RandomSource.XO_RO_SHI_RO_128_PP.create(seed));
+    private static DelayedServer target(DoubleUnaryOperator delay, long seed) throws Exception {
+        return new DelayedServer(delay, RandomSource.XO_RO_SHI_RO_128_PP.create(seed));
     }
 
     @Override
     public Integer call() throws Exception {
         // Warm-up run: just-in-time compilation would distort the first measured one.
-        try (Delays target = target(u -> 2e6, 99);
+        try (DelayedServer target = target(u -> 2e6, 99);
                 Engine engine = new Engine(scenario(target, 99, "rate 2000\nlength 4s\n"))) {
             engine.run(null);
         }
@@ -61,13 +61,13 @@
             double[][] errors = new double[QUANTILES.length][seeds];
             Histogram lag = new Histogram(60_000_000, 3);
             for (int seed = 0; seed < seeds; seed++) {
-                try (Delays target = target(kind.getValue(), seed);
+                try (DelayedServer target = target(kind.getValue(), seed);
                         Engine engine = new Engine(scenario(target, seed, "rate 1000\nlength 5s\n"))) {
                     Result result = engine.run(null);
                     lag.add(result.lag);
                     for (int i = 0; i < worst.length; i++) {
                         double reported = result.all.latency.getValueAtPercentile(QUANTILES[i]);
-                        double injected = target.given().getValueAtPercentile(QUANTILES[i]);
+                        double injected = target.delays().getValueAtPercentile(QUANTILES[i]);
                         errors[i][seed] = Math.abs(reported - injected) / injected;
                         worst[i] = Math.max(worst[i], errors[i][seed]);
                     }
@@ -122,7 +122,7 @@
                     lowestRefused == 0 ? Math.max(1000, 2 * highestOffered) : (highestOffered + lowestRefused) / 2;
             bisections += lowestRefused == 0 ? 0 : 1;
             Result result;
-            try (Delays target = new Delays(u -> 0, RandomSource.XO_RO_SHI_RO_128_PP.create(1));
+            try (DelayedServer target = new DelayedServer(u -> 0, RandomSource.XO_RO_SHI_RO_128_PP.create(1));
                     Engine engine = new Engine(scenario.flat(rate, 2_000_000_000L, target.address()))) {
                 result = engine.run(null);
             }
@@ -151,7 +151,7 @@
 
     /** Prints percentiles of a target that stalls for 2 s at a constant rate, beside the calculated ones. */
     private static void measureStall() throws Exception {
-        try (Delays target = target(u -> 2e6, 1);
+        try (DelayedServer target = target(u -> 2e6, 1);
                 Engine engine = new Engine(
                         scenario(target, 1, "rate 1000\nlength 10s\narrivals constant\n" + "connections 50\n"))) {
             Thread stallThread = new Thread(() -> {
@@ -160,7 +160,7 @@
                 } catch (InterruptedException e) {
                     return;
                 }
-                target.standStill(2_000_000_000L);
+                target.stall(2_000_000_000L);
             });
             stallThread.start();
             Result result = engine.run(null);
@@ -196,7 +196,7 @@
                 thread.start();
                 burners.add(thread);
             }
-            try (Delays target = target(u -> 2e6, 1);
+            try (DelayedServer target = target(u -> 2e6, 1);
                     Engine engine = new Engine(scenario(target, 1, "rate 1000\nlength 5s\n"))) {
                 Result result = engine.run(null);
                 Histogram wakeUpDelays = result.hiccups;
--- a/src/main/java/puffinbarrow/cli/LoadBenches.java
+++ b/src/main/java/puffinbarrow/cli/LoadBenches.java
@@ -22,7 +22,7 @@
 import puffinbarrow.load.Result;
 import puffinbarrow.load.Scenario;
 import puffinbarrow.load.TraceFlows;
-import puffinbarrow.standin.Delays;
+import puffinbarrow.standin.DelayedServer;
 
 /** Benches of the load generator's rate and memory, against a stand-in target in a child process. */
 final class LoadBenches {
@@ -36,7 +36,8 @@
 
         @Override
         public Integer call() throws IOException {
-            try (Delays target = new Delays(u -> delayMs * 1e6, RandomSource.XO_RO_SHI_RO_128_PP.create(1))) {
+            try (DelayedServer target =
+                    new DelayedServer(u -> delayMs * 1e6, RandomSource.XO_RO_SHI_RO_128_PP.create(1))) {
                 System.out.println(target.address().getPort());
                 while (System.in.read() >= 0) {
                     // Blocks until the parent process has ended.
--- a/src/main/java/puffinbarrow/day/Machine.java
+++ b/src/main/java/puffinbarrow/day/BackendControl.java
@@ -4,7 +4,7 @@
  * A backend of a day, on sockets or in the emulator, with the faults that {@link Strikes} can apply to it. Called on
  * the thread that applies faults.
  */
-public interface Machine {
+public interface BackendControl {
     /** Returns the server id, under which it is listed. */
     String id();
 
@@ -13,22 +13,22 @@
     int cell();
 
     /** Returns when its process started, in ns of the day's clock, or 0 if it ran before the day began. */
-    long startedAt();
+    long startedAtNs();
 
     /** Returns whether its process runs. */
-    boolean up();
+    boolean running();
 
     /** Returns whether it drains. */
     boolean draining();
 
     /** Ends its process at once. */
-    void die();
+    void crash();
 
     /** Starts it again under the same id, cold. */
     void startCold();
 
     /** Sets its own draining flag; a draining backend is not selected for further faults. */
-    void drain(boolean on);
+    void setDraining(boolean on);
 
     /** Makes it fail this share (0 to 1) of flows. */
     void fail(double share);
@@ -37,8 +37,8 @@
     void loseAnswers(double share);
 
     /** Multiplies its service times by this factor; 1 is normal. */
-    void slowBy(double factor);
+    void setSlowdown(double factor);
 
     /** Suspends it for this time; 0 resumes it. */
-    void pause(long ns);
+    void suspend(long ns);
 }
--- a/src/main/java/puffinbarrow/day/Day.java
+++ b/src/main/java/puffinbarrow/day/Day.java
@@ -30,8 +30,8 @@
 import puffinbarrow.load.Scenario;
 import puffinbarrow.net.Net;
 import puffinbarrow.standin.Backend;
-import puffinbarrow.standin.PlainProxy;
 import puffinbarrow.standin.Registry;
+import puffinbarrow.standin.StandInProxy;
 import puffinbarrow.standin.Store;
 
 /**
@@ -123,7 +123,7 @@
     /** Addresses of coordinators by number, kept when one ends so that it restarts at the same address. */
     private final Map<Integer, InetSocketAddress> addresses = new TreeMap<>();
 
-    private final List<PlainProxy> proxies = new ArrayList<>();
+    private final List<StandInProxy> proxies = new ArrayList<>();
 
     /**
      * By id, in the order of creation and not of their ports, so that the same seed strikes the same backends in every
@@ -134,7 +134,7 @@
     /** Memory folders of coordinators; null if the script keeps no memory. */
     private final Path memoryFolder;
 
-    private final Strikes strikes;
+    private final FaultInjector strikes;
 
     /** What was done to the fleet, one line for each step. */
     private final List<String> log = Collections.synchronizedList(new ArrayList<>());
@@ -175,12 +175,12 @@
         this.out = out;
         this.overrides = overrides;
         this.plan = new Plan(script);
-        this.strikes = new Strikes(new SocketFleet(), plan.chance());
-        this.memoryFolder = script.memory ? Files.createTempDirectory("puffinbarrow-day") : null;
+        this.strikes = new FaultInjector(new SocketFleet(), plan.random());
+        this.memoryFolder = script.keepsMemory ? Files.createTempDirectory("puffinbarrow-day") : null;
         this.net = new Net("fleet", 4);
-        this.config = plan.config(0, List.of());
+        this.config = plan.configWithoutAddresses(0, List.of());
         this.registry = new Registry(
-                net, recorder, plan.randomSource(REGISTRY_STREAM), script.noticeLowNs, script.noticeHighNs);
+                net, recorder, plan.randomSource(REGISTRY_STREAM), script.minListDelayNs, script.maxListDelayNs);
         this.store = new Store(
                 net, recorder, script.slices, script.coordinators, config.soleOwner, script.takeoverNs / 1_000_000);
     }
@@ -193,7 +193,7 @@
     /** Returns a coordinator's settings with the addresses of this day. */
     private List<String> settingsLines(int number, List<String> more) {
         List<String> lines = plan.settings(number, more);
-        lines.add("registry " + Net.formatAddress(registry.address()) + (script.ask ? " ask" : " push"));
+        lines.add("registry " + Net.formatAddress(registry.address()) + (script.pollsRegistry ? " ask" : " push"));
         lines.add("store " + Net.formatAddress(store.address()));
         if (memoryFolder != null) {
             lines.add("memory " + memoryFolder.resolve("c" + number));
@@ -208,7 +208,7 @@
 
     private Backend createBackend() throws IOException {
         int zone = backendsCreated % script.zones;
-        double speed = plan.speed();
+        double speed = plan.drawSpeed();
         Backend backend = new Backend(
                 net,
                 new Backend.Shape(
@@ -219,7 +219,7 @@
                         speed,
                         script.cores * WAITING_ROOM_PER_CORE,
                         script.cores * CONNECTIONS_PER_CORE,
-                        script.coldFrom,
+                        script.coldShare,
                         script.coldNs,
                         WARM_KEY_GAIN,
                         WARM_KEYS_PER_CORE * script.cores,
@@ -268,11 +268,11 @@
     public DayReport run() throws IOException, InterruptedException {
         out.println("seed " + script.seed);
         for (int i = 0; i < script.backends; i++) {
-            registry.set(Plan.entry(control(createBackend()), Event.Listed.READY));
+            registry.update(Plan.listEntry(control(createBackend()), Event.Listed.READY));
         }
         List<String> ids = new ArrayList<>(backends.keySet());
         for (int i = 0; i < script.slices; i++) {
-            store.begin(i, ids.get(i % ids.size()));
+            store.setInitialTable(i, ids.get(i % ids.size()));
         }
         for (int i = 0; i < script.coordinators; i++) {
             startCoordinator(i);
@@ -283,7 +283,7 @@
                 coordinator.connectPeer(other, address);
             }
         }));
-        PlainProxy.Habits proxyHabits = new PlainProxy.Habits(
+        StandInProxy.Timings proxyHabits = new StandInProxy.Timings(
                 script.transitNs,
                 APPLY_NS_PER_LINE,
                 script.sumsLateNs,
@@ -292,15 +292,15 @@
                 HOLD_NS,
                 TRY_BUDGETS);
         for (int i = 0; i < script.proxies; i++) {
-            PlainProxy proxy = new PlainProxy(
+            StandInProxy proxy = new StandInProxy(
                     net, i, i % script.zones, config, proxyHabits, recorder, plan.randomSource(FIRST_PROXY_STREAM + i));
             proxies.add(proxy);
             proxy.start(store.address(), addresses);
-            weights.add(plan.part());
+            weights.add(plan.drawTrafficWeight());
         }
         awaitReady();
         Scenario scenario =
-                plan.traffic(config, proxies.stream().map(PlainProxy::address).toList(), weights);
+                plan.traffic(config, proxies.stream().map(StandInProxy::address).toList(), weights);
         clients = new Engine(scenario, new Arrivals(scenario), ended::add);
         clients.prepare();
         beganAt = System.nanoTime();
@@ -308,8 +308,8 @@
         Thread clientThread = new Thread(() -> result[0] = clients.run(null, beganAt), "day-clients");
         clientThread.setDaemon(true);
         clientThread.start();
-        for (Script.Trouble fault : script.troubles) {
-            net.timer().schedule(() -> strikes.strike(fault), fault.atNs(), TimeUnit.NANOSECONDS);
+        for (Script.Fault fault : script.faults) {
+            net.timer().schedule(() -> strikes.inject(fault), fault.atNs(), TimeUnit.NANOSECONDS);
         }
         printProgress();
         // The load generator times each flow out by its expiry.
@@ -322,7 +322,7 @@
         coordinators.forEach((number, c) -> metrics.put(number, c.metrics()));
         List<Observation> seen = recorder.sorted();
         List<Ended> flows = List.copyOf(ended);
-        Audit.Verdict verdict = Audit.judge(plan.stretched(), seen, beganAt);
+        Audit.Verdict verdict = Audit.judge(plan.auditConfig(), seen, beganAt);
         return new DayReport(
                 script,
                 config,
@@ -336,12 +336,12 @@
                 List.copyOf(log),
                 FaultEffects.summary(script, seen, flows, beganAt),
                 script.leaseNs > 0 ? TakeoverTimes.summary(script, seen, beganAt) : "",
-                store.handed(),
-                store.moves(),
+                store.ownerChanges(),
+                store.serversAdded(),
                 store.refusedWrites(),
-                proxies.stream().mapToLong(PlainProxy::retried).sum(),
+                proxies.stream().mapToLong(StandInProxy::retried).sum(),
                 backends.values().stream()
-                        .filter(Backend::fell)
+                        .filter(Backend::crashedUnderLoad)
                         .map(Backend::id)
                         .toList(),
                 attemptsAtUnstable(seen));
@@ -350,8 +350,8 @@
     /** Counts attempts at servers that were made to flap or drain, in the 10 s after each coordinator's restart. */
     private long attemptsAtUnstable(List<Observation> seen) {
         long count = 0;
-        for (Script.Trouble fault : script.troubles) {
-            long from = beganAt + fault.atNs() + fault.forNs();
+        for (Script.Fault fault : script.faults) {
+            long from = beganAt + fault.atNs() + fault.durationNs();
             count += fault.kind() != Script.Kind.KILL
                     ? 0
                     : seen.stream()
@@ -372,8 +372,8 @@
         long until = System.nanoTime() + 30 * SECOND;
         while (System.nanoTime() < until) {
             boolean ready = proxies.stream()
-                            .allMatch(p -> !p.open(script.slices - 1).isEmpty()
-                                    && !p.open(0).isEmpty())
+                            .allMatch(p -> !p.unmaskedServers(script.slices - 1).isEmpty()
+                                    && !p.unmaskedServers(0).isEmpty())
                     && IntStream.range(0, script.slices).allMatch(slice -> store.owner(slice) >= 0)
                     && coordinators.values().stream()
                             .allMatch(c -> c.metrics().getOrDefault("streams.joined", 0.0) == script.proxies);
@@ -420,8 +420,8 @@
     }
 
     /** Returns the interface through which faults are applied to a backend. */
-    private static Machine control(Backend backend) {
-        return new Machine() {
+    private static BackendControl control(Backend backend) {
+        return new BackendControl() {
             @Override
             public String id() {
                 return backend.id();
@@ -438,12 +438,12 @@
             }
 
             @Override
-            public long startedAt() {
+            public long startedAtNs() {
                 return backend.startedAt();
             }
 
             @Override
-            public boolean up() {
+            public boolean running() {
                 return backend.up();
             }
 
@@ -453,8 +453,8 @@
             }
 
             @Override
-            public void die() {
-                backend.die();
+            public void crash() {
+                backend.crash();
             }
 
             @Override
@@ -463,7 +463,7 @@
             }
 
             @Override
-            public void drain(boolean on) {
+            public void setDraining(boolean on) {
                 backend.drain(on);
             }
 
@@ -478,19 +478,19 @@
             }
 
             @Override
-            public void slowBy(double factor) {
+            public void setSlowdown(double factor) {
                 backend.slowBy(factor);
             }
 
             @Override
-            public void pause(long ns) {
+            public void suspend(long ns) {
                 backend.pause(ns);
             }
         };
     }
 
     /** Applies faults to the fleet on sockets, on the timer thread. */
-    private final class SocketFleet implements Stage {
+    private final class SocketFleet implements FleetControl {
         @Override
         public void after(long ns, Runnable work) {
             net.timer().schedule(work, ns, TimeUnit.NANOSECONDS);
@@ -502,15 +502,15 @@
         }
 
         @Override
-        public List<Machine> machines() {
+        public List<BackendControl> backends() {
             return backends.values().stream().map(Day::control).toList();
         }
 
         @Override
-        public Machine fresh() {
+        public BackendControl addBackend() {
             try {
                 Backend backend = createBackend();
-                backend.beginCold();
+                backend.markStarted();
                 return control(backend);
             } catch (IOException e) {
                 throw new IllegalStateException("cannot start a backend: " + e.getMessage(), e);
@@ -518,12 +518,12 @@
         }
 
         @Override
-        public void list(List<? extends Machine> some, Event.Listed as) {
-            registry.set(some.stream().map(m -> Plan.entry(m, as)).toList());
+        public void showInServerList(List<? extends BackendControl> some, Event.Listed as) {
+            registry.update(some.stream().map(m -> Plan.listEntry(m, as)).toList());
         }
 
         @Override
-        public void breakList() {
+        public void truncateNextList() {
             registry.breakNextList();
         }
 
@@ -549,7 +549,7 @@
         }
 
         @Override
-        public void freeze(int coordinator, boolean on) {
+        public void setSuspended(int coordinator, boolean on) {
             try {
                 coordinators.get(coordinator).freeze(on);
             } catch (IOException e) {
@@ -577,7 +577,7 @@
         }
 
         @Override
-        public void unheard(int count, boolean on) {
+        public void cutProxies(int count, boolean on) {
             proxies.subList(0, count).forEach(p -> p.cut(on));
         }
 
@@ -587,17 +587,17 @@
         }
 
         @Override
-        public void storeAway(boolean on) {
-            store.away(on);
+        public void setStoreUnreachable(boolean on) {
+            store.setUnavailable(on);
         }
 
         @Override
-        public void storeSlow(long ns) {
-            store.slow(ns / 1_000_000);
+        public void setStoreDelay(long ns) {
+            store.delayAnswers(ns / 1_000_000);
         }
 
         @Override
-        public void storeLoses(double share) {
+        public void setStoreLossShare(double share) {
             store.loseAnswers(share);
         }
     }
@@ -608,10 +608,10 @@
             clients.close();
         }
         coordinators.values().forEach(CoordinatorHandle::kill);
-        proxies.forEach(PlainProxy::close);
+        proxies.forEach(StandInProxy::close);
         registry.close();
         store.close();
-        backends.values().forEach(Backend::die);
+        backends.values().forEach(Backend::crash);
         net.close();
         for (Path folder :
                 Stream.of(memoryFolder, processFolder).filter(Objects::nonNull).toList()) {
--- a/src/main/java/puffinbarrow/day/DayReport.java
+++ b/src/main/java/puffinbarrow/day/DayReport.java
@@ -138,7 +138,7 @@
             double service = service(some);
             long begins = from;
             List<String> begun = new ArrayList<>();
-            for (Script.Trouble fault : script.troubles) {
+            for (Script.Fault fault : script.faults) {
                 if (fault.atNs() >= begins && fault.atNs() < begins + 2 * SECOND) {
                     begun.add(fault.text());
                 }
--- a/src/main/java/puffinbarrow/day/FaultEffects.java
+++ b/src/main/java/puffinbarrow/day/FaultEffects.java
@@ -24,7 +24,7 @@
     /** Returns a line for each fault of the script, in its order. */
     static List<String> summary(Script script, List<Observation> seen, List<Ended> flows, long beganAt) {
         List<String> lines = new ArrayList<>();
-        for (Script.Trouble fault : script.troubles) {
+        for (Script.Fault fault : script.faults) {
             long from = beganAt + fault.atNs();
             long to = from + durationNs(script, fault) + SYMPTOM_DELAY_NS;
             Map<String, Long> counts = new TreeMap<>();
@@ -56,12 +56,12 @@
     }
 
     /** Returns how long a fault lasts, in ns; a release lasts as long as its batches take. */
-    private static long durationNs(Script script, Script.Trouble fault) {
+    private static long durationNs(Script script, Script.Fault fault) {
         if (fault.kind() != Script.Kind.RELEASE) {
-            return fault.forNs();
+            return fault.durationNs();
         }
         double batches = Math.ceil(fault.pick().share() / Math.max(0.01, fault.share()));
-        return Math.min(script.lengthNs - fault.atNs(), (long) (batches * (fault.forNs() + 2_000_000_000L)));
+        return Math.min(script.lengthNs - fault.atNs(), (long) (batches * (fault.durationNs() + 2_000_000_000L)));
     }
 
     private static void count(Observation event, Map<String, Long> counts) {
--- a/src/main/java/puffinbarrow/day/Strikes.java
+++ b/src/main/java/puffinbarrow/day/FaultInjector.java
@@ -14,10 +14,10 @@
  * Applies a script's faults to a fleet and ends each after its time. {@link Day} calls {@link #strike} on its timer
  * thread, the emulator on the simulation's thread.
  */
-public final class Strikes {
+public final class FaultInjector {
     private static final long SECOND = 1_000_000_000L;
 
-    private final Stage fleet;
+    private final FleetControl fleet;
     private final UniformRandomProvider random;
 
     /** Ids of backends that a fault lasts on; no other fault selects them. */
@@ -31,7 +31,7 @@
      *
      * @param random decides which backends are struck
      */
-    public Strikes(Stage fleet, UniformRandomProvider random) {
+    public FaultInjector(FleetControl fleet, UniformRandomProvider random) {
         this.fleet = fleet;
         this.random = random;
     }
@@ -42,9 +42,9 @@
     }
 
     /** Draws backends that run, do not drain and are under no other fault. */
-    private List<Machine> choose(Script.Pick pick) {
-        List<Machine> eligible = new ArrayList<>(fleet.machines().stream()
-                .filter(backend -> backend.up()
+    private List<BackendControl> choose(Script.Pick pick) {
+        List<BackendControl> eligible = new ArrayList<>(fleet.backends().stream()
+                .filter(backend -> backend.running()
                         && !backend.draining()
                         && !affected.contains(backend.id())
                         && (pick.zone() < 0 || backend.zone() == pick.zone()))
@@ -54,7 +54,7 @@
         }
         if (pick.cells() > 0) {
             List<Integer> cells = new ArrayList<>(
-                    new TreeSet<>(eligible.stream().map(Machine::cell).toList()));
+                    new TreeSet<>(eligible.stream().map(BackendControl::cell).toList()));
             Set<Integer> chosenCells = new HashSet<>();
             while (chosenCells.size() < pick.cells() && !cells.isEmpty()) {
                 chosenCells.add(cells.remove(random.nextInt(cells.size())));
@@ -65,7 +65,7 @@
         }
         int count = pick.count() > 0
                 ? pick.count()
-                : (int) Math.round(pick.share() * fleet.machines().size());
+                : (int) Math.round(pick.share() * fleet.backends().size());
         for (int i = eligible.size() - 1; i > 0; i--) {
             Collections.swap(eligible, i, random.nextInt(i + 1));
         }
@@ -73,7 +73,7 @@
     }
 
     /** Returns the ids without the loopback address, for the day's log. */
-    private static String shortIds(List<Machine> chosen) {
+    private static String shortIds(List<BackendControl> chosen) {
         return chosen.stream()
                 .map(backend -> backend.id().replace("127.0.0.1", ""))
                 .toList()
@@ -81,11 +81,15 @@
     }
 
     /** Applies a fault to backends and ends it after its time. */
-    private void during(Script.Trouble fault, List<Machine> chosen, Consumer<Machine> begin, Consumer<Machine> end) {
+    private void during(
+            Script.Fault fault,
+            List<BackendControl> chosen,
+            Consumer<BackendControl> begin,
+            Consumer<BackendControl> end) {
         chosen.forEach(backend -> affected.add(backend.id()));
         chosen.forEach(begin);
         fleet.note(fault.text() + "  " + shortIds(chosen));
-        fleet.after(fault.forNs(), () -> {
+        fleet.after(fault.durationNs(), () -> {
             chosen.forEach(end);
             chosen.forEach(backend -> affected.remove(backend.id()));
             fleet.note("over: " + fault.text());
@@ -93,17 +97,17 @@
     }
 
     /** Applies a fault to the rest of the fleet and ends it after its time. */
-    private void during(Script.Trouble fault, Runnable begin, Runnable end) {
+    private void during(Script.Fault fault, Runnable begin, Runnable end) {
         fleet.note(fault.text());
         begin.run();
-        fleet.after(fault.forNs(), () -> {
+        fleet.after(fault.durationNs(), () -> {
             end.run();
             fleet.note("over: " + fault.text());
         });
     }
 
     /** Begins a fault; one that cannot be applied is noted in the day's log and passed over. */
-    public void strike(Script.Trouble fault) {
+    public void inject(Script.Fault fault) {
         try {
             switch (fault.kind()) {
                 case TRAFFIC, PEAK, HOT, HEAVY -> fleet.note(fault.text());
@@ -122,50 +126,52 @@
                 case SLOW -> during(
                         fault,
                         choose(fault.pick()),
-                        backend -> backend.slowBy(fault.factor()),
-                        backend -> backend.slowBy(1));
+                        backend -> backend.setSlowdown(fault.factor()),
+                        backend -> backend.setSlowdown(1));
                 case PAUSE -> {
-                    List<Machine> chosen = choose(fault.pick());
+                    List<BackendControl> chosen = choose(fault.pick());
                     during(fault, chosen, backend -> {}, backend -> {});
-                    for (long at = 0; at < fault.forNs(); at += fault.everyNs()) {
-                        fleet.after(at, () -> chosen.forEach(backend -> backend.pause((long) fault.factor())));
+                    for (long at = 0; at < fault.durationNs(); at += fault.everyNs()) {
+                        fleet.after(at, () -> chosen.forEach(backend -> backend.suspend((long) fault.factor())));
                     }
                 }
                 case FLAP -> {
-                    List<Machine> chosen = choose(fault.pick());
+                    List<BackendControl> chosen = choose(fault.pick());
                     chosen.forEach(backend -> unstable.add(backend.id()));
                     during(fault, chosen, backend -> {}, this::restart);
-                    for (long at = 0; at + (long) fault.factor() < fault.forNs(); at += fault.everyNs()) {
+                    for (long at = 0; at + (long) fault.factor() < fault.durationNs(); at += fault.everyNs()) {
                         fleet.after(at, () -> chosen.forEach(this::die));
                         fleet.after(at + (long) fault.factor(), () -> chosen.forEach(this::restart));
                     }
                 }
                 case AGE -> {
-                    List<Machine> chosen = choose(fault.pick());
+                    List<BackendControl> chosen = choose(fault.pick());
                     during(fault, chosen, backend -> {}, backend -> {
                         die(backend);
                         fleet.after(2 * SECOND, () -> restart(backend));
                     });
                     for (int step = 1; step <= 10; step++) {
                         double factor = 1 + (fault.factor() - 1) * step / 10;
-                        fleet.after(fault.forNs() * step / 11, () -> chosen.forEach(backend -> backend.slowBy(factor)));
+                        fleet.after(
+                                fault.durationNs() * step / 11,
+                                () -> chosen.forEach(backend -> backend.setSlowdown(factor)));
                     }
                 }
                 case ADD -> {
-                    List<Machine> fresh = new ArrayList<>();
+                    List<BackendControl> fresh = new ArrayList<>();
                     for (int i = 0; i < fault.pick().count(); i++) {
-                        Machine backend = fleet.fresh();
-                        fleet.list(List.of(backend), Event.Listed.READY);
+                        BackendControl backend = fleet.addBackend();
+                        fleet.showInServerList(List.of(backend), Event.Listed.READY);
                         fresh.add(backend);
                     }
                     fleet.note(fault.text() + "  " + shortIds(fresh));
                 }
                 case PREEMPT -> {
-                    List<Machine> chosen = choose(fault.pick());
+                    List<BackendControl> chosen = choose(fault.pick());
                     fleet.note(fault.text() + "  " + shortIds(chosen));
                     drain(chosen);
                     fleet.after(
-                            fault.forNs(),
+                            fault.durationNs(),
                             () -> chosen.forEach(backend -> {
                                 die(backend);
                                 replace();
@@ -173,13 +179,17 @@
                 }
                 case RELEASE -> release(fault);
                 case LIST_LIES -> {
-                    List<Machine> chosen = choose(fault.pick());
-                    during(fault, chosen, backend -> {}, backend -> fleet.list(List.of(backend), Event.Listed.READY));
-                    fleet.list(chosen, Event.Listed.GONE);
+                    List<BackendControl> chosen = choose(fault.pick());
+                    during(
+                            fault,
+                            chosen,
+                            backend -> {},
+                            backend -> fleet.showInServerList(List.of(backend), Event.Listed.READY));
+                    fleet.showInServerList(chosen, Event.Listed.GONE);
                 }
                 case LIST_BREAKS -> {
                     fleet.note(fault.text());
-                    fleet.breakList();
+                    fleet.truncateNextList();
                 }
                 case KILL -> during(fault, () -> fleet.kill(fault.number()), () -> fleet.restart(fault.number()));
                     // STOP is a pace at which no order leaves while it lasts.
@@ -188,15 +198,19 @@
                         () -> fleet.pace(fault.number(), fault.kind() == Script.Kind.PACE ? fault.share() : 1e-6),
                         () -> fleet.pace(fault.number(), 1));
                 case FREEZE -> during(
-                        fault, () -> fleet.freeze(fault.number(), true), () -> fleet.freeze(fault.number(), false));
+                        fault,
+                        () -> fleet.setSuspended(fault.number(), true),
+                        () -> fleet.setSuspended(fault.number(), false));
                 case LEAVE -> during(fault, () -> fleet.leave(fault.number()), () -> {
                     fleet.kill(fault.number());
                     fleet.restart(fault.number());
                 });
-                case STORE_AWAY -> during(fault, () -> fleet.storeAway(true), () -> fleet.storeAway(false));
+                case STORE_AWAY -> during(
+                        fault, () -> fleet.setStoreUnreachable(true), () -> fleet.setStoreUnreachable(false));
                 case STORE_SLOW -> during(
-                        fault, () -> fleet.storeSlow((long) fault.factor()), () -> fleet.storeSlow(0));
-                case STORE_LOSES -> during(fault, () -> fleet.storeLoses(fault.share()), () -> fleet.storeLoses(0));
+                        fault, () -> fleet.setStoreDelay((long) fault.factor()), () -> fleet.setStoreDelay(0));
+                case STORE_LOSES -> during(
+                        fault, () -> fleet.setStoreLossShare(fault.share()), () -> fleet.setStoreLossShare(0));
                 case CUT -> {
                     List<String> counterparts = fault.from().equals("all")
                             ? List.of("store", "registry", "peers", "proxies")
@@ -208,7 +222,7 @@
                 }
                 case UNHEARD -> {
                     int proxies = (int) Math.round(fault.share() * fleet.proxies());
-                    during(fault, () -> fleet.unheard(proxies, true), () -> fleet.unheard(proxies, false));
+                    during(fault, () -> fleet.cutProxies(proxies, true), () -> fleet.cutProxies(proxies, false));
                 }
                 default -> throw new IllegalStateException(fault.kind().name());
             }
@@ -218,57 +232,57 @@
     }
 
     /** Ends a backend's process and removes it from the server list. */
-    private void die(Machine backend) {
-        backend.die();
-        fleet.list(List.of(backend), Event.Listed.GONE);
+    private void die(BackendControl backend) {
+        backend.crash();
+        fleet.showInServerList(List.of(backend), Event.Listed.GONE);
     }
 
     /** Suspends a backend; the server list drops it 3 s later, as a lost host is noticed late. */
-    private void vanish(Machine backend) {
-        backend.pause(600 * SECOND);
+    private void vanish(BackendControl backend) {
+        backend.suspend(600 * SECOND);
         fleet.after(3 * SECOND, () -> {
-            backend.die();
-            backend.pause(0);
-            fleet.list(List.of(backend), Event.Listed.GONE);
+            backend.crash();
+            backend.suspend(0);
+            fleet.showInServerList(List.of(backend), Event.Listed.GONE);
         });
     }
 
     /** Starts a backend again, cold, and lists it 100 ms later. */
-    private void restart(Machine backend) {
-        backend.pause(0);
+    private void restart(BackendControl backend) {
+        backend.suspend(0);
         backend.startCold();
         fleet.after(100_000_000L, () -> {
-            if (backend.up()) {
-                fleet.list(List.of(backend), Event.Listed.READY);
+            if (backend.running()) {
+                fleet.showInServerList(List.of(backend), Event.Listed.READY);
             }
         });
     }
 
     /** Lists backends as draining. */
-    private void drain(List<Machine> chosen) {
+    private void drain(List<BackendControl> chosen) {
         chosen.forEach(backend -> unstable.add(backend.id()));
-        chosen.forEach(backend -> backend.drain(false));
-        fleet.list(chosen, Event.Listed.DRAINING);
+        chosen.forEach(backend -> backend.setDraining(false));
+        fleet.showInServerList(chosen, Event.Listed.DRAINING);
     }
 
     /** Adds a new backend in place of one that was preempted. */
     private void replace() {
-        fleet.list(List.of(fleet.fresh()), Event.Listed.READY);
+        fleet.showInServerList(List.of(fleet.addBackend()), Event.Listed.READY);
     }
 
     /** Restarts backends batch by batch: each drains, ends after the drain and starts cold under the same id. */
-    private void release(Script.Trouble fault) {
-        List<Machine> all = choose(fault.pick());
+    private void release(Script.Fault fault) {
+        List<BackendControl> all = choose(fault.pick());
         int batch =
-                Math.max(1, (int) Math.round(fault.share() * fleet.machines().size()));
+                Math.max(1, (int) Math.round(fault.share() * fleet.backends().size()));
         fleet.note(fault.text() + "  " + all.size() + " backends, " + batch + " at a time");
         all.forEach(backend -> affected.add(backend.id()));
-        long intervalNs = fault.forNs() + 2 * SECOND;
+        long intervalNs = fault.durationNs() + 2 * SECOND;
         for (int from = 0, turn = 0; from < all.size(); from += batch, turn++) {
-            List<Machine> members = List.copyOf(all.subList(from, Math.min(all.size(), from + batch)));
+            List<BackendControl> members = List.copyOf(all.subList(from, Math.min(all.size(), from + batch)));
             fleet.after(turn * intervalNs, () -> drain(members));
-            fleet.after(turn * intervalNs + fault.forNs(), () -> members.forEach(this::die));
-            fleet.after(turn * intervalNs + fault.forNs() + SECOND, () -> {
+            fleet.after(turn * intervalNs + fault.durationNs(), () -> members.forEach(this::die));
+            fleet.after(turn * intervalNs + fault.durationNs() + SECOND, () -> {
                 members.forEach(this::restart);
                 members.forEach(backend -> affected.remove(backend.id()));
             });
--- a/src/main/java/puffinbarrow/day/Stage.java
+++ b/src/main/java/puffinbarrow/day/FleetControl.java
@@ -8,7 +8,7 @@
  * The fleet that {@link Strikes} applies faults to: on sockets or in the emulator. On sockets its methods are called by
  * the day's timer thread, in the emulator by the simulation's thread.
  */
-public interface Stage {
+public interface FleetControl {
     /** Runs the work after a delay on the same thread as the faults. */
     void after(long ns, Runnable work);
 
@@ -16,16 +16,16 @@
     void note(String text);
 
     /** Returns all backends in the order of their creation. */
-    Collection<? extends Machine> machines();
+    Collection<? extends BackendControl> backends();
 
     /** Creates a backend that starts cold now and is not in the server list yet. */
-    Machine fresh();
+    BackendControl addBackend();
 
     /** Shows these backends with this state in the server list, after the list's usual delay. */
-    void list(List<? extends Machine> some, Event.Listed as);
+    void showInServerList(List<? extends BackendControl> some, Event.Listed as);
 
     /** Truncates the next server list that is sent. */
-    void breakList();
+    void truncateNextList();
 
     /** Ends a coordinator without an orderly shutdown. */
     void kill(int coordinator);
@@ -37,7 +37,7 @@
     void pace(int coordinator, double part);
 
     /** Suspends or resumes a coordinator. */
-    void freeze(int coordinator, boolean on);
+    void setSuspended(int coordinator, boolean on);
 
     /** Makes a coordinator hand over the slices it is in charge of. */
     void leave(int coordinator);
@@ -46,17 +46,17 @@
     void cut(int coordinator, String from, boolean on);
 
     /** Cuts the first {@code proxies} proxies from all coordinators, or reconnects them. */
-    void unheard(int proxies, boolean on);
+    void cutProxies(int proxies, boolean on);
 
     /** Returns the number of proxies. */
     int proxies();
 
     /** Makes the store unreachable, or reachable again. */
-    void storeAway(boolean on);
+    void setStoreUnreachable(boolean on);
 
     /** Delays the store's answers by this time; 0 ends the delay. */
-    void storeSlow(long ns);
+    void setStoreDelay(long ns);
 
     /** Makes the store lose this share (0 to 1) of its answers. */
-    void storeLoses(double share);
+    void setStoreLossShare(double share);
 }
--- a/src/main/java/puffinbarrow/day/Plan.java
+++ b/src/main/java/puffinbarrow/day/Plan.java
@@ -34,17 +34,17 @@
     }
 
     /** Returns the stream that speeds, shares of traffic and the backends to strike are drawn from, in this order. */
-    public UniformRandomProvider chance() {
+    public UniformRandomProvider random() {
         return random;
     }
 
     /** Draws the next server's speed, as a multiple of the nominal one. */
-    public double speed() {
+    public double drawSpeed() {
         return script.speedLow + (script.speedHigh - script.speedLow) * random.nextDouble();
     }
 
     /** Draws the next proxy's weight in the traffic, 0.3 to 2.3: most proxies carry little, a few far more. */
-    public double part() {
+    public double drawTrafficWeight() {
         return 0.3 + 2 * Math.pow(random.nextDouble(), 3);
     }
 
@@ -63,7 +63,7 @@
                 "grace 3s",
                 "bare 6s",
                 "warm " + script.coldNs / 1_000_000 + "ms",
-                "cold-share " + script.coldFrom,
+                "cold-share " + script.coldShare,
                 "fall-multiple 4 for 1.5s",
                 "queue 4200",
                 "pace 2800",
@@ -100,9 +100,9 @@
     }
 
     /** Returns settings with placeholder addresses, for the audit and for whatever opens no sockets. */
-    public CoordinatorConfig config(int number, List<String> more) {
+    public CoordinatorConfig configWithoutAddresses(int number, List<String> more) {
         List<String> lines = settings(number, more);
-        lines.add("registry 127.0.0.1:1 " + (script.ask ? "ask" : "push"));
+        lines.add("registry 127.0.0.1:1 " + (script.pollsRegistry ? "ask" : "push"));
         lines.add("store 127.0.0.1:1");
         return parse(lines);
     }
@@ -121,26 +121,26 @@
      * Returns the settings that the audit judges by: where a channel was slowed or stopped, the times in the rules grow
      * accordingly, as the fifth rule of WIRE says.
      */
-    public CoordinatorConfig stretched() {
+    public CoordinatorConfig auditConfig() {
         double pace = 1;
         long stoppedNs = 0;
         long suspendedNs = 0;
-        for (Script.Trouble fault : script.troubles) {
+        for (Script.Fault fault : script.faults) {
             pace = fault.kind() == Script.Kind.PACE ? Math.min(pace, fault.share()) : pace;
-            stoppedNs += fault.kind() == Script.Kind.STOP ? fault.forNs() : 0;
+            stoppedNs += fault.kind() == Script.Kind.STOP ? fault.durationNs() : 0;
             // A suspended coordinator keeps its slices for a lease at most, and they are taken over soon after.
             suspendedNs =
-                    fault.kind() == Script.Kind.FREEZE ? Math.min(fault.forNs(), 2 * script.leaseNs) : suspendedNs;
+                    fault.kind() == Script.Kind.FREEZE ? Math.min(fault.durationNs(), 2 * script.leaseNs) : suspendedNs;
         }
-        CoordinatorConfig config = config(0, List.of());
+        CoordinatorConfig config = configWithoutAddresses(0, List.of());
         config.graceNs = (long) (config.graceNs / pace) + stoppedNs + suspendedNs;
         config.noBackendLimitNs = (long) (config.noBackendLimitNs / pace) + stoppedNs + suspendedNs;
         return config;
     }
 
     /** Returns a backend's entry in the server list, with its nominal size; its real capacity differs by its speed. */
-    public static Event.Entry entry(Machine machine, Event.Listed listed) {
-        return new Event.Entry(machine.id(), machine.zone(), 0, machine.cell(), listed, 1, machine.startedAt());
+    public static Event.Entry listEntry(BackendControl machine, Event.Listed listed) {
+        return new Event.Entry(machine.id(), machine.zone(), 0, machine.cell(), listed, 1, machine.startedAtNs());
     }
 
     /** Returns the longest time for which servers recognize repeats of a deduped flow, in ns. */
@@ -194,8 +194,8 @@
                     script.workSpread > 0 ? " spread " + script.workSpread : "",
                     group.retrySafety() == CoordinatorConfig.RetrySafety.RETRIABLE ? "" : " non-retriable"));
         }
-        for (Script.Trouble fault : script.troubles) {
-            String period = fault.atNs() / 1_000_000 + "ms for " + fault.forNs() / 1_000_000 + "ms";
+        for (Script.Fault fault : script.faults) {
+            String period = fault.atNs() / 1_000_000 + "ms for " + fault.durationNs() / 1_000_000 + "ms";
             switch (fault.kind()) {
                 case TRAFFIC -> text.append(
                         String.format(Locale.ROOT, "shape jump x %s at %s%n", fault.factor(), period));
@@ -203,8 +203,8 @@
                         Locale.ROOT,
                         "shape peak x %s at %dms width %dms%n",
                         fault.factor(),
-                        (fault.atNs() + fault.forNs() / 2) / 1_000_000,
-                        fault.forNs() / 1_000_000));
+                        (fault.atNs() + fault.durationNs() / 2) / 1_000_000,
+                        fault.durationNs() / 1_000_000));
                 case HOT -> text.append(String.format(
                         Locale.ROOT, "hot %d keys %.4f%% at %s%n", fault.number(), 100 * fault.share(), period));
                 case HEAVY -> text.append(String.format(
--- a/src/main/java/puffinbarrow/day/Script.java
+++ b/src/main/java/puffinbarrow/day/Script.java
@@ -31,10 +31,10 @@
      * @param from CUT: what the coordinator is cut from
      * @param text the line of the script without its time, for the log
      */
-    public record Trouble(
+    public record Fault(
             Kind kind,
             long atNs,
-            long forNs,
+            long durationNs,
             Pick pick,
             double share,
             double factor,
@@ -132,7 +132,7 @@
     public long coldNs = 9_000_000_000L;
 
     /** Share of its capacity that a backend has at a cold start, 0 to 1. */
-    public double coldFrom = 0.3;
+    public double coldShare = 0.3;
 
     /** Mean delay of a message to a proxy. */
     public long transitNs = 120_000_000L;
@@ -141,10 +141,10 @@
     public long sumsLateNs = 250_000_000L;
 
     /** Shortest delay until the server list shows a change. */
-    public long noticeLowNs = 400_000_000L;
+    public long minListDelayNs = 400_000_000L;
 
     /** Longest delay until the server list shows a change. */
-    public long noticeHighNs = 1_500_000_000L;
+    public long maxListDelayNs = 1_500_000_000L;
 
     /** Length of a coordinator's lease; 0 without leases. */
     public long leaseNs = 1_500_000_000L;
@@ -153,10 +153,10 @@
     public long takeoverNs;
 
     /** Whether coordinators poll the registry in place of being sent its list. */
-    public boolean ask;
+    public boolean pollsRegistry;
 
     /** Whether coordinators keep their memory on disk across restarts. */
-    public boolean memory;
+    public boolean keepsMemory;
 
     /** Coordinator settings that replace the built-in ones. */
     public final List<String> settings = new ArrayList<>();
@@ -164,7 +164,7 @@
     public final Map<String, double[]> work = new TreeMap<>();
 
     /** In the order of the script. */
-    public final List<Trouble> troubles = new ArrayList<>();
+    public final List<Fault> faults = new ArrayList<>();
 
     private static final List<String> KEYWORDS = List.of(
             "coordinators",
@@ -190,12 +190,12 @@
 
     /** Reads a script from a file and adds what is wrong with it to the problems. */
     public static Script read(Path file, List<Problem> problems) {
-        return of(StatementReader.read(file, problems), problems);
+        return fromStatements(StatementReader.read(file, problems), problems);
     }
 
     /** Reads a script from text; {@code name} stands for the file in problems. */
     public static Script parse(String name, String text, List<Problem> problems) {
-        return of(StatementReader.parse(name, text, problems), problems);
+        return fromStatements(StatementReader.parse(name, text, problems), problems);
     }
 
     /** Adds a problem for each size beyond what one machine can play on sockets; the emulator takes more. */
@@ -215,14 +215,14 @@
     }
 
     /** Reads a script from statements and adds what is wrong with it to the problems. */
-    public static Script of(List<Statement> statements, List<Problem> problems) {
+    public static Script fromStatements(List<Statement> statements, List<Problem> problems) {
         Script script = new Script();
         for (Statement statement : statements) {
             ArgumentReader words = new ArgumentReader(statement, problems);
             script.readStatement(statement, words);
             words.expectEnd();
         }
-        for (Trouble fault : script.troubles) {
+        for (Fault fault : script.faults) {
             if (fault.atNs() > script.lengthNs) {
                 problems.add(new Problem(
                         "script",
@@ -271,17 +271,17 @@
             }
             case "retries" -> retries = (int) words.integer("a client's own retries", 0, 5);
             case "cold" -> {
-                coldFrom = words.share("the share that a cold backend can do");
+                coldShare = words.share("the share that a cold backend can do");
                 words.expect("for");
                 coldNs = words.durationNs("until it is warm");
             }
             case "transit" -> transitNs = words.durationNs("the mean delay of a message");
             case "sums-late" -> sumsLateNs = words.durationNs("how late sums arrive");
             case "notice" -> {
-                noticeLowNs = words.durationNs("the shortest delay of the server list");
+                minListDelayNs = words.durationNs("the shortest delay of the server list");
                 words.expect("to");
-                noticeHighNs = words.durationNs("the longest delay");
-                if (words.valid() && noticeHighNs < noticeLowNs) {
+                maxListDelayNs = words.durationNs("the longest delay");
+                if (words.valid() && maxListDelayNs < minListDelayNs) {
                     words.reportMistake("a longest delay below the shortest", "a longer time");
                 }
             }
@@ -290,8 +290,8 @@
                 leaseNs = 0;
             }
             case "lease" -> leaseNs = words.durationNs("a coordinator's lease");
-            case "memory" -> memory = words.onOff();
-            case "list" -> ask = words.oneOf("push", "ask").equals("ask");
+            case "memory" -> keepsMemory = words.onOff();
+            case "list" -> pollsRegistry = words.oneOf("push", "ask").equals("ask");
             case "set" -> {
                 StringBuilder line = new StringBuilder();
                 while (words.hasMore()) {
@@ -491,6 +491,6 @@
             int number,
             String from,
             String text) {
-        troubles.add(new Trouble(kind, at, forNs, pick, share, factor, every, number, from, text));
+        faults.add(new Fault(kind, at, forNs, pick, share, factor, every, number, from, text));
     }
 }
--- a/src/main/java/puffinbarrow/day/TakeoverTimes.java
+++ b/src/main/java/puffinbarrow/day/TakeoverTimes.java
@@ -18,10 +18,10 @@
     static String summary(Script script, List<Observation> seen, long beganAt) {
         Histogram lost = new Histogram(3);
         Histogram left = new Histogram(3);
-        for (Script.Trouble fault : script.troubles) {
+        for (Script.Fault fault : script.faults) {
             // A suspension shorter than two leases may end before another coordinator takes over.
             Histogram times = fault.kind() == Script.Kind.KILL
-                            || fault.kind() == Script.Kind.FREEZE && fault.forNs() > 2 * script.leaseNs
+                            || fault.kind() == Script.Kind.FREEZE && fault.durationNs() > 2 * script.leaseNs
                     ? lost
                     : fault.kind() == Script.Kind.LEAVE ? left : null;
             if (times == null) {
--- a/src/main/java/puffinbarrow/emulator/CoordinatorModel.java
+++ b/src/main/java/puffinbarrow/emulator/CoordinatorModel.java
@@ -136,13 +136,13 @@
         up = true;
         frozen = false;
         deferred.clear();
-        config = fleet.plan.config(number, List.of());
+        config = fleet.plan.configWithoutAddresses(number, List.of());
         meters = new Meters();
         core = new CoordinatorCore(
                 config,
                 (settings, seed) -> measured(controllerFactory.start(settings, seed)),
                 this,
-                fleet.script.memory ? new MemoryModel() : CoordinatorCore.Memory.NONE,
+                fleet.script.keepsMemory ? new MemoryModel() : CoordinatorCore.Memory.NONE,
                 meters,
                 new CoordinatorCore.RateLimits(config.linesPerS, config.reportLinesPerS, config.roundNs));
         holder = null;
--- a/src/main/java/puffinbarrow/emulator/Fleet.java
+++ b/src/main/java/puffinbarrow/emulator/Fleet.java
@@ -13,11 +13,11 @@
 import puffinbarrow.audit.Observation;
 import puffinbarrow.config.CoordinatorConfig;
 import puffinbarrow.control.Event;
-import puffinbarrow.day.Machine;
+import puffinbarrow.day.BackendControl;
+import puffinbarrow.day.FaultInjector;
+import puffinbarrow.day.FleetControl;
 import puffinbarrow.day.Plan;
 import puffinbarrow.day.Script;
-import puffinbarrow.day.Stage;
-import puffinbarrow.day.Strikes;
 import puffinbarrow.load.Scenario;
 import puffinbarrow.proto.Frame;
 import puffinbarrow.proto.FrameReader;
@@ -27,7 +27,7 @@
  * over all of them. The command line and {@link Runs} make one fleet per run; a fleet uses only the thread that calls
  * {@link #run}.
  */
-public final class Fleet implements Stage {
+public final class Fleet implements FleetControl {
     private static final long SECOND = 1_000_000_000L;
     /** Simulated time; a fleet that is not up by then never will be. */
     private static final long UP_WITHIN_NS = 120 * SECOND;
@@ -55,7 +55,7 @@
     /** Servers by id, in the order of their creation. */
     private final Map<String, Server> servers = new LinkedHashMap<>();
 
-    private final Strikes strikes;
+    private final FaultInjector strikes;
     private final Audit audit;
     private final List<String> log = new ArrayList<>();
     private final FrameReader reader = new FrameReader(1 << 28, this::keepDecoded);
@@ -82,10 +82,10 @@
         this.script = setup.script();
         this.model = setup.model();
         this.plan = new Plan(script);
-        this.config = plan.config(0, List.of());
+        this.config = plan.configWithoutAddresses(0, List.of());
         this.simulation = new Simulation(agenda, script.seed, maxEvents);
-        this.strikes = new Strikes(this, plan.chance());
-        this.audit = new Audit(plan.stretched(), Simulation.EPOCH_NS);
+        this.strikes = new FaultInjector(this, plan.random());
+        this.audit = new Audit(plan.auditConfig(), Simulation.EPOCH_NS);
         this.store = new StoreModel(this);
         this.registry = new RegistryModel(this);
         for (int i = 0; i < script.backends; i++) {
@@ -111,8 +111,8 @@
                         number % script.zones,
                         number / model.cellSize,
                         script.cores,
-                        plan.speed(),
-                        script.coldFrom,
+                        plan.drawSpeed(),
+                        script.coldShare,
                         script.coldNs,
                         Plan.dedupNs(config),
                         config.fallMultiple,
@@ -182,7 +182,7 @@
     /** Starts all parts, waits until the fleet is up, and starts clients and script. */
     private void bringUp() {
         List<Event.Entry> list = servers.values().stream()
-                .map(s -> Plan.entry(s, Event.Listed.READY))
+                .map(s -> Plan.listEntry(s, Event.Listed.READY))
                 .toList();
         registry.update(list);
         List<Server> all = new ArrayList<>(servers.values());
@@ -194,7 +194,7 @@
         List<InetSocketAddress> targets = new ArrayList<>();
         for (Proxy proxy : proxies) {
             proxy.start(coordinators);
-            trafficShares.add(plan.part());
+            trafficShares.add(plan.drawTrafficWeight());
             // Placeholder address that encodes the proxy number; nothing is sent to it.
             targets.add(new InetSocketAddress("127.0.0.1", 1 + proxy.number % 65_535));
         }
@@ -219,8 +219,8 @@
         beganAtNs = simulation.now();
         audit.setEpoch(beganAtNs);
         clients.start();
-        for (Script.Trouble trouble : script.troubles) {
-            simulation.after(trouble.atNs(), () -> strikes.strike(trouble));
+        for (Script.Fault trouble : script.faults) {
+            simulation.after(trouble.atNs(), () -> strikes.inject(trouble));
         }
     }
 
@@ -300,24 +300,24 @@
     }
 
     @Override
-    public Collection<? extends Machine> machines() {
+    public Collection<? extends BackendControl> backends() {
         return servers.values();
     }
 
     @Override
-    public Machine fresh() {
+    public BackendControl addBackend() {
         Server server = addServer();
         server.beginCold();
         return server;
     }
 
     @Override
-    public void list(List<? extends Machine> machines, Event.Listed as) {
-        registry.update(machines.stream().map(m -> Plan.entry(m, as)).toList());
+    public void showInServerList(List<? extends BackendControl> machines, Event.Listed as) {
+        registry.update(machines.stream().map(m -> Plan.listEntry(m, as)).toList());
     }
 
     @Override
-    public void breakList() {
+    public void truncateNextList() {
         registry.breakNext();
     }
 
@@ -337,7 +337,7 @@
     }
 
     @Override
-    public void freeze(int coordinator, boolean on) {
+    public void setSuspended(int coordinator, boolean on) {
         coordinators.get(coordinator).freeze(on);
     }
 
@@ -358,7 +358,7 @@
     }
 
     @Override
-    public void unheard(int count, boolean on) {
+    public void cutProxies(int count, boolean on) {
         proxies.subList(0, count)
                 .forEach(p ->
                         coordinators.forEach(c -> p.coordinatorStream(c.number).cut(on)));
@@ -370,17 +370,17 @@
     }
 
     @Override
-    public void storeAway(boolean on) {
+    public void setStoreUnreachable(boolean on) {
         store.setUnavailable(on);
     }
 
     @Override
-    public void storeSlow(long ns) {
+    public void setStoreDelay(long ns) {
         store.setExtraDelay(ns);
     }
 
     @Override
-    public void storeLoses(double share) {
+    public void setStoreLossShare(double share) {
         store.setLostAnswerShare(share);
     }
 }
--- a/src/main/java/puffinbarrow/emulator/RegistryModel.java
+++ b/src/main/java/puffinbarrow/emulator/RegistryModel.java
@@ -77,9 +77,9 @@
             changed.forEach(e -> pending.put(e.server(), e));
             if (!patchScheduled) {
                 patchScheduled = true;
-                long minDelayNs = fleet.script.noticeLowNs;
+                long minDelayNs = fleet.script.minListDelayNs;
                 simulation.after(
-                        minDelayNs + (long) ((fleet.script.noticeHighNs - minDelayNs) * random.nextDouble()), () -> {
+                        minDelayNs + (long) ((fleet.script.maxListDelayNs - minDelayNs) * random.nextDouble()), () -> {
                             patchScheduled = false;
                             if (isOpen() && follows && !pending.isEmpty()) {
                                 sendList(Event.ListKind.PATCH, new ArrayList<>(pending.values()));
--- a/src/main/java/puffinbarrow/emulator/Server.java
+++ b/src/main/java/puffinbarrow/emulator/Server.java
@@ -11,13 +11,13 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import puffinbarrow.audit.Observation;
 import puffinbarrow.control.Event;
-import puffinbarrow.day.Machine;
+import puffinbarrow.day.BackendControl;
 
 /**
  * A backend server in simulated time: cores that each work on one flow or are shared by all, a waiting room, a cold
  * start, a cache of warm keys, a limit on connections, periodic load reports, and faults on command of the script.
  */
-final class Server implements Machine {
+final class Server implements BackendControl {
     /**
      * Fixed properties of a server: speed relative to 1; {@code coldFrom} is the share of its speed right after a
      * start, {@code coldNs} the time to full speed; {@code fallMultiple} and {@code fallNs} say what overload a cold
@@ -174,12 +174,12 @@
     }
 
     @Override
-    public long startedAt() {
+    public long startedAtNs() {
         return startedAtNs;
     }
 
     @Override
-    public boolean up() {
+    public boolean running() {
         return up;
     }
 
@@ -189,7 +189,7 @@
     }
 
     @Override
-    public void die() {
+    public void crash() {
         if (!up) {
             return;
         }
@@ -232,7 +232,7 @@
     }
 
     @Override
-    public void drain(boolean on) {
+    public void setDraining(boolean on) {
         draining = on;
     }
 
@@ -247,14 +247,14 @@
     }
 
     @Override
-    public void slowBy(double factor) {
+    public void setSlowdown(double factor) {
         advanceService();
         slowdown = factor;
         scheduleNextCompletion();
     }
 
     @Override
-    public void pause(long ns) {
+    public void suspend(long ns) {
         advanceService();
         pausedUntilNs = simulation.now() + ns;
         scheduleNextCompletion();
@@ -327,7 +327,7 @@
             return;
         }
         if (recordOverload(attempt.workNs())) {
-            die();
+            crash();
             return;
         }
         if (draining) {
--- a/src/main/java/puffinbarrow/emulator/Setup.java
+++ b/src/main/java/puffinbarrow/emulator/Setup.java
@@ -35,6 +35,6 @@
                 scriptStatements.add(statement);
             }
         }
-        return new Setup(Script.of(scriptStatements, problems), model);
+        return new Setup(Script.fromStatements(scriptStatements, problems), model);
     }
 }
--- a/src/main/java/puffinbarrow/standin/Backend.java
+++ b/src/main/java/puffinbarrow/standin/Backend.java
@@ -90,7 +90,7 @@
 
     private boolean up;
     /** It crashed under overload and stays down. */
-    private boolean fell;
+    private boolean crashedUnderLoad;
 
     private boolean draining;
     /** When the present process started; 0: before the recording. */
@@ -162,8 +162,8 @@
     }
 
     /** Returns whether it crashed under overload. */
-    public synchronized boolean fell() {
-        return fell;
+    public synchronized boolean crashedUnderLoad() {
+        return crashedUnderLoad;
     }
 
     public synchronized boolean draining() {
@@ -173,7 +173,7 @@
     // ---- Faults.
 
     /** Ends its process: closes all streams and drops all flows. */
-    public void die() {
+    public void crash() {
         Set<Link> gone;
         synchronized (this) {
             if (!up) {
@@ -195,7 +195,7 @@
     /** Starts its process again, cold and with the same id; retries shortly after if the port is still in use. */
     public void startCold() {
         synchronized (this) {
-            if (up || fell) {
+            if (up || crashedUnderLoad) {
                 return;
             }
         }
@@ -219,7 +219,7 @@
     }
 
     /** Treats a new backend as started just now, so that it is cold. */
-    public void beginCold() {
+    public void markStarted() {
         synchronized (this) {
             startedAt = processAt = System.nanoTime();
             recorder.add(new Observation.ServerStarted(
@@ -354,7 +354,7 @@
         if (code > 0) {
             answer(link, code, header);
         } else if (code < 0) {
-            die();
+            crash();
         }
     }
 
@@ -379,9 +379,9 @@
         }
         // The same tolerance of ten percent as the audit.
         if (recentWorkNs > 1.1 * fallMultiple * shape.cores * shape.speed * warmth(now) * fallNs) {
-            fell = true;
+            crashedUnderLoad = true;
         }
-        return fell;
+        return crashedUnderLoad;
     }
 
     private void begin(long now, Job job) {
--- a/src/main/java/puffinbarrow/standin/Delays.java
+++ b/src/main/java/puffinbarrow/standin/DelayedServer.java
@@ -19,9 +19,9 @@
  * distribution, stalls for a time on command, and writes malformed or unusual answers on command. Records the delays
  * that requests really had. Methods may be called from any thread.
  */
-public final class Delays implements AutoCloseable {
+public final class DelayedServer implements AutoCloseable {
     /** How an answer is written. */
-    public enum Manner {
+    public enum AnswerStyle {
         /** Whole, in one write. */
         PLAIN,
         /** Whole, in three writes 5 ms apart. */
@@ -37,7 +37,7 @@
         /** Twice. */
         DOUBLED,
         /** With the identifier of another flow. */
-        ANOTHERS,
+        WRONG_FLOW,
         /** Before the request has been received in full. */
         EARLY
     }
@@ -50,15 +50,15 @@
     private final DoubleUnaryOperator delayNs;
     private final UniformRandomProvider random;
     /** Delays from a request's arrival to its answer, in microseconds. */
-    private final Histogram given = new ConcurrentHistogram(MAX_RECORDED_US, 3);
+    private final Histogram delays = new ConcurrentHistogram(MAX_RECORDED_US, 3);
 
     private final AtomicLong requests = new AtomicLong();
     private volatile long stalledFrom = Long.MAX_VALUE;
     private volatile long stalledUntil = Long.MIN_VALUE;
-    private volatile Manner manner = Manner.PLAIN;
+    private volatile AnswerStyle answerStyle = AnswerStyle.PLAIN;
 
     /** @param delayNs maps a uniform number in [0, 1) to a delay: the distribution's quantile function */
-    public Delays(DoubleUnaryOperator delayNs, UniformRandomProvider random) throws IOException {
+    public DelayedServer(DoubleUnaryOperator delayNs, UniformRandomProvider random) throws IOException {
         this(delayNs, random, 0);
     }
 
@@ -67,7 +67,7 @@
      *
      * @param delayNs maps a uniform number in [0, 1) to a delay: the distribution's quantile function
      */
-    public Delays(DoubleUnaryOperator delayNs, UniformRandomProvider random, int port) throws IOException {
+    public DelayedServer(DoubleUnaryOperator delayNs, UniformRandomProvider random, int port) throws IOException {
         this.net = new Net("delays", 3);
         this.delayNs = delayNs;
         this.random = random;
@@ -79,19 +79,19 @@
     }
 
     /** Sets how answers are written from now on. */
-    public void manner(Manner how) {
-        manner = how;
+    public void answerStyle(AnswerStyle how) {
+        answerStyle = how;
     }
 
     /** Answers nothing for that long from now; answers that fall dueAt meanwhile are sent at its end. */
-    public void standStill(long ns) {
+    public void stall(long ns) {
         stalledFrom = System.nanoTime();
         stalledUntil = stalledFrom + ns;
     }
 
     /** Returns the delays so far, in microseconds, from a request's arrival to its answer. */
-    public Histogram given() {
-        return given;
+    public Histogram delays() {
+        return delays;
     }
 
     /** Returns the number of requests so far. */
@@ -108,7 +108,7 @@
         @Override
         public void received(Link from, ByteBuffer bytes) {
             link = from;
-            if (manner == Manner.EARLY) {
+            if (answerStyle == AnswerStyle.EARLY) {
                 // Answers on the first bytes and reads the rest later, so that the request cannot be complete by then.
                 if (!early) {
                     early = true;
@@ -147,8 +147,8 @@
                 net.timer().schedule(() -> answer(receivedAt, dueAt, flow), stalledUntil - now, TimeUnit.NANOSECONDS);
                 return;
             }
-            given.recordValue(Math.min(MAX_RECORDED_US, (System.nanoTime() - receivedAt) / 1000));
-            switch (manner) {
+            delays.recordValue(Math.min(MAX_RECORDED_US, (System.nanoTime() - receivedAt) / 1000));
+            switch (answerStyle) {
                 case PLAIN -> write("HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok");
                 case SPLIT -> {
                     write("HTTP/1.1 200 OK\r\ncont");
@@ -164,8 +164,8 @@
                 case CLOSED -> link.close();
                 case LONGER -> write("HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nokand more");
                 case DOUBLED -> write("HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok".repeat(2));
-                case ANOTHERS -> write("HTTP/1.1 200 OK\r\nx-flow: " + flow + "1\r\ncontent-length: 2\r\n\r\nok");
-                default -> throw new IllegalStateException(manner.name());
+                case WRONG_FLOW -> write("HTTP/1.1 200 OK\r\nx-flow: " + flow + "1\r\ncontent-length: 2\r\n\r\nok");
+                default -> throw new IllegalStateException(answerStyle.name());
             }
         }
 
--- a/src/main/java/puffinbarrow/standin/Registry.java
+++ b/src/main/java/puffinbarrow/standin/Registry.java
@@ -54,12 +54,12 @@
     }
 
     /** Adds, changes or removes an entry; coordinators are told after their delay. */
-    public void set(Event.Entry entry) {
-        set(List.of(entry));
+    public void update(Event.Entry entry) {
+        update(List.of(entry));
     }
 
     /** Adds, changes or removes entries; coordinators are told of all of them together. */
-    public synchronized void set(List<Event.Entry> changed) {
+    public synchronized void update(List<Event.Entry> changed) {
         version++;
         for (Event.Entry entry : changed) {
             if (entry.listed() == Event.Listed.GONE) {
--- a/src/main/java/puffinbarrow/standin/PlainProxy.java
+++ b/src/main/java/puffinbarrow/standin/StandInProxy.java
@@ -36,7 +36,7 @@
  * after a simulated transit and the time that their lines take. Frames and requests arrive on the threads of
  * {@link Net}; all state is guarded by {@code this}.
  */
-public final class PlainProxy implements AutoCloseable {
+public final class StandInProxy implements AutoCloseable {
     /**
      * How the proxy behaves.
      *
@@ -48,7 +48,7 @@
      * @param holdNs how long it holds a flow while there is no server for it
      * @param attemptBudgets time-out of an attempt that a retry may follow, in latency budgets of the flow's group
      */
-    public record Habits(
+    public record Timings(
             long transitNs,
             long applyNsPerLine,
             long reportDelayNs,
@@ -131,7 +131,7 @@
     private final int number;
     private final int zone;
     private final CoordinatorConfig config;
-    private final Habits habits;
+    private final Timings habits;
     private final Recorder recorder;
     private final UniformRandomProvider random;
     private final PooledHttpClient httpClient;
@@ -167,12 +167,12 @@
     private long linesNotInCharge;
 
     /** Listens at once; {@link #start} dials. */
-    public PlainProxy(
+    public StandInProxy(
             Net net,
             int number,
             int zone,
             CoordinatorConfig config,
-            Habits habits,
+            Timings habits,
             Recorder recorder,
             UniformRandomProvider random)
             throws IOException {
@@ -505,7 +505,7 @@
             this.group = Integer.parseInt(request.header("x-group"));
             this.workNs = Long.parseLong(request.header("x-work-ns"));
             this.expiresAt = receivedAt + Long.parseLong(request.header("x-expiry-ns"));
-            synchronized (PlainProxy.this) {
+            synchronized (StandInProxy.this) {
                 this.id = nextFlow++;
             }
         }
@@ -513,7 +513,7 @@
         /** Sends or blocks it, by the level of its group. */
         void begin() {
             boolean admitted;
-            synchronized (PlainProxy.this) {
+            synchronized (StandInProxy.this) {
                 CoordinatorSession session = session();
                 if (session != null) {
                     session.demand.computeIfAbsent((long) slice << 8 | group, k -> new long[2])[0]++;
@@ -538,7 +538,7 @@
             String server;
             int coordinator;
             long now = System.nanoTime();
-            synchronized (PlainProxy.this) {
+            synchronized (StandInProxy.this) {
                 CoordinatorSession session = session();
                 coordinator = session == null ? -1 : session.number;
                 server = pick(session, now);
@@ -577,7 +577,7 @@
 
         /** Returns what retries the coordinator in charge allows. */
         private Order.Retry retry() {
-            synchronized (PlainProxy.this) {
+            synchronized (StandInProxy.this) {
                 CoordinatorSession session = session();
                 Order.SetLevel level = session == null ? null : session.levels.get(group);
                 return level == null ? Order.Retry.NEVER : level.retry();
@@ -636,7 +636,7 @@
         private void onEnd(String server, int attemptNumber, long sentAt, PooledHttpClient.Result result) {
             long now = System.nanoTime();
             boolean again;
-            synchronized (PlainProxy.this) {
+            synchronized (StandInProxy.this) {
                 recorder.add(new Observation.AttemptEnded(
                         now, number, id, attemptNumber - 1, result.good(), result.proof()));
                 recordOutcome(server, sentAt, now, result);
@@ -687,7 +687,7 @@
 
         /** Answers at once and states when to retry, so that the client need not wait until the expiry. */
         private void block() {
-            synchronized (PlainProxy.this) {
+            synchronized (StandInProxy.this) {
                 blocked++;
             }
             answer(503, "Service Unavailable", "retry-after: 1\r\n");
@@ -746,7 +746,7 @@
     }
 
     /** Returns the servers of the slice's table that the coordinator in charge does not mask. */
-    public synchronized List<String> open(int slice) {
+    public synchronized List<String> unmaskedServers(int slice) {
         CoordinatorSession session = sessions.get(owners.getOrDefault(slice, -1));
         return tables.getOrDefault(slice, new TreeMap<>()).keySet().stream()
                 .filter(s -> session == null || !session.masks.contains(s))
--- a/src/main/java/puffinbarrow/standin/Store.java
+++ b/src/main/java/puffinbarrow/standin/Store.java
@@ -48,8 +48,8 @@
     private final Set<Stream> readers = new HashSet<>();
 
     private long refusedWrites;
-    private long handed;
-    private long moves;
+    private long ownerChanges;
+    private long serversAdded;
     /** Coordinators divide the slices among themselves. */
     private final boolean leases;
 
@@ -59,7 +59,7 @@
     /** The latest revision of any record. */
     private long revisions;
 
-    private boolean away;
+    private boolean setUnavailable;
     /** Coordinators that cannot reach the store. */
     private final Set<Integer> cut = new HashSet<>();
     /** Share of answers to writes that are lost, 0 to 1. */
@@ -91,7 +91,7 @@
     }
 
     /** Sets the initial table of a slice: the one server. */
-    public synchronized void begin(int slice, String server) {
+    public synchronized void setInitialTable(int slice, String server) {
         tables.put(slice, new TreeMap<>(Map.of(server, 1.0)));
     }
 
@@ -111,10 +111,10 @@
     }
 
     /** While away, all streams are closed and new ones refused; the records stay. */
-    public void away(boolean on) {
+    public void setUnavailable(boolean on) {
         List<Stream> open = new ArrayList<>();
         synchronized (this) {
-            away = on;
+            setUnavailable = on;
             if (on) {
                 open.addAll(coordinatorStreams.values());
                 open.addAll(readers);
@@ -145,7 +145,7 @@
     }
 
     /** Delays each answer and each record by that time from now on. */
-    public synchronized void slow(long ms) {
+    public synchronized void delayAnswers(long ms) {
         delayMs = ms;
     }
 
@@ -156,13 +156,13 @@
     }
 
     /** Returns how often a server was added to the table of a slice. */
-    public synchronized long moves() {
-        return moves;
+    public synchronized long serversAdded() {
+        return serversAdded;
     }
 
     /** Returns how often a slice came into the charge of another coordinator. */
-    public synchronized long handed() {
-        return handed;
+    public synchronized long ownerChanges() {
+        return ownerChanges;
     }
 
     @Override
@@ -192,7 +192,7 @@
             if (before != null) {
                 sendCharge(before, slice, false);
             }
-            handed += owner[slice] >= 0 ? 1 : 0;
+            ownerChanges += owner[slice] >= 0 ? 1 : 0;
             owner[slice] = to;
             sendCharge(coordinatorStreams.get(to), slice, true);
             for (Stream reader : readers) {
@@ -246,7 +246,7 @@
         int slice = ownership.slice();
         if (owner[slice] >= 0) {
             recorder.add(new Observation.ChargeSent(System.nanoTime(), owner[slice], slice, false));
-            handed += owner[slice] == ownership.owner() ? 0 : 1;
+            ownerChanges += owner[slice] == ownership.owner() ? 0 : 1;
         }
         owner[slice] = ownership.owner();
         recorder.add(new Observation.ChargeSent(System.nanoTime(), ownership.owner(), slice, true));
@@ -269,7 +269,7 @@
                     continue;
                 }
                 TreeMap<String, Double> table = tables.computeIfAbsent(o.table(), t -> new TreeMap<>());
-                moves += o.weight() > 0 && !table.containsKey(o.server()) ? 1 : 0;
+                serversAdded += o.weight() > 0 && !table.containsKey(o.server()) ? 1 : 0;
                 if (soleOwner && o.weight() > 0) {
                     table.clear();
                 }
@@ -300,7 +300,7 @@
 
         private void onFrame(Frame frame) {
             synchronized (Store.this) {
-                if (away
+                if (setUnavailable
                         || frame instanceof Frame.Hello h
                                 && h.role() == Frame.Role.COORDINATOR
                                 && cut.contains(h.number())) {
--- a/src/test/java/puffinbarrow/coordinator/CoordinatorTest.java
+++ b/src/test/java/puffinbarrow/coordinator/CoordinatorTest.java
@@ -319,7 +319,7 @@
 
     @Test
     void afterARegistryBreaksOffAListNothingOfItIsUsedAndTheListIsRequestedAgain() throws IOException {
-        registry.set(new Event.Entry("a:1", 0, 0, 0, Event.Listed.READY, 1, 0));
+        registry.update(new Event.Entry("a:1", 0, 0, 0, Event.Listed.READY, 1, 0));
         registry.breakNextList();
         ScriptedController controller = new ScriptedController();
         start(config(0, ""), controller);
@@ -393,10 +393,10 @@
     @Test
     void theChannelQueueStaysUnderItsLimitWhileServersDieAndProxiesAcknowledgeNothing() throws IOException {
         for (int i = 0; i < 12; i++) {
-            registry.set(new Event.Entry("s:" + i, 0, 0, 0, Event.Listed.READY, 1, 0));
+            registry.update(new Event.Entry("s:" + i, 0, 0, 0, Event.Listed.READY, 1, 0));
         }
         for (int i = 0; i < 30; i++) {
-            store.begin(i, "s:" + i % 12);
+            store.setInitialTable(i, "s:" + i % 12);
         }
         Coordinator coordinator =
                 new Coordinator(config(0, "queue 600\npace 600\ngrace 3s\nmessages 20 per 10s\n"), Logic::new).start();
@@ -409,7 +409,7 @@
                 "charges and joins",
                 () -> value(coordinator, "slices.charge") == 30 && value(coordinator, "streams.joined") == 6);
         for (int i = 0; i < 8; i++) {
-            registry.set(new Event.Entry("s:" + i, 0, 0, 0, Event.Listed.GONE, 1, 0));
+            registry.update(new Event.Entry("s:" + i, 0, 0, 0, Event.Listed.GONE, 1, 0));
             long sent = (long) value(coordinator, "channel.messages.sent");
             int before = i;
             until("some orders", () -> before > 3 || value(coordinator, "channel.messages.sent") > sent);
@@ -449,10 +449,10 @@
     @Test
     void aKillWhileOrdersAreSentLeavesOnlyCompleteOrdersBehind(@TempDir Path folder) throws Exception {
         for (int i = 0; i < 12; i++) {
-            registry.set(new Event.Entry("s:" + i, 0, 0, 0, Event.Listed.READY, 1, 0));
+            registry.update(new Event.Entry("s:" + i, 0, 0, 0, Event.Listed.READY, 1, 0));
         }
         for (int i = 0; i < 30; i++) {
-            store.begin(i, "s:" + i % 12);
+            store.setInitialTable(i, "s:" + i % 12);
         }
         Path file = folder.resolve("c.conf");
         Path ports = folder.resolve("ports");
@@ -482,7 +482,7 @@
             until("the welcome", proxy::welcomed);
             int gone = run;
             // The loss of servers causes orders; the process is killed while most of them still wait.
-            registry.set(List.of(
+            registry.update(List.of(
                     new Event.Entry("s:" + gone, 0, 0, 0, Event.Listed.GONE, 1, 0),
                     new Event.Entry("s:" + (gone + 4), 0, 0, 0, Event.Listed.GONE, 1, 0)));
             until("orders", () -> !proxy.orders().isEmpty());
--- a/src/test/java/puffinbarrow/load/EngineTest.java
+++ b/src/test/java/puffinbarrow/load/EngineTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import puffinbarrow.config.Problem;
-import puffinbarrow.standin.Delays;
+import puffinbarrow.standin.DelayedServer;
 
 /**
  * Runs the engine against stand-in servers that are slow, stalled, malformed or absent. Checks counts, sums and
@@ -31,8 +31,8 @@
 class EngineTest {
     private static final DoubleUnaryOperator TWO_MS = draw -> 2e6;
 
-    private static Delays target(DoubleUnaryOperator delay) throws Exception {
-        return new Delays(delay, RandomSource.XO_RO_SHI_RO_128_PP.create(1));
+    private static DelayedServer target(DoubleUnaryOperator delay) throws Exception {
+        return new DelayedServer(delay, RandomSource.XO_RO_SHI_RO_128_PP.create(1));
     }
 
     private static Scenario scenario(InetSocketAddress target, String more) {
@@ -56,16 +56,17 @@
 
     @Test
     void everyFlowHasOneOutcomeForAllKindsOfAnswers() throws Exception {
-        for (Delays.Manner manner : List.of(
-                Delays.Manner.PLAIN,
-                Delays.Manner.SPLIT,
-                Delays.Manner.CHUNKED,
-                Delays.Manner.CUT_SHORT,
-                Delays.Manner.CLOSED)) {
-            try (Delays target = target(TWO_MS)) {
-                target.manner(manner);
+        for (DelayedServer.AnswerStyle manner : List.of(
+                DelayedServer.AnswerStyle.PLAIN,
+                DelayedServer.AnswerStyle.SPLIT,
+                DelayedServer.AnswerStyle.CHUNKED,
+                DelayedServer.AnswerStyle.CUT_SHORT,
+                DelayedServer.AnswerStyle.CLOSED)) {
+            try (DelayedServer target = target(TWO_MS)) {
+                target.answerStyle(manner);
                 Result result = run(target.address(), "rate 300\nlength 1s\n");
-                boolean complete = manner != Delays.Manner.CUT_SHORT && manner != Delays.Manner.CLOSED;
+                boolean complete =
+                        manner != DelayedServer.AnswerStyle.CUT_SHORT && manner != DelayedServer.AnswerStyle.CLOSED;
                 long answered = result.all.count(Result.Outcome.IN_BUDGET) + result.all.count(Result.Outcome.LATE);
                 assertEquals(complete ? result.intended : 0, answered, manner + " " + result.all.outcomes);
                 assertEquals(complete ? 0 : result.intended, result.all.count(Result.Outcome.RESET), manner.toString());
@@ -76,13 +77,13 @@
 
     @Test
     void latencyIncludesTheWaitDuringAStalledTarget() throws Exception {
-        try (Delays target = target(TWO_MS)) {
+        try (DelayedServer target = target(TWO_MS)) {
             Executors.newSingleThreadScheduledExecutor(r -> {
                         Thread thread = new Thread(r);
                         thread.setDaemon(true);
                         return thread;
                     })
-                    .schedule(() -> target.standStill(1_000_000_000L), 1, TimeUnit.SECONDS);
+                    .schedule(() -> target.stall(1_000_000_000L), 1, TimeUnit.SECONDS);
             // With few connections, a closed loop would have only one flow per connection in the stall.
             Result result = run(target.address(), "rate 500\nlength 4s\nconnections 20\narrivals constant\n");
             // A quarter of the flows start in the stall of one second; half of those wait over 0.5 s.
@@ -107,7 +108,7 @@
 
     @Test
     void flowsOverTheBoundsAreNeverSent() throws Exception {
-        try (Delays target = target(draw -> 800e6)) {
+        try (DelayedServer target = target(draw -> 800e6)) {
             Result result = run(target.address(), "rate 200\nlength 1s\nin-flight 50\n");
             assertTrue(result.all.count(Result.Outcome.NEVER_SENT) > 0);
             assertEquals(result.intended - result.all.count(Result.Outcome.NEVER_SENT), target.requests());
@@ -123,7 +124,7 @@
 
     @Test
     void unansweredFlowsTimeOut() throws Exception {
-        try (Delays target = target(draw -> 60e9)) {
+        try (DelayedServer target = target(draw -> 60e9)) {
             Result result = run(target.address(), "rate 50\nlength 500ms\n");
             assertEquals(result.intended, result.all.count(Result.Outcome.TIMED_OUT));
         }
@@ -131,9 +132,10 @@
 
     @Test
     void unexpectedDataClosesTheConnectionWithoutHarmToTheNextFlow() throws Exception {
-        for (Delays.Manner manner : List.of(Delays.Manner.LONGER, Delays.Manner.DOUBLED)) {
-            try (Delays target = target(TWO_MS)) {
-                target.manner(manner);
+        for (DelayedServer.AnswerStyle manner :
+                List.of(DelayedServer.AnswerStyle.LONGER, DelayedServer.AnswerStyle.DOUBLED)) {
+            try (DelayedServer target = target(TWO_MS)) {
+                target.answerStyle(manner);
                 Result result = run(target.address(), "rate 300\nlength 1s\n");
                 assertEquals(
                         result.intended,
@@ -147,8 +149,8 @@
 
     @Test
     void responseToAnotherFlowIsMalformed() throws Exception {
-        try (Delays target = target(TWO_MS)) {
-            target.manner(Delays.Manner.ANOTHERS);
+        try (DelayedServer target = target(TWO_MS)) {
+            target.answerStyle(DelayedServer.AnswerStyle.WRONG_FLOW);
             Result result = run(target.address(), "rate 300\nlength 1s\n");
             assertEquals(result.intended, result.all.count(Result.Outcome.MALFORMED), result.all.outcomes.toString());
             assertEquals(0, result.all.latency.getTotalCount());
@@ -157,8 +159,8 @@
 
     @Test
     void earlyResponseCountsAndItsConnectionIsNotReused() throws Exception {
-        try (Delays target = target(TWO_MS)) {
-            target.manner(Delays.Manner.EARLY);
+        try (DelayedServer target = target(TWO_MS)) {
+            target.answerStyle(DelayedServer.AnswerStyle.EARLY);
             List<Problem> problems = new ArrayList<>();
             Scenario upload = Scenario.parse(
                     "t",
@@ -179,14 +181,14 @@
 
     @Test
     void restartedTargetLosesOnlyTheFlowsOfItsAbsence() throws Exception {
-        Delays first = target(TWO_MS);
+        DelayedServer first = target(TWO_MS);
         int port = first.address().getPort();
         Thread restart = new Thread(() -> {
             try {
                 TimeUnit.MILLISECONDS.sleep(800);
                 first.close();
                 TimeUnit.MILLISECONDS.sleep(700);
-                Delays second = new Delays(TWO_MS, RandomSource.XO_RO_SHI_RO_128_PP.create(2), port);
+                DelayedServer second = new DelayedServer(TWO_MS, RandomSource.XO_RO_SHI_RO_128_PP.create(2), port);
                 try {
                     TimeUnit.SECONDS.sleep(4);
                 } finally {
@@ -211,7 +213,7 @@
 
     @Test
     void flowsWaitForConnectionsWhenDescriptorsRunOut() throws Exception {
-        try (Delays target = target(draw -> 100e6)) {
+        try (DelayedServer target = target(draw -> 100e6)) {
             Path scenario = Files.createTempFile("handles", ".load");
             Files.writeString(
                     scenario,
@@ -252,7 +254,7 @@
 
     @Test
     void sendersShareFlowsBoundsAndResult() throws Exception {
-        try (Delays target = target(TWO_MS)) {
+        try (DelayedServer target = target(TWO_MS)) {
             Result one = run(target.address(), "rate 600\nlength 2s\nseed 5\n");
             Result three = run(target.address(), "rate 600\nlength 2s\nseed 5\nsenders 3\n");
             assertEquals(one.intended, three.intended);
@@ -260,7 +262,7 @@
             assertEquals(
                     three.intended, three.all.count(Result.Outcome.IN_BUDGET) + three.all.count(Result.Outcome.LATE));
         }
-        try (Delays target = target(draw -> 800e6)) {
+        try (DelayedServer target = target(draw -> 800e6)) {
             Result bounded = run(target.address(), "rate 200\nlength 1s\nin-flight 30\nsenders 3\n");
             assertEquals(
                     bounded.all.count(Result.Outcome.NEVER_SENT),
@@ -271,7 +273,7 @@
 
     @Test
     void reportFolderIsReadableByOtherTools(@TempDir Path folder) throws Exception {
-        try (Delays target = target(TWO_MS)) {
+        try (DelayedServer target = target(TWO_MS)) {
             Scenario scenario = scenario(target.address(), "rate 200\nlength 3s\n");
             Result result;
             try (Engine engine = new Engine(scenario)) {
