--- a/src/main/java/puffinbarrow/cli/EmulateCommands.java
+++ b/src/main/java/puffinbarrow/cli/EmulateCommands.java
@@ -13,17 +13,17 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import puffinbarrow.config.Problem;
+import puffinbarrow.emulator.DayToken;
+import puffinbarrow.emulator.EmulatedDay;
 import puffinbarrow.emulator.Experiment;
+import puffinbarrow.emulator.ExperimentRunner;
 import puffinbarrow.emulator.Fleet;
-import puffinbarrow.emulator.Heap;
 import puffinbarrow.emulator.Outcome;
 import puffinbarrow.emulator.Policy;
+import puffinbarrow.emulator.QuaternaryHeap;
 import puffinbarrow.emulator.Report;
-import puffinbarrow.emulator.Runs;
+import puffinbarrow.emulator.ResultTable;
 import puffinbarrow.emulator.Search;
-import puffinbarrow.emulator.Setup;
-import puffinbarrow.emulator.Sheet;
-import puffinbarrow.emulator.Token;
 
 /** Commands that play days in the emulator, in simulated time. */
 @Command(
@@ -54,7 +54,7 @@
 
     /** Returns the policy of this name, or adds a problem and returns null. */
     private static Policy policy(String name, List<Problem> problems) {
-        Policy policy = Policy.named(name);
+        Policy policy = Policy.byName(name);
         if (policy == null) {
             problems.add(new Problem(
                     "--policy",
@@ -122,17 +122,19 @@
         @Override
         public Integer call() throws IOException {
             List<Problem> problems = new ArrayList<>();
-            Setup setup = null;
+            EmulatedDay setup = null;
             if (token != null) {
-                String text = Token.text(token);
+                String text = DayToken.text(token);
                 if (text == null) {
                     problems.add(new Problem("--token", 0, "invalid token, expected one as printed by a search"));
                 } else {
-                    setup = Setup.parse("token", text, problems);
+                    setup = EmulatedDay.parse("token", text, problems);
                 }
             } else {
                 String builtIn = Files.exists(file) ? null : builtIn(file.toString());
-                setup = builtIn == null ? Setup.read(file, problems) : Setup.parse(file + ".day", builtIn, problems);
+                setup = builtIn == null
+                        ? EmulatedDay.read(file, problems)
+                        : EmulatedDay.parse(file + ".day", builtIn, problems);
             }
             Policy decisions = policy(policy, problems);
             if (!valid(problems)) {
@@ -141,7 +143,7 @@
             LogSetup.configure(false, "off");
             setup.script().seed = seed == null ? setup.script().seed : seed;
             long began = System.nanoTime();
-            Outcome outcome = new Fleet(setup, decisions, new Heap(), mostEvents).run();
+            Outcome outcome = new Fleet(setup, decisions, new QuaternaryHeap(), mostEvents).run();
             double took = (System.nanoTime() - began) / 1e9;
             System.out.print(outcome.text());
             System.out.printf(
@@ -153,11 +155,11 @@
                     took,
                     outcome.events / took / 1e6,
                     outcome.intended / took,
-                    outcome.beganAtNs / 1e9,
-                    outcome.mostOpen,
+                    outcome.trafficStartNs / 1e9,
+                    outcome.maxOpenFlows,
                     100 * outcome.decisionNs / 1e9 / took,
                     outcome.decisionNs / 1e3 / Math.max(1, outcome.decisionEvents));
-            return outcome.failed != null || !outcome.whole()
+            return outcome.failed != null || !outcome.complete()
                     ? Commands.FAILED
                     : outcome.verdict.kept() ? Commands.OK : Commands.RULE_BROKEN;
         }
@@ -189,11 +191,11 @@
                 return Commands.USAGE;
             }
             LogSetup.configure(false, "off");
-            if (!new Runs(experiment, out, Math.max(1, threads), EmulateCommands::progress).play()) {
+            if (!new ExperimentRunner(experiment, out, Math.max(1, threads), EmulateCommands::progress).run()) {
                 System.err.println(out + ": contains the results of another experiment, expected an empty folder");
                 return Commands.USAGE;
             }
-            Report report = new Report(Sheet.read(out.resolve("results.csv")));
+            Report report = new Report(ResultTable.read(out.resolve("results.csv")));
             System.out.print(report.text());
             report.html(out.resolve("report.html"), experiment.name);
             System.out.println("written to " + out.resolve("report.html"));
@@ -216,7 +218,7 @@
                 System.err.println(results + ": not found, expected the results of a finished experiment");
                 return Commands.USAGE;
             }
-            Report report = new Report(Sheet.read(results));
+            Report report = new Report(ResultTable.read(results));
             System.out.print(report.text());
             report.html(folder.resolve("report.html"), folder.getFileName().toString());
             return Commands.OK;
@@ -271,15 +273,15 @@
                 return Commands.USAGE;
             }
             LogSetup.configure(false, "off");
-            Search.Find find = new Search(
+            Search.Result find = new Search(
                             experiment, decisions, baseline, seed, Math.max(1, threads), EmulateCommands::progress)
                     .run(days);
             if (find == null) {
                 System.out.println("none of " + days + " days breaks a rule or loses anything");
                 return Commands.OK;
             }
-            System.out.println(find.told() + "\n\n" + find.text());
-            System.out.println("emulate run --policy " + policy + " --token " + Token.of(find.text()));
+            System.out.println(find.describe() + "\n\n" + find.text());
+            System.out.println("emulate run --policy " + policy + " --token " + DayToken.of(find.text()));
             if (out != null) {
                 Files.writeString(out, find.text());
             }
--- a/src/main/java/puffinbarrow/cli/EmulatorBench.java
+++ b/src/main/java/puffinbarrow/cli/EmulatorBench.java
@@ -19,14 +19,14 @@
 import puffinbarrow.day.Day;
 import puffinbarrow.day.DayReport;
 import puffinbarrow.day.Script;
-import puffinbarrow.emulator.Agenda;
-import puffinbarrow.emulator.Calendar;
+import puffinbarrow.emulator.CalendarQueue;
+import puffinbarrow.emulator.EmulatedDay;
+import puffinbarrow.emulator.EventQueue;
 import puffinbarrow.emulator.Fleet;
-import puffinbarrow.emulator.Heap;
 import puffinbarrow.emulator.Outcome;
 import puffinbarrow.emulator.Policy;
-import puffinbarrow.emulator.Queueing;
-import puffinbarrow.emulator.Setup;
+import puffinbarrow.emulator.QuaternaryHeap;
+import puffinbarrow.emulator.QueueingChecks;
 
 /**
  * Compares the emulator with queueing theory and with days on sockets, and measures the throughput of its event queues.
@@ -79,16 +79,16 @@
             measureQueues();
         }
         if (part.equals("all") || part.equals("theory")) {
-            for (Queueing.Check check : Queueing.all(1, 10_000)) {
+            for (QueueingChecks.Check check : QueueingChecks.all(1, 10_000)) {
                 System.out.printf(
                         Locale.ROOT,
                         "%-18s by theory %6.2f ms, emulated %6.2f ms, off by %4.1f%%   %s%n",
                         check.name(),
                         check.expected(),
                         check.measured(),
-                        100 * check.off(),
+                        100 * check.relativeError(),
                         check.formula());
-                allMet &= check.off() < MAX_THEORY_ERROR;
+                allMet &= check.relativeError() < MAX_THEORY_ERROR;
             }
         }
         if (part.equals("all") || part.equals("calibration")) {
@@ -101,7 +101,7 @@
     // ---- Queues: at a constant size, the first event is taken and one added, repeatedly ("hold model")
 
     /** An agenda on the library's binary heap, for comparison. */
-    private static final class LibraryHeap implements Agenda {
+    private static final class LibraryHeap implements EventQueue {
         private record Entry(long at, long number, Runnable work) implements Comparable<Entry> {
             @Override
             public int compareTo(Entry other) {
@@ -118,12 +118,12 @@
         }
 
         @Override
-        public long nextNs() {
+        public long nextTimeNs() {
             return queue.isEmpty() ? Long.MAX_VALUE : queue.peek().at;
         }
 
         @Override
-        public Runnable take() {
+        public Runnable removeNext() {
             return queue.poll().work;
         }
 
@@ -135,7 +135,7 @@
 
     /** Prints the throughput of each queue by size and by distribution of delays. */
     private static void measureQueues() {
-        List<Supplier<Agenda>> kinds = List.of(Heap::new, Calendar::new, LibraryHeap::new);
+        List<Supplier<EventQueue>> kinds = List.of(QuaternaryHeap::new, CalendarQueue::new, LibraryHeap::new);
         String[] names = {"heap of four", "calendar queue", "library's binary heap"};
         for (boolean mixed : new boolean[] {false, true}) {
             for (int waiting : new int[] {1_000, 100_000, 1_000_000}) {
@@ -159,7 +159,7 @@
     }
 
     /** Returns millions of events per second. */
-    private static double hold(Agenda agenda, int waiting, boolean mixed, long seed) {
+    private static double hold(EventQueue agenda, int waiting, boolean mixed, long seed) {
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         Runnable nothing = () -> {};
         for (int i = 0; i < waiting; i++) {
@@ -168,8 +168,8 @@
         int events = 2_000_000;
         long began = System.nanoTime();
         for (int i = 0; i < events; i++) {
-            long now = agenda.nextNs();
-            agenda.take().run();
+            long now = agenda.nextTimeNs();
+            agenda.removeNext().run();
             agenda.add(now + gap(random, mixed), nothing);
         }
         return events * 1e3 / (System.nanoTime() - began);
@@ -211,9 +211,9 @@
                 report.result().all.latency.getValueAtPercentile(99) / 1e3
             };
             printRow(seed, "sockets", sockets, report.verdict().kept());
-            Setup setup = Setup.parse(day, text, problems);
+            EmulatedDay setup = EmulatedDay.parse(day, text, problems);
             setup.script().seed = seed;
-            Outcome outcome = new Fleet(setup, Policy.named("ours"), new Heap(), Long.MAX_VALUE).run();
+            Outcome outcome = new Fleet(setup, Policy.byName("ours"), new QuaternaryHeap(), Long.MAX_VALUE).run();
             double[] emulated = {
                 outcome.service,
                 (outcome.blocked + outcome.dropped) / (double) outcome.intended,
--- a/src/main/java/puffinbarrow/cli/LoadAccuracyBench.java
+++ b/src/main/java/puffinbarrow/cli/LoadAccuracyBench.java
@@ -15,9 +15,9 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import puffinbarrow.load.Engine;
+import puffinbarrow.load.FlowSource;
 import puffinbarrow.load.Result;
 import puffinbarrow.load.Scenario;
-import puffinbarrow.load.Source;
 import puffinbarrow.standin.DelayedServer;
 
 /** Compares the load generator's figures with the known delays of stand-in targets. */
@@ -64,7 +64,7 @@
                 try (DelayedServer target = target(kind.getValue(), seed);
                         Engine engine = new Engine(scenario(target, seed, "rate 1000\nlength 5s\n"))) {
                     Result result = engine.run(null);
-                    lag.add(result.lag);
+                    lag.add(result.sendLag);
                     for (int i = 0; i < worst.length; i++) {
                         double reported = result.all.latency.getValueAtPercentile(QUANTILES[i]);
                         double injected = target.delays().getValueAtPercentile(QUANTILES[i]);
@@ -108,7 +108,7 @@
     static int dry(Scenario scenario) throws IOException {
         long drawn = 0;
         long began = System.nanoTime();
-        try (Source source = Engine.source(scenario)) {
+        try (FlowSource source = Engine.openSource(scenario)) {
             while (System.nanoTime() - began < 1_000_000_000L && source.next() != null) {
                 drawn++;
             }
@@ -123,16 +123,16 @@
             bisections += lowestRefused == 0 ? 0 : 1;
             Result result;
             try (DelayedServer target = new DelayedServer(u -> 0, RandomSource.XO_RO_SHI_RO_128_PP.create(1));
-                    Engine engine = new Engine(scenario.flat(rate, 2_000_000_000L, target.address()))) {
+                    Engine engine = new Engine(scenario.withConstantRate(rate, 2_000_000_000L, target.address()))) {
                 result = engine.run(null);
             }
-            boolean offered = result.lag.getValueAtPercentile(99) < MAX_SEND_DELAY_US
+            boolean offered = result.sendLag.getValueAtPercentile(99) < MAX_SEND_DELAY_US
                     && result.all.count(Result.Outcome.IN_BUDGET) >= 0.99 * result.intended;
             System.out.printf(
                     Locale.ROOT,
                     "%8.0f flows/s: senders late by p99 %.2f ms, %d of %d answered in budget%s%n",
                     rate,
-                    result.lag.getValueAtPercentile(99) / 1e3,
+                    result.sendLag.getValueAtPercentile(99) / 1e3,
                     result.all.count(Result.Outcome.IN_BUDGET),
                     result.intended,
                     offered ? "" : "  not offered");
@@ -145,8 +145,8 @@
                         + "process; the scenario asks for %.0f at most%n",
                 highestOffered,
                 scenario.senders,
-                scenario.mostRate());
-        return highestOffered >= scenario.mostRate() ? Commands.OK : Commands.FAILED;
+                scenario.maxRate());
+        return highestOffered >= scenario.maxRate() ? Commands.OK : Commands.FAILED;
     }
 
     /** Prints percentiles of a target that stalls for 2 s at a constant rate, beside the calculated ones. */
@@ -199,14 +199,14 @@
             try (DelayedServer target = target(u -> 2e6, 1);
                     Engine engine = new Engine(scenario(target, 1, "rate 1000\nlength 5s\n"))) {
                 Result result = engine.run(null);
-                Histogram wakeUpDelays = result.hiccups;
+                Histogram wakeUpDelays = result.wakeUpLateness;
                 System.out.printf(
                         Locale.ROOT,
                         "%s host: p99 %.1f ms, its own wake-ups late by p99 %.1f ms, busy seconds %s%n",
                         burn ? "burning" : "quiet",
                         result.all.latency.getValueAtPercentile(99) / 1e3,
                         wakeUpDelays.getValueAtPercentile(99) / 1e3,
-                        result.hostBusy());
+                        result.hostBusySeconds());
             } finally {
                 burners.forEach(Thread::interrupt);
             }
--- a/src/main/java/puffinbarrow/cli/LoadBenches.java
+++ b/src/main/java/puffinbarrow/cli/LoadBenches.java
@@ -216,8 +216,9 @@
                             used / 1e6,
                             used / 1e3 / Math.max(1, open));
                     run.join();
-                    System.out.println("outcomes " + result[0].all.outcomes + (result[0].whole() ? "" : " NOT WHOLE"));
-                    return result[0].whole() && open >= flows * 0.99 ? Commands.OK : Commands.FAILED;
+                    System.out.println(
+                            "outcomes " + result[0].all.outcomes + (result[0].isComplete() ? "" : " NOT WHOLE"));
+                    return result[0].isComplete() && open >= flows * 0.99 ? Commands.OK : Commands.FAILED;
                 }
             }
         }
@@ -261,7 +262,7 @@
                             Files.size(file) / 1e6,
                             count,
                             flows.malformed(),
-                            flows.late(),
+                            flows.lateEntries(),
                             ordered ? "in order" : "NOT IN ORDER",
                             mostHeap / 1e6,
                             lines / seconds);
--- a/src/main/java/puffinbarrow/cli/LoadCommands.java
+++ b/src/main/java/puffinbarrow/cli/LoadCommands.java
@@ -17,11 +17,11 @@
 import puffinbarrow.load.Compare;
 import puffinbarrow.load.Engine;
 import puffinbarrow.load.Flow;
+import puffinbarrow.load.FlowRecorder;
+import puffinbarrow.load.FlowSource;
 import puffinbarrow.load.Report;
 import puffinbarrow.load.Result;
 import puffinbarrow.load.Scenario;
-import puffinbarrow.load.SentLog;
-import puffinbarrow.load.Source;
 import puffinbarrow.load.Trace;
 import puffinbarrow.load.TraceFlows;
 
@@ -91,10 +91,10 @@
                 return Commands.USAGE;
             }
             System.out.println("seed " + scenario.seed);
-            Source source = Engine.source(scenario);
+            FlowSource source = Engine.openSource(scenario);
             TraceFlows trace = source instanceof TraceFlows t ? t : null;
             if (record != null) {
-                source = new SentLog(source, scenario, record);
+                source = new FlowRecorder(source, scenario, record);
             }
             try (Engine engine = new Engine(scenario, source, null)) {
                 Result result = engine.run(System.out);
@@ -106,7 +106,7 @@
                     Report.write(out, Files.readString(file), scenario, result);
                     System.out.println("written to " + out);
                 }
-                return result.whole() && result.cutShort == null ? Commands.OK : Commands.FAILED;
+                return result.isComplete() && result.stopReason == null ? Commands.OK : Commands.FAILED;
             }
         }
     }
@@ -125,13 +125,13 @@
             if (scenario == null) {
                 return Commands.USAGE;
             }
-            try (Source source = Engine.source(scenario)) {
+            try (FlowSource source = Engine.openSource(scenario)) {
                 plotArrivals(source);
                 if (source instanceof TraceFlows trace) {
                     printTrace(trace);
                 }
                 return Commands.OK;
-            } catch (Trace.TooManyMalformed e) {
+            } catch (Trace.TooManyMalformedException e) {
                 System.err.println(e.getMessage());
                 return Commands.FAILED;
             }
@@ -139,7 +139,7 @@
     }
 
     /** Prints a bar for each second, or for each longer step so that sixty lines suffice. */
-    private static void plotArrivals(Source source) throws IOException {
+    private static void plotArrivals(FlowSource source) throws IOException {
         List<Long> counts = new ArrayList<>();
         for (Flow flow = source.next(); flow != null; flow = source.next()) {
             int second = (int) (flow.startNs() / 1_000_000_000L);
@@ -171,9 +171,9 @@
                 trace.format().name().toLowerCase(Locale.ROOT),
                 trace.lines(),
                 trace.malformed(),
-                trace.late(),
-                trace.unmatched());
-        trace.shown().forEach(System.out::println);
+                trace.lateEntries(),
+                trace.unmatchedEntries());
+        trace.firstProblems().forEach(System.out::println);
     }
 
     @Command(
@@ -214,7 +214,7 @@
 
         @Override
         public Integer call() throws IOException {
-            Scenario.FromTrace plan = new Scenario.FromTrace();
+            Scenario.TraceSettings plan = new Scenario.TraceSettings();
             plan.file = file;
             plan.malformedShare = maxMalformed;
             plan.columns.putAll(columns);
@@ -244,7 +244,7 @@
                                 1L,
                                 Long::sum);
                     }
-                } catch (Trace.TooManyMalformed e) {
+                } catch (Trace.TooManyMalformedException e) {
                     System.err.println(e.getMessage());
                     exit = Commands.FAILED;
                 }
@@ -257,7 +257,7 @@
                         trace.malformed(),
                         seconds,
                         seconds > 0 ? count / seconds : 0);
-                trace.shown().forEach(System.out::println);
+                trace.firstProblems().forEach(System.out::println);
             }
             List<Map.Entry<String, Long>> prefixesByCount = new ArrayList<>(prefixes.entrySet());
             prefixesByCount.sort(Map.Entry.<String, Long>comparingByValue().reversed());
--- a/src/main/java/puffinbarrow/day/Day.java
+++ b/src/main/java/puffinbarrow/day/Day.java
@@ -24,8 +24,8 @@
 import puffinbarrow.control.Controller;
 import puffinbarrow.control.Event;
 import puffinbarrow.load.Arrivals;
-import puffinbarrow.load.Ended;
 import puffinbarrow.load.Engine;
+import puffinbarrow.load.FlowEnd;
 import puffinbarrow.load.Result;
 import puffinbarrow.load.Scenario;
 import puffinbarrow.net.Net;
@@ -142,7 +142,7 @@
     private final Plan plan;
 
     /** Flows that ended, in the order of their ends. */
-    private final List<Ended> ended = Collections.synchronizedList(new ArrayList<>());
+    private final List<FlowEnd> ended = Collections.synchronizedList(new ArrayList<>());
 
     /** Each proxy's weight in the traffic. */
     private final List<Double> weights = new ArrayList<>();
@@ -321,7 +321,7 @@
         Map<Integer, Map<String, Double>> metrics = new TreeMap<>();
         coordinators.forEach((number, c) -> metrics.put(number, c.metrics()));
         List<Observation> seen = recorder.sorted();
-        List<Ended> flows = List.copyOf(ended);
+        List<FlowEnd> flows = List.copyOf(ended);
         Audit.Verdict verdict = Audit.judge(plan.auditConfig(), seen, beganAt);
         return new DayReport(
                 script,
@@ -394,7 +394,7 @@
             Thread.sleep(50);
             if (System.nanoTime() >= next + 5 * SECOND) {
                 next += 5 * SECOND;
-                List<Ended> flows = List.copyOf(ended);
+                List<FlowEnd> flows = List.copyOf(ended);
                 long inBudget = flows.subList(printed, flows.size()).stream()
                         .filter(f -> f.outcome() == Result.Outcome.IN_BUDGET)
                         .count();
--- a/src/main/java/puffinbarrow/day/DayReport.java
+++ b/src/main/java/puffinbarrow/day/DayReport.java
@@ -9,7 +9,7 @@
 import java.util.TreeMap;
 import puffinbarrow.audit.Audit;
 import puffinbarrow.config.CoordinatorConfig;
-import puffinbarrow.load.Ended;
+import puffinbarrow.load.FlowEnd;
 import puffinbarrow.load.Html;
 import puffinbarrow.load.Result;
 import puffinbarrow.load.Scenario;
@@ -37,7 +37,7 @@
         Script script,
         CoordinatorConfig config,
         Audit.Verdict verdict,
-        List<Ended> flows,
+        List<FlowEnd> flows,
         Scenario scenario,
         Result result,
         long beganAt,
@@ -64,10 +64,10 @@
         return service(flows);
     }
 
-    private double service(List<Ended> some) {
+    private double service(List<FlowEnd> some) {
         double asked = 0;
         double earned = 0;
-        for (Ended flow : some) {
+        for (FlowEnd flow : some) {
             double utility = config.groups.get(flow.group()).utility();
             asked += utility;
             earned += flow.outcome() == Result.Outcome.IN_BUDGET
@@ -92,7 +92,7 @@
     }
 
     /** Returns flows that began within this part of the day, in ns from its beginning. */
-    private List<Ended> between(long from, long to) {
+    private List<FlowEnd> between(long from, long to) {
         return flows.stream()
                 .filter(f -> f.startNs() - beganAt >= from && f.startNs() - beganAt < to)
                 .toList();
@@ -100,7 +100,7 @@
 
     /** Returns whether every flow has exactly one end, no record was lost, and all rules are kept. */
     public boolean sound() {
-        return verdict.kept() && recordsLost == 0 && result.whole() && result.intended == flows.size();
+        return verdict.kept() && recordsLost == 0 && result.isComplete() && result.intended == flows.size();
     }
 
     /** Returns the report as text. */
@@ -119,7 +119,7 @@
                 "group", "service", "delivered", "late", "blocked", "dropped", "p50 ms", "p99 ms"));
         for (int group = 0; group < config.groups.size(); group++) {
             int number = group;
-            List<Ended> own = flows.stream().filter(f -> f.group() == number).toList();
+            List<FlowEnd> own = flows.stream().filter(f -> f.group() == number).toList();
             report.append(String.format(
                     Locale.ROOT,
                     "%-18s %8.3f %9d %7d %8d %8d %8.0f %8.0f%n",
@@ -134,7 +134,7 @@
         }
         report.append("\n   from    flows  service   p99 ms  what went wrong\n");
         for (long from = 0; from < script.lengthNs; from += 2 * SECOND) {
-            List<Ended> some = between(from, from + 2 * SECOND);
+            List<FlowEnd> some = between(from, from + 2 * SECOND);
             double service = service(some);
             long begins = from;
             List<String> begun = new ArrayList<>();
@@ -251,13 +251,13 @@
     }
 
     /** Counts flows that were neither answered nor blocked, whatever the cause. */
-    private static long dropped(List<Ended> some) {
+    private static long dropped(List<FlowEnd> some) {
         return some.stream()
                 .filter(f -> !f.answered() && f.outcome() != Result.Outcome.BLOCKED)
                 .count();
     }
 
-    private static long count(List<Ended> some, Result.Outcome outcome) {
+    private static long count(List<FlowEnd> some, Result.Outcome outcome) {
         return some.stream().filter(f -> f.outcome() == outcome).count();
     }
 
@@ -266,10 +266,10 @@
      *
      * @param part 0 to 1
      */
-    private static double percentileMs(List<Ended> some, double part) {
+    private static double percentileMs(List<FlowEnd> some, double part) {
         long[] took = some.stream()
-                .filter(Ended::answered)
-                .mapToLong(Ended::tookNs)
+                .filter(FlowEnd::answered)
+                .mapToLong(FlowEnd::latencyNs)
                 .sorted()
                 .toArray();
         return took.length == 0 ? 0 : took[(int) Math.min(took.length - 1, part * took.length)] / 1e6;
--- a/src/main/java/puffinbarrow/day/FaultEffects.java
+++ b/src/main/java/puffinbarrow/day/FaultEffects.java
@@ -8,7 +8,7 @@
 import puffinbarrow.audit.Observation;
 import puffinbarrow.control.Event;
 import puffinbarrow.control.Order;
-import puffinbarrow.load.Ended;
+import puffinbarrow.load.FlowEnd;
 import puffinbarrow.load.Result;
 
 /**
@@ -22,7 +22,7 @@
     private FaultEffects() {}
 
     /** Returns a line for each fault of the script, in its order. */
-    static List<String> summary(Script script, List<Observation> seen, List<Ended> flows, long beganAt) {
+    static List<String> summary(Script script, List<Observation> seen, List<FlowEnd> flows, long beganAt) {
         List<String> lines = new ArrayList<>();
         for (Script.Fault fault : script.faults) {
             long from = beganAt + fault.atNs();
@@ -34,7 +34,7 @@
                 }
             }
             long started = 0;
-            for (Ended flow : flows) {
+            for (FlowEnd flow : flows) {
                 if (flow.startNs() >= from && flow.startNs() < to) {
                     started++;
                     if (flow.outcome() != Result.Outcome.IN_BUDGET) {
--- a/src/main/java/puffinbarrow/emulator/Calendar.java
+++ b/src/main/java/puffinbarrow/emulator/CalendarQueue.java
@@ -8,7 +8,7 @@
  * buckets are adjusted when the queue has doubled or halved. Kept as the baseline that {@link Heap} is measured
  * against.
  */
-public final class Calendar implements Agenda {
+public final class CalendarQueue implements EventQueue {
     /** An event in the list of its bucket; the sequence number orders events of the same time. */
     private static final class Entry {
         final long atNs;
@@ -100,12 +100,12 @@
     }
 
     @Override
-    public long nextNs() {
+    public long nextTimeNs() {
         return size == 0 ? Long.MAX_VALUE : first().atNs;
     }
 
     @Override
-    public Runnable take() {
+    public Runnable removeNext() {
         Entry entry = first();
         buckets[bucket(entry.atNs)] = entry.next;
         head = null;
--- a/src/main/java/puffinbarrow/emulator/Clients.java
+++ b/src/main/java/puffinbarrow/emulator/Clients.java
@@ -67,7 +67,9 @@
             boolean blocked = code == Server.REJECTED;
             long waitNs = scenario.retryWaitNs << attempt;
             waitNs += waitNs == 0 ? 0 : Math.floorMod(flow.startNs(), waitNs);
-            if ((group().repeats() || blocked) && attempt < scenario.retries && tookNs + waitNs < group().expiryNs()) {
+            if ((group().retriable() || blocked)
+                    && attempt < scenario.retries
+                    && tookNs + waitNs < group().expiryNs()) {
                 attempt++;
                 retries++;
                 simulation.after(waitNs, () -> {
--- a/src/main/java/puffinbarrow/emulator/Token.java
+++ b/src/main/java/puffinbarrow/emulator/DayToken.java
@@ -8,11 +8,11 @@
 import java.util.zip.Inflater;
 
 /** The text of a day as one word for the command line: compressed and base64-encoded. */
-public final class Token {
+public final class DayToken {
     /** Limit of a decoded text; a day of a few hundred lines is far below, so anything larger is not a valid token. */
     private static final int MAX_BYTES = 1 << 20;
 
-    private Token() {}
+    private DayToken() {}
 
     /** Returns the token for a text. */
     public static String of(String text) {
--- a/src/main/java/puffinbarrow/emulator/Setup.java
+++ b/src/main/java/puffinbarrow/emulator/EmulatedDay.java
@@ -12,18 +12,18 @@
 /**
  * A day as the emulator runs it: the script of the day, with parameters of the models from its {@code model} lines.
  */
-public record Setup(Script script, ModelParameters model) {
+public record EmulatedDay(Script script, ModelParameters model) {
     /** Reads a file; mistakes are added to the problems. */
-    public static Setup read(Path file, List<Problem> problems) {
+    public static EmulatedDay read(Path file, List<Problem> problems) {
         return build(StatementReader.read(file, problems), problems);
     }
 
     /** Reads a text; the name stands for the file in problems. */
-    public static Setup parse(String name, String text, List<Problem> problems) {
+    public static EmulatedDay parse(String name, String text, List<Problem> problems) {
         return build(StatementReader.parse(name, text, problems), problems);
     }
 
-    private static Setup build(List<Statement> statements, List<Problem> problems) {
+    private static EmulatedDay build(List<Statement> statements, List<Problem> problems) {
         ModelParameters model = new ModelParameters();
         List<Statement> scriptStatements = new ArrayList<>();
         for (Statement statement : statements) {
@@ -35,6 +35,6 @@
                 scriptStatements.add(statement);
             }
         }
-        return new Setup(Script.fromStatements(scriptStatements, problems), model);
+        return new EmulatedDay(Script.fromStatements(scriptStatements, problems), model);
     }
 }
--- a/src/main/java/puffinbarrow/emulator/Experiment.java
+++ b/src/main/java/puffinbarrow/emulator/Experiment.java
@@ -141,7 +141,7 @@
             case "policy" -> {
                 do {
                     String policy = words.text("a policy");
-                    if (words.valid() && Policy.named(policy) == null) {
+                    if (words.valid() && Policy.byName(policy) == null) {
                         words.reportMistake(
                                 "'" + policy + "'",
                                 "one of "
@@ -182,7 +182,7 @@
                 drawnLines.forEach(
                         d -> dayLines.add(fillRanges(d.template, (low, high) -> chosenEnd == 0 ? low : high)));
                 List<Problem> found = new ArrayList<>();
-                Setup.parse(
+                EmulatedDay.parse(
                         file + " as a day" + (levels.isEmpty() ? "" : " at " + levels),
                         dayText(dayLines, levels, firstSeed),
                         found);
--- a/src/main/java/puffinbarrow/emulator/Runs.java
+++ b/src/main/java/puffinbarrow/emulator/ExperimentRunner.java
@@ -29,7 +29,7 @@
  * that an interrupted experiment continues where it stopped; when all are done, {@code results.csv} holds them in
  * order and depends on the experiment alone. What the runs cost on this machine stands apart, in {@code timings.csv}.
  */
-public final class Runs {
+public final class ExperimentRunner {
     /** Columns of measures in results.csv, after levels, policy and seed. */
     public static final List<String> MEASURES = List.of(
             "service",
@@ -65,7 +65,7 @@
      * @param folder holds the result files; created if missing
      * @param progress takes a line of text after each run; called by the threads of the runs, one at a time
      */
-    public Runs(Experiment experiment, Path folder, int threads, Consumer<String> progress) {
+    public ExperimentRunner(Experiment experiment, Path folder, int threads, Consumer<String> progress) {
         this.experiment = experiment;
         this.folder = folder;
         this.threads = threads;
@@ -75,12 +75,12 @@
     /** Runs one day; returns an outcome in any case, failed if the day is invalid or the run throws. */
     static Outcome runDay(String text, Policy policy, long maxEvents) {
         List<Problem> problems = new ArrayList<>();
-        Setup setup = Setup.parse("run", text, problems);
+        EmulatedDay setup = EmulatedDay.parse("run", text, problems);
         if (!problems.isEmpty()) {
             return failed("no sound day: " + problems.get(0));
         }
         try {
-            return new Fleet(setup, policy, new Heap(), maxEvents).run();
+            return new Fleet(setup, policy, new QuaternaryHeap(), maxEvents).run();
         } catch (RuntimeException | OutOfMemoryError thrown) {
             return failed("threw " + thrown);
         }
@@ -136,7 +136,7 @@
      * Executes all runs that an earlier, interrupted call has not finished and writes the result files; returns false
      * if the folder belongs to another experiment.
      */
-    public boolean play() throws IOException, InterruptedException {
+    public boolean run() throws IOException, InterruptedException {
         Files.createDirectories(folder);
         String identity = Long.toHexString(Hashing.komihash5_0()
                 .hashStream()
@@ -163,7 +163,8 @@
             for (Experiment.Run run : pendingRuns) {
                 pool.execute(() -> {
                     long startedNs = System.nanoTime();
-                    Outcome outcome = runDay(experiment.dayText(run), Policy.named(run.policy()), experiment.maxEvents);
+                    Outcome outcome =
+                            runDay(experiment.dayText(run), Policy.byName(run.policy()), experiment.maxEvents);
                     double wallSeconds = (System.nanoTime() - startedNs) / 1e9;
                     List<String> row = row(run, outcome);
                     row.addAll(List.of(
--- a/src/main/java/puffinbarrow/emulator/Fleet.java
+++ b/src/main/java/puffinbarrow/emulator/Fleet.java
@@ -78,7 +78,7 @@
      * @param agenda holds the events to come; must be empty
      * @param maxEvents number of events after which the run fails
      */
-    public Fleet(Setup setup, Policy policy, Agenda agenda, long maxEvents) {
+    public Fleet(EmulatedDay setup, Policy policy, EventQueue agenda, long maxEvents) {
         this.script = setup.script();
         this.model = setup.model();
         this.plan = new Plan(script);
@@ -255,7 +255,7 @@
         Outcome outcome = new Outcome();
         outcome.failed = failed;
         outcome.events = simulation.events();
-        outcome.beganAtNs = beganAtNs - Simulation.EPOCH_NS;
+        outcome.trafficStartNs = beganAtNs - Simulation.EPOCH_NS;
         outcome.log = List.copyOf(log);
         Audit.Verdict verdict = audit.conclude(simulation.now());
         outcome.verdict = verdict;
@@ -307,7 +307,7 @@
     @Override
     public BackendControl addBackend() {
         Server server = addServer();
-        server.beginCold();
+        server.markStarted();
         return server;
     }
 
--- a/src/main/java/puffinbarrow/emulator/Outcome.java
+++ b/src/main/java/puffinbarrow/emulator/Outcome.java
@@ -56,7 +56,7 @@
     /** Events of the simulation. */
     public long events;
     /** Largest number of flows open at a time. */
-    public long mostOpen;
+    public long maxOpenFlows;
     /** Order lines that coordinators sent. */
     public double linesSent;
     /** Names of broken rules in lower case, joined by plus signs; empty if none. */
@@ -69,7 +69,7 @@
     /** Servers that fell over during a cold start. */
     public List<String> fellOver = List.of();
     /** Simulated time until the fleet was up and traffic began. */
-    public long beganAtNs;
+    public long trafficStartNs;
     /** Names of the traffic groups. */
     public List<String> groupNames = List.of();
     /** Flows by group and {@link Result.Outcome}. */
@@ -89,7 +89,7 @@
     void recordTraffic(Clients clients, Scenario scenario) {
         intended = clients.intended;
         clientRetries = clients.retries;
-        mostOpen = clients.mostOpen;
+        maxOpenFlows = clients.mostOpen;
         inBudget = clients.count(Result.Outcome.IN_BUDGET);
         late = clients.count(Result.Outcome.LATE);
         blocked = clients.count(Result.Outcome.BLOCKED);
@@ -124,7 +124,7 @@
     }
 
     /** Returns whether the run completed and every flow has exactly one outcome. */
-    public boolean whole() {
+    public boolean complete() {
         return failed == null && intended == inBudget + late + blocked + dropped;
     }
 
--- a/src/main/java/puffinbarrow/emulator/Policy.java
+++ b/src/main/java/puffinbarrow/emulator/Policy.java
@@ -27,7 +27,7 @@
     }
 
     /** Returns the policy of that name, or null. */
-    public static Policy named(String name) {
+    public static Policy byName(String name) {
         return ALL.stream().filter(p -> p.name.equals(name)).findFirst().orElse(null);
     }
 }
--- a/src/main/java/puffinbarrow/emulator/Heap.java
+++ b/src/main/java/puffinbarrow/emulator/QuaternaryHeap.java
@@ -7,7 +7,7 @@
  * in one or two cache lines. docs/design-emulator.md compares it with a calendar queue and the binary heap of the
  * library.
  */
-public final class Heap implements Agenda {
+public final class QuaternaryHeap implements EventQueue {
     /**
      * Times, sequence numbers and actions of the events, in the order of the heap; the sequence number orders events
      * of the same time.
@@ -49,12 +49,12 @@
     }
 
     @Override
-    public long nextNs() {
+    public long nextTimeNs() {
         return size == 0 ? Long.MAX_VALUE : times[0];
     }
 
     @Override
-    public Runnable take() {
+    public Runnable removeNext() {
         Runnable first = actions[0];
         int last = --size;
         long lastAtNs = times[last];
--- a/src/main/java/puffinbarrow/emulator/Queueing.java
+++ b/src/main/java/puffinbarrow/emulator/QueueingChecks.java
@@ -9,16 +9,16 @@
  * Checks the emulator against results of queueing theory: one server, no faults, next to no network delay. Used by
  * tests and by the benchmark of the emulator.
  */
-public final class Queueing {
+public final class QueueingChecks {
     /** One comparison; expected and measured are mean sojourn times in milliseconds. */
     public record Check(String name, String formula, double expected, double measured) {
         /** Returns the relative deviation of the measured from the expected value. */
-        public double off() {
+        public double relativeError() {
             return Math.abs(measured - expected) / expected;
         }
     }
 
-    private Queueing() {}
+    private QueueingChecks() {}
 
     /** Mean work of a flow; the script sets it to a fifth of the budget. */
     private static final double WORK_MS = 10;
@@ -81,12 +81,12 @@
                 5 * WORK_MS,
                 sharing);
         List<Problem> problems = new ArrayList<>();
-        Setup setup = Setup.parse("queueing", day, problems);
+        EmulatedDay setup = EmulatedDay.parse("queueing", day, problems);
         if (!problems.isEmpty()) {
             throw new IllegalStateException(problems.toString());
         }
-        Outcome outcome = new Fleet(setup, Policy.named("random"), new Heap(), Long.MAX_VALUE).run();
-        if (!outcome.whole() || outcome.dropped + outcome.blocked > 0) {
+        Outcome outcome = new Fleet(setup, Policy.byName("random"), new QuaternaryHeap(), Long.MAX_VALUE).run();
+        if (!outcome.complete() || outcome.dropped + outcome.blocked > 0) {
             throw new IllegalStateException("flows without an answer: " + outcome.text());
         }
         return outcome.latencyUs[0].getMean() / 1e3;
--- a/src/main/java/puffinbarrow/emulator/Report.java
+++ b/src/main/java/puffinbarrow/emulator/Report.java
@@ -32,21 +32,21 @@
         new Color(0x56, 0xb4, 0xe9)
     };
 
-    private final Sheet sheet;
+    private final ResultTable sheet;
     private final Set<String> policies;
 
     /** Creates a report on a table of results. */
-    public Report(Sheet sheet) {
+    public Report(ResultTable sheet) {
         this.sheet = sheet;
         this.policies = sheet.values("policy");
     }
 
-    private static Predicate<Sheet.Row> hasValue(String column, String value) {
+    private static Predicate<ResultTable.Row> hasValue(String column, String value) {
         return r -> r.get(column).equals(value);
     }
 
     /** Returns a mean with its interval as text. */
-    private static String formatMean(Sheet.Mean mean) {
+    private static String formatMean(ResultTable.Mean mean) {
         return mean.runs() == 0
                 ? "-"
                 : String.format(Locale.ROOT, "%.4f (%.4f to %.4f)", mean.mean(), mean.low(), mean.high());
@@ -60,7 +60,7 @@
         List<List<String>> rows = new ArrayList<>();
         for (String levels : levelCombinations()) {
             for (String policy : policies) {
-                List<Sheet.Row> runs = sheet.select(
+                List<ResultTable.Row> runs = sheet.select(
                         r -> levelsOf(r).equals(levels) && r.get("policy").equals(policy));
                 long runCount = sheet.rows.stream()
                         .filter(r ->
@@ -72,8 +72,8 @@
                 rows.add(List.of(
                         levels,
                         policy,
-                        formatMean(Sheet.mean(runs, "service")),
-                        formatMean(Sheet.mean(runs, "worst")),
+                        formatMean(ResultTable.mean(runs, "service")),
+                        formatMean(ResultTable.mean(runs, "worst")),
                         mean(runs, "p99_ms"),
                         mean(runs, "moves"),
                         brokenRuns + " of " + runs.size(),
@@ -87,7 +87,7 @@
         return rows;
     }
 
-    private static String mean(List<Sheet.Row> rows, String column) {
+    private static String mean(List<ResultTable.Row> rows, String column) {
         return rows.isEmpty()
                 ? "-"
                 : String.format(
@@ -100,7 +100,7 @@
     }
 
     /** Returns the combination of levels of a row as text. */
-    private String levelsOf(Sheet.Row row) {
+    private String levelsOf(ResultTable.Row row) {
         return sheet.factors.isEmpty()
                 ? "all"
                 : String.join(
@@ -134,7 +134,7 @@
      */
     public List<String> ruleBreaks() {
         Map<String, List<String>> seeds = new TreeMap<>();
-        for (Sheet.Row row : sheet.rows) {
+        for (ResultTable.Row row : sheet.rows) {
             for (String rule : row.list("broken")) {
                 seeds.computeIfAbsent(rule + ": " + levelsOf(row) + ", " + row.get("policy"), k -> new ArrayList<>())
                         .add(row.get("seed"));
@@ -190,17 +190,17 @@
             if (sheet.values(factor).size() > 1) {
                 charts.put(
                         "Service by " + factor + ", with intervals of 95%",
-                        Charts.picture(chartByFactor(factor, "service")));
-                charts.put("p99 of latency by " + factor, Charts.picture(chartByFactor(factor, "p99_ms")));
+                        Charts.pngDataUri(chartByFactor(factor, "service")));
+                charts.put("p99 of latency by " + factor, Charts.pngDataUri(chartByFactor(factor, "p99_ms")));
             }
         }
         Set<String> troubles = new LinkedHashSet<>();
         sheet.rows.forEach(r -> troubles.addAll(r.list("troubles")));
         if (!troubles.isEmpty()) {
-            charts.put("Service on days with each trouble", Charts.picture(chartByTrouble(troubles)));
+            charts.put("Service on days with each trouble", Charts.pngDataUri(chartByTrouble(troubles)));
         }
         if (policies.size() > 1) {
-            charts.put("Service of each day, sorted for each policy", Charts.picture(chartSortedDays()));
+            charts.put("Service of each day, sorted for each policy", Charts.pngDataUri(chartSortedDays()));
         }
         model.put("charts", charts);
         Html.write(file, "experiment.ftlh", model);
@@ -208,7 +208,7 @@
 
     /** Returns a chart of a measure over the levels of a factor, with a line for each policy. */
     private XYChart chartByFactor(String factor, String measure) {
-        XYChart chart = Charts.chart(factor, measure);
+        XYChart chart = Charts.lineChart(factor, measure);
         List<String> levels = new ArrayList<>(sheet.values(factor));
         boolean numeric = levels.stream().allMatch(l -> l.matches("[0-9.]+"));
         int colour = 0;
@@ -217,7 +217,7 @@
             List<Double> y = new ArrayList<>();
             List<Double> error = new ArrayList<>();
             for (int i = 0; i < levels.size(); i++) {
-                Sheet.Mean mean = Sheet.mean(
+                ResultTable.Mean mean = ResultTable.mean(
                         sheet.select(hasValue(factor, levels.get(i)).and(hasValue("policy", policy))), measure);
                 if (mean.runs() > 0) {
                     x.add(numeric ? Double.parseDouble(levels.get(i)) : i);
@@ -257,7 +257,7 @@
                 .height(Charts.HEIGHT)
                 .yAxisTitle("service")
                 .build();
-        Charts.style(chart.getStyler());
+        Charts.applyStyle(chart.getStyler());
         List<String> names = new ArrayList<>(troubles);
         // Horizontal labels would overlap with a dozen names.
         chart.getStyler().setXAxisLabelRotation(45);
@@ -266,7 +266,7 @@
         for (String policy : policies) {
             List<Double> y = new ArrayList<>();
             for (String trouble : names) {
-                double mean = Sheet.mean(
+                double mean = ResultTable.mean(
                                 sheet.select(hasValue("policy", policy)
                                         .and(r -> r.list("troubles").contains(trouble))),
                                 "service")
@@ -285,7 +285,7 @@
 
     /** Returns a chart of the service of all days, sorted, with a line for each policy. */
     private XYChart chartSortedDays() {
-        XYChart chart = Charts.chart("share of days", "service");
+        XYChart chart = Charts.lineChart("share of days", "service");
         int colour = 0;
         for (String policy : policies) {
             double[] services = sheet.select(hasValue("policy", policy)).stream()
--- a/src/main/java/puffinbarrow/emulator/Sheet.java
+++ b/src/main/java/puffinbarrow/emulator/ResultTable.java
@@ -20,7 +20,7 @@
 /**
  * The results of an experiment as a table read from results.csv, with means and confidence intervals over its runs.
  */
-public final class Sheet {
+public final class ResultTable {
     /** The row of one run: its cells by column. */
     public record Row(Map<String, String> cells) {
         /** Returns the text of a cell. */
@@ -55,8 +55,8 @@
     public final List<String> factors = new ArrayList<>();
 
     /** Reads a results.csv. */
-    public static Sheet read(Path results) throws IOException {
-        Sheet sheet = new Sheet();
+    public static ResultTable read(Path results) throws IOException {
+        ResultTable sheet = new ResultTable();
         try (CSVParser in = CSVParser.parse(
                 results,
                 StandardCharsets.UTF_8,
--- a/src/main/java/puffinbarrow/emulator/Search.java
+++ b/src/main/java/puffinbarrow/emulator/Search.java
@@ -22,14 +22,14 @@
  */
 public final class Search {
     /** A day and its result; breaking a rule counts as worse than any loss. */
-    public record Find(String text, String broken, double loss) {
+    public record Result(String text, String broken, double loss) {
         /** Returns the order of candidates: the higher, the worse. */
         double severity() {
             return loss + (broken.isEmpty() ? 0 : RULE_PENALTY);
         }
 
         /** Returns the result in a few words. */
-        public String told() {
+        public String describe() {
             return broken.isEmpty()
                     ? String.format(Locale.ROOT, "loses %.3f of service", loss)
                     : String.format(Locale.ROOT, "breaks %s, loses %.3f of service", broken, loss);
@@ -37,7 +37,7 @@
     }
 
     /** A candidate day: its drawn lines and, once it has been run, its result. */
-    private record Candidate(long seed, List<String> lines, Find find) {}
+    private record Candidate(long seed, List<String> lines, Result find) {}
 
     /** Added to the loss of a day that breaks a rule; more than any loss. */
     private static final int RULE_PENALTY = 10;
@@ -81,7 +81,7 @@
     }
 
     /** Runs so many days and returns the worst one, reduced; null if none loses or breaks anything. */
-    public Find run(int days) throws InterruptedException {
+    public Result run(int days) throws InterruptedException {
         try {
             List<Candidate> worst = new ArrayList<>();
             long nextSeed = seed * 1_000_000;
@@ -103,7 +103,7 @@
                 }
                 daysRun += batch.size();
                 progress.accept(daysRun + " of " + days + " days; the worst "
-                        + worst.get(0).find.told());
+                        + worst.get(0).find.describe());
             }
             Candidate worstDay = worst.get(0);
             return worstDay.find.severity() <= 0 ? null : reduce(worstDay).find;
@@ -130,14 +130,15 @@
     }
 
     /** Runs a day under both policies; a loss of -1 marks an invalid day. */
-    private Find runDay(Candidate candidate) {
+    private Result runDay(Candidate candidate) {
         String text = experiment.dayText(candidate.lines, List.of(), candidate.seed);
-        Outcome outcome = Runs.runDay(text, policy, experiment.maxEvents);
+        Outcome outcome = ExperimentRunner.runDay(text, policy, experiment.maxEvents);
         if (outcome.failed != null && outcome.failed.startsWith("no sound day")) {
-            return new Find(text, "", -1);
+            return new Result(text, "", -1);
         }
-        double referenceService = reference == null ? 1 : Runs.runDay(text, reference, experiment.maxEvents).service;
-        return new Find(text, outcome.failed != null ? "failed" : outcome.broken, referenceService - outcome.service);
+        double referenceService =
+                reference == null ? 1 : ExperimentRunner.runDay(text, reference, experiment.maxEvents).service;
+        return new Result(text, outcome.failed != null ? "failed" : outcome.broken, referenceService - outcome.service);
     }
 
     /** Returns a mutation: a line added, a fault removed, or a line drawn again in place of one of its keyword. */
@@ -172,7 +173,7 @@
     }
 
     /** Returns whether a reduced day still breaks one of the rules, or keeps enough of the loss. */
-    private boolean stillAsBad(Find reduced, Find original) {
+    private boolean stillAsBad(Result reduced, Result original) {
         if (!original.broken.isEmpty()) {
             TreeSet<String> rules = new TreeSet<>(List.of(original.broken.split("\\+")));
             rules.retainAll(List.of(reduced.broken.split("\\+")));
@@ -214,7 +215,7 @@
                 if (stillAsBad(reduced.find, worstDay.find)) {
                     best = reduced;
                     improved = true;
-                    progress.accept("reduced to " + best.lines.size() + " drawn lines; " + best.find.told());
+                    progress.accept("reduced to " + best.lines.size() + " drawn lines; " + best.find.describe());
                     break;
                 }
             }
--- a/src/main/java/puffinbarrow/emulator/Server.java
+++ b/src/main/java/puffinbarrow/emulator/Server.java
@@ -221,11 +221,11 @@
         pausedUntilNs = 0;
         recentRequests.clear();
         recentWorkNs = 0;
-        beginCold();
+        markStarted();
     }
 
     /** Starts the warm-up now. */
-    void beginCold() {
+    void markStarted() {
         startedAtNs = simulation.now();
         fleet.observe(
                 new Observation.ServerStarted(startedAtNs, id, spec.cores, spec.speed, spec.coldFrom, spec.coldNs));
--- a/src/main/java/puffinbarrow/emulator/Simulation.java
+++ b/src/main/java/puffinbarrow/emulator/Simulation.java
@@ -21,7 +21,7 @@
     /** First reading of the clock in nanoseconds. Not 0, which means "started long ago" in a server's start time. */
     public static final long EPOCH_NS = 1_000_000_000_000L;
 
-    private final Agenda eventQueue;
+    private final EventQueue eventQueue;
     private final long seed;
     private final long maxEvents;
     private long now = EPOCH_NS;
@@ -29,7 +29,7 @@
     private boolean stopped;
 
     /** Creates a simulation whose clock reads {@link #EPOCH_NS}. */
-    public Simulation(Agenda eventQueue, long seed, long maxEvents) {
+    public Simulation(EventQueue eventQueue, long seed, long maxEvents) {
         this.eventQueue = eventQueue;
         this.seed = seed;
         this.maxEvents = maxEvents;
@@ -75,12 +75,12 @@
 
     /** Processes events up to and including that time, or until none is left. */
     public void run(long untilNs) {
-        for (long next = eventQueue.nextNs(); next <= untilNs && !stopped; next = eventQueue.nextNs()) {
+        for (long next = eventQueue.nextTimeNs(); next <= untilNs && !stopped; next = eventQueue.nextTimeNs()) {
             if (++events > maxEvents) {
                 throw new EventLimitException(maxEvents);
             }
             now = next;
-            eventQueue.take().run();
+            eventQueue.removeNext().run();
         }
         now = stopped ? now : Math.max(now, untilNs);
     }
--- a/src/main/java/puffinbarrow/load/Arrivals.java
+++ b/src/main/java/puffinbarrow/load/Arrivals.java
@@ -9,7 +9,7 @@
  * and seed give the same flows on any machine: each kind of draw has its own random stream, and only strict arithmetic
  * is used. No I/O; not thread-safe. Read by the feeder's thread during a run and by the emulator's clients.
  */
-public final class Arrivals implements Source {
+public final class Arrivals implements FlowSource {
     private final Scenario scenario;
     private final UniformRandomProvider startRandom;
     private final UniformRandomProvider groupRandom;
@@ -119,7 +119,7 @@
         } else {
             // Thinning: draws at the highest rate and keeps a draw with the probability of the current rate over the
             // highest.
-            double maxRate = scenario.mostRate();
+            double maxRate = scenario.maxRate();
             do {
                 startNs += (long) exponential(startRandom, 1e9 / maxRate);
                 if (startNs > scenario.lengthNs) {
--- a/src/main/java/puffinbarrow/load/Charts.java
+++ b/src/main/java/puffinbarrow/load/Charts.java
@@ -51,35 +51,35 @@
     /** Returns the charts of a run as data URIs by title, in the order of the page. */
     public static Map<String, String> all(Result result) throws IOException {
         Map<String, String> charts = new LinkedHashMap<>();
-        charts.put("Flows a second, intended and ended", picture(rates(result)));
-        charts.put("Outcomes by the second of the intended start", picture(outcomes(result)));
-        charts.put("Latency from the intended start, by second", picture(overTime(result)));
-        charts.put("Latency by percentile", picture(byPercentile(result)));
-        charts.put("How late this host itself was, worst of each second", picture(hostLateness(result)));
+        charts.put("Flows a second, intended and ended", pngDataUri(rates(result)));
+        charts.put("Outcomes by the second of the intended start", pngDataUri(outcomes(result)));
+        charts.put("Latency from the intended start, by second", pngDataUri(overTime(result)));
+        charts.put("Latency by percentile", pngDataUri(byPercentile(result)));
+        charts.put("How late this host itself was, worst of each second", pngDataUri(hostLateness(result)));
         return charts;
     }
 
     /** Returns a chart as a PNG image in a data URI. */
-    public static String picture(Chart<?, ?> chart) throws IOException {
+    public static String pngDataUri(Chart<?, ?> chart) throws IOException {
         return "data:image/png;base64,"
                 + Base64.getEncoder()
                         .encodeToString(BitmapEncoder.getBitmapBytes(chart, BitmapEncoder.BitmapFormat.PNG));
     }
 
     /** Creates an empty line chart with the given axis titles in the common style. */
-    public static XYChart chart(String xTitle, String yTitle) {
+    public static XYChart lineChart(String xTitle, String yTitle) {
         XYChart chart = new XYChartBuilder()
                 .width(WIDTH)
                 .height(HEIGHT)
                 .xAxisTitle(xTitle)
                 .yAxisTitle(yTitle)
                 .build();
-        style(chart.getStyler());
+        applyStyle(chart.getStyler());
         return chart;
     }
 
     /** Sets the style that all charts share. */
-    public static void style(Styler styler) {
+    public static void applyStyle(Styler styler) {
         styler.setLegendPosition(Styler.LegendPosition.OutsideE);
         styler.setChartBackgroundColor(Color.WHITE);
         styler.setPlotBorderVisible(false);
@@ -123,7 +123,7 @@
     }
 
     private static XYChart rates(Result result) {
-        XYChart chart = chart("s", "flows/s");
+        XYChart chart = lineChart("s", "flows/s");
         double intervalS = result.intervalNs / 1e9;
         line(chart, "intended", result, interval -> interval.intended / intervalS);
         line(chart, "sent", result, interval -> interval.sent() / intervalS);
@@ -135,7 +135,7 @@
     }
 
     private static XYChart overTime(Result result) {
-        XYChart chart = chart("s", "ms");
+        XYChart chart = lineChart("s", "ms");
         for (double percentile : PERCENTILES) {
             line(
                     chart,
@@ -156,7 +156,7 @@
                 .xAxisTitle("s")
                 .yAxisTitle("flows")
                 .build();
-        style(chart.getStyler());
+        applyStyle(chart.getStyler());
         chart.getStyler().setStacked(true);
         chart.getStyler().setAvailableSpaceFill(0.95);
         List<Result.Interval> intervals = intervals(result);
@@ -186,11 +186,11 @@
     }
 
     private static XYChart byPercentile(Result result) {
-        XYChart chart = chart("1 / (1 - quantile): 10 is p90, 100 is p99", "ms");
+        XYChart chart = lineChart("1 / (1 - quantile): 10 is p90, 100 is p99", "ms");
         curve(chart, "from the intended start", result.all.latency);
         curve(chart, "from the sending", result.all.service);
-        curve(chart, "this host: senders late", result.lag);
-        curve(chart, "this host: wake-ups late", result.hiccups);
+        curve(chart, "this host: senders late", result.sendLag);
+        curve(chart, "this host: wake-ups late", result.wakeUpLateness);
         chart.getStyler().setXAxisLogarithmic(true);
         chart.getStyler().setYAxisLogarithmic(true);
         return chart;
@@ -213,7 +213,7 @@
     }
 
     private static XYChart hostLateness(Result result) {
-        XYChart chart = chart("s", "ms");
+        XYChart chart = lineChart("s", "ms");
         line(chart, "senders", result, interval -> interval.lagMaxUs / 1e3);
         line(chart, "wake-ups", result, interval -> interval.hiccupMaxUs / 1e3);
         line(chart, "busy above", result, interval -> Result.HOST_BUSY_ABOVE_US / 1e3);
--- a/src/main/java/puffinbarrow/load/Engine.java
+++ b/src/main/java/puffinbarrow/load/Engine.java
@@ -47,7 +47,7 @@
 
     /** Sends the scenario's flows: those of its trace if it has one, else drawn ones. */
     public Engine(Scenario scenario) throws IOException {
-        this(scenario, source(scenario), null);
+        this(scenario, openSource(scenario), null);
     }
 
     /**
@@ -55,7 +55,7 @@
      *
      * @param onFlowEnd notified of each flow's end on a sender's thread; may be null
      */
-    public Engine(Scenario scenario, Source source, Consumer<Ended> onFlowEnd) throws IOException {
+    public Engine(Scenario scenario, FlowSource source, Consumer<FlowEnd> onFlowEnd) throws IOException {
         this.scenario = scenario;
         this.feeder = new Feeder(source, scenario.senders);
         this.availableHandles = availableHandles();
@@ -78,7 +78,7 @@
     }
 
     /** Opens the scenario's flows: those of its trace if it has one, else drawn ones. */
-    public static Source source(Scenario scenario) throws IOException {
+    public static FlowSource openSource(Scenario scenario) throws IOException {
         return scenario.trace != null ? new TraceFlows(scenario) : new Arrivals(scenario);
     }
 
@@ -118,15 +118,15 @@
         } catch (InterruptedException interrupted) {
             running = false;
             Thread.currentThread().interrupt();
-            result.cutShort = "interrupted";
+            result.stopReason = "interrupted";
             return result;
         }
         senders.forEach(sender -> result.add(sender.result));
-        result.hiccups.add(wakeUpLateness);
+        result.wakeUpLateness.add(wakeUpLateness);
         result.gcPauseMs = gcTimeMs() - gcBeforeMs;
         result.handleLimit =
                 availableHandles < (long) scenario.connections * scenario.targets.size() ? availableHandles : 0;
-        result.cutShort = feeder.failure();
+        result.stopReason = feeder.failure();
         return result;
     }
 
--- a/src/main/java/puffinbarrow/load/Feeder.java
+++ b/src/main/java/puffinbarrow/load/Feeder.java
@@ -41,14 +41,14 @@
         }
     }
 
-    private final Source source;
+    private final FlowSource source;
     private final SenderQueue[] queues;
     private final Thread thread = new Thread(this::readSource, "load-feeder");
     private volatile String failure;
     /** Whether the source has ended. */
     private volatile boolean sourceEnded;
 
-    Feeder(Source source, int senders) {
+    Feeder(FlowSource source, int senders) {
         this.source = source;
         this.queues = new SenderQueue[senders];
         for (int i = 0; i < senders; i++) {
--- a/src/main/java/puffinbarrow/load/Ended.java
+++ b/src/main/java/puffinbarrow/load/FlowEnd.java
@@ -7,7 +7,7 @@
  * @param tookNs from the intended start to the end
  * @param tries attempts, retries included
  */
-public record Ended(long startNs, int group, Result.Outcome outcome, long tookNs, int tries) {
+public record FlowEnd(long startNs, int group, Result.Outcome outcome, long latencyNs, int attempts) {
     /** Whether the flow was answered, within its latency budget or late. */
     public boolean answered() {
         return outcome == Result.Outcome.IN_BUDGET || outcome == Result.Outcome.LATE;
--- a/src/main/java/puffinbarrow/load/SentLog.java
+++ b/src/main/java/puffinbarrow/load/FlowRecorder.java
@@ -13,15 +13,15 @@
  * same again: same starts to the nanosecond, groups, keys, work, methods and paths. Compresses with gzip if the file
  * name ends in .gz. Used on the feeder's thread.
  */
-public final class SentLog implements Source {
+public final class FlowRecorder implements FlowSource {
     /** Column that marks a trace as one of these recordings; its times are nanoseconds from the run's start. */
     static final String TIME_COLUMN = "at_ns";
 
-    private final Source source;
+    private final FlowSource source;
     private final Scenario scenario;
     private final JsonGenerator out;
 
-    public SentLog(Source source, Scenario scenario, Path file) throws IOException {
+    public FlowRecorder(FlowSource source, Scenario scenario, Path file) throws IOException {
         this.source = source;
         this.scenario = scenario;
         var raw = Files.newOutputStream(file);
--- a/src/main/java/puffinbarrow/load/Source.java
+++ b/src/main/java/puffinbarrow/load/FlowSource.java
@@ -4,7 +4,7 @@
 import java.io.IOException;
 
 /** The flows of a run in the order of their intended starts. Read by one thread: the feeder's during a run. */
-public interface Source extends Closeable {
+public interface FlowSource extends Closeable {
     /** Returns the next flow, or null at the end. */
     Flow next() throws IOException;
 
--- a/src/main/java/puffinbarrow/load/Html.java
+++ b/src/main/java/puffinbarrow/load/Html.java
@@ -57,8 +57,8 @@
         model.put("rules", rules);
         model.put("text", text);
         model.put("charts", Charts.all(result));
-        model.put("busy", result.hostBusy());
-        model.put("whole", result.whole());
+        model.put("busy", result.hostBusySeconds());
+        model.put("whole", result.isComplete());
         model.put("rows", rows(scenario, result));
         model.put(
                 "columns",
--- a/src/main/java/puffinbarrow/load/Report.java
+++ b/src/main/java/puffinbarrow/load/Report.java
@@ -29,7 +29,7 @@
                 "%nintended %d, outcomes %d%s; utility in budget %.4f; retries %d; connections made %d%n",
                 result.intended,
                 result.all.ended(),
-                result.whole() ? "" : "  NOT EQUAL",
+                result.isComplete() ? "" : "  NOT EQUAL",
                 result.utilityAsked == 0 ? 1 : result.utilityInBudget / result.utilityAsked,
                 result.retries,
                 result.connections));
@@ -64,17 +64,17 @@
         text.append(String.format(
                 Locale.ROOT,
                 "this host's own: senders late %s; wake-ups late %s; GC %d ms%n",
-                percentiles(result.lag),
-                percentiles(result.hiccups),
+                percentiles(result.sendLag),
+                percentiles(result.wakeUpLateness),
                 result.gcPauseMs));
-        List<Integer> busy = result.hostBusy();
+        List<Integer> busy = result.hostBusySeconds();
         if (!busy.isEmpty()) {
             text.append("THIS HOST WAS BUSY in seconds ")
                     .append(busy)
                     .append(": high latencies then are not the target's alone\n");
         }
-        if (result.cutShort != null) {
-            text.append("CUT SHORT: ").append(result.cutShort).append('\n');
+        if (result.stopReason != null) {
+            text.append("CUT SHORT: ").append(result.stopReason).append('\n');
         }
         return text.toString();
     }
@@ -178,7 +178,7 @@
         out.writeStartObject();
         out.writeNumberField("seed", scenario.seed);
         out.writeNumberField("intended", result.intended);
-        out.writeBooleanField("whole", result.whole());
+        out.writeBooleanField("whole", result.isComplete());
         out.writeNumberField("retries", result.retries);
         out.writeNumberField("connections", result.connections);
         out.writeNumberField("stray_answers", result.unexpectedData);
@@ -205,15 +205,15 @@
         out.writeObjectFieldStart("host");
         out.writeNumberField("gc_ms", result.gcPauseMs);
         out.writeArrayFieldStart("busy_seconds");
-        for (int second : result.hostBusy()) {
+        for (int second : result.hostBusySeconds()) {
             out.writeNumber(second);
         }
         out.writeEndArray();
-        writePercentiles(out, "senders_late_us", result.lag);
-        writePercentiles(out, "wakeups_late_us", result.hiccups);
+        writePercentiles(out, "senders_late_us", result.sendLag);
+        writePercentiles(out, "wakeups_late_us", result.wakeUpLateness);
         out.writeEndObject();
-        if (result.cutShort != null) {
-            out.writeStringField("cut_short", result.cutShort);
+        if (result.stopReason != null) {
+            out.writeStringField("cut_short", result.stopReason);
         }
         out.writeEndObject();
     }
--- a/src/main/java/puffinbarrow/load/Result.java
+++ b/src/main/java/puffinbarrow/load/Result.java
@@ -136,10 +136,10 @@
     /** Length of an interval. */
     public final long intervalNs;
     /** How late flows left after their intended start, in microseconds. */
-    public final Histogram lag = new Histogram(MAX_RECORDED_US, 3);
+    public final Histogram sendLag = new Histogram(MAX_RECORDED_US, 3);
 
     /** How late a thread that only sleeps woke up on this host, in microseconds. */
-    public final Histogram hiccups = new Histogram(MAX_RECORDED_US, 3);
+    public final Histogram wakeUpLateness = new Histogram(MAX_RECORDED_US, 3);
     /** Flows never sent, by reason. */
     public final EnumMap<NeverSentReason, Long> neverSent = new EnumMap<>(NeverSentReason.class);
     /** Flows whose start came, each of which has one outcome. */
@@ -165,7 +165,7 @@
     public double utilityInBudget;
 
     /** Why the run stopped early, or null. */
-    public String cutShort;
+    public String stopReason;
 
     Result(int groups, long lengthNs) {
         this.groups = new FlowStats[groups];
@@ -199,7 +199,7 @@
         for (int i = 0; i < other.intervals.size(); i++) {
             interval(i * intervalNs).add(other.intervals.get(i));
         }
-        lag.add(other.lag);
+        sendLag.add(other.sendLag);
         other.neverSent.forEach((reason, count) -> neverSent.merge(reason, count, Long::sum));
         intended += other.intended;
         retries += other.retries;
@@ -217,7 +217,7 @@
     }
 
     /** Whether the outcomes add up to the intended flows. */
-    public boolean whole() {
+    public boolean isComplete() {
         return intended == all.ended()
                 && intended == intervals.stream().mapToLong(Interval::ended).sum();
     }
@@ -226,7 +226,7 @@
      * Returns the seconds, by the start of their interval, in which this host was late and may have been the
      * bottleneck.
      */
-    public List<Integer> hostBusy() {
+    public List<Integer> hostBusySeconds() {
         List<Integer> busy = new ArrayList<>();
         for (int i = 0; i < intervals.size(); i++) {
             if (intervals.get(i).lagMaxUs > HOST_BUSY_ABOVE_US || intervals.get(i).hiccupMaxUs > HOST_BUSY_ABOVE_US) {
--- a/src/main/java/puffinbarrow/load/Scenario.java
+++ b/src/main/java/puffinbarrow/load/Scenario.java
@@ -114,11 +114,11 @@
             int bodyBytes,
             long workNs,
             double workSpread,
-            boolean repeats,
+            boolean retriable,
             String match) {}
 
     /** How to send a recorded trace in place of drawn arrivals. */
-    public static final class FromTrace {
+    public static final class TraceSettings {
         public Path file;
         /** Null to detect it from the file's first bytes. */
         public Trace.Format format;
@@ -151,7 +151,7 @@
     /** Weight of each target, in the order of targets. */
     public final List<Double> targetWeights = new ArrayList<>();
     /** Null for drawn arrivals. */
-    public FromTrace trace;
+    public TraceSettings trace;
     /** Number of sending threads. */
     public int senders = 1;
     /** Number of slices that flows are drawn from, each with its own keys; 0 to draw keys directly. */
@@ -270,7 +270,7 @@
         if (scenario.groups.isEmpty()) {
             problems.add(new Problem(name, 0, "no line 'group', expected at least one"));
         }
-        double maxRate = scenario.mostRate();
+        double maxRate = scenario.maxRate();
         if (maxRate > MAX_RATE) {
             problems.add(new Problem(
                     name,
@@ -359,7 +359,7 @@
 
     /** Parses one of the statements about the trace. */
     private void parseTrace(String keyword, ArgumentReader words) {
-        trace = trace == null ? new FromTrace() : trace;
+        trace = trace == null ? new TraceSettings() : trace;
         switch (keyword) {
             case "trace" -> {
                 trace.file = Path.of(words.text("the trace's file"));
@@ -402,7 +402,7 @@
     }
 
     /** Returns a scenario with the same groups, keys and bounds at a constant rate against one target, without work. */
-    public Scenario flat(double perS, long durationNs, InetSocketAddress target) {
+    public Scenario withConstantRate(double perS, long durationNs, InetSocketAddress target) {
         Scenario flat = new Scenario();
         flat.targets.add(target);
         flat.targetWeights.add(1.0);
@@ -418,7 +418,7 @@
                     group.bodyBytes,
                     0,
                     0,
-                    group.repeats,
+                    group.retriable,
                     group.match));
         }
         flat.arrivalProcess = ArrivalProcess.CONSTANT;
@@ -520,7 +520,7 @@
     }
 
     /** Returns an upper bound of the flows per second at any time, bursts included. */
-    public double mostRate() {
+    public double maxRate() {
         double maxRate = rate * (arrivalProcess == ArrivalProcess.BURSTS ? burstFactor : 1);
         for (Shape shape : shapes) {
             maxRate *= shape.maxFactor();
--- a/src/main/java/puffinbarrow/load/Sender.java
+++ b/src/main/java/puffinbarrow/load/Sender.java
@@ -251,7 +251,7 @@
     private final Net net;
     private final Feeder.SenderQueue queue;
     /** Notified of each flow's end on the sending thread; may be null. */
-    private final Consumer<Ended> onFlowEnd;
+    private final Consumer<FlowEnd> onFlowEnd;
 
     private final List<Target> targets = new ArrayList<>();
     private final ConcurrentLinkedQueue<ConnectionEvent> events = new ConcurrentLinkedQueue<>();
@@ -280,7 +280,7 @@
     /** Start of the run, by System.nanoTime. */
     private long startedAtNs;
 
-    Sender(int index, Scenario scenario, int handles, Feeder.SenderQueue queue, Consumer<Ended> onFlowEnd)
+    Sender(int index, Scenario scenario, int handles, Feeder.SenderQueue queue, Consumer<FlowEnd> onFlowEnd)
             throws IOException {
         this.scenario = scenario;
         this.queue = queue;
@@ -377,7 +377,7 @@
         open++;
         wheel.schedule(attempt);
         long lagUs = Result.micros(nowNs - intendedStartNs);
-        result.lag.recordValue(lagUs);
+        result.sendLag.recordValue(lagUs);
         interval.lagMaxUs = Math.max(interval.lagMaxUs, lagUs);
         dispatch(attempt, nowNs);
     }
@@ -576,7 +576,7 @@
      * reached the target.
      */
     private void retryOrFinish(Attempt attempt, Result.Outcome outcome, ConnectionEvent event) {
-        boolean mayRetry = scenario.groups.get(attempt.flow.group()).repeats()
+        boolean mayRetry = scenario.groups.get(attempt.flow.group()).retriable()
                 || outcome == Result.Outcome.BLOCKED
                 || outcome == Result.Outcome.REFUSED;
         long waitNs = scenario.retryWaitNs << attempt.number;
@@ -632,7 +632,7 @@
             result.utilityInBudget += scenario.groups.get(attempt.flow.group()).utility();
         }
         if (onFlowEnd != null) {
-            onFlowEnd.accept(new Ended(
+            onFlowEnd.accept(new FlowEnd(
                     attempt.intendedStartNs,
                     attempt.flow.group(),
                     outcome,
--- a/src/main/java/puffinbarrow/load/Trace.java
+++ b/src/main/java/puffinbarrow/load/Trace.java
@@ -65,10 +65,10 @@
             int target) {}
 
     /** Thrown when more lines are malformed than the configured share. */
-    public static final class TooManyMalformed extends IOException {
+    public static final class TooManyMalformedException extends IOException {
         private static final long serialVersionUID = 1;
 
-        TooManyMalformed(String message) {
+        TooManyMalformedException(String message) {
             super(message);
         }
     }
@@ -104,7 +104,7 @@
 
     private final Path file;
     private final Format format;
-    private final Scenario.FromTrace settings;
+    private final Scenario.TraceSettings settings;
     private final InputStream in;
     private final byte[] block = new byte[64 * 1024];
     private final byte[] line = new byte[MAX_LINE_BYTES];
@@ -126,13 +126,13 @@
     private String lastTimestamp = "";
 
     private long lastTimestampNs;
-    private final List<Problem> shown = new ArrayList<>();
+    private final List<Problem> firstProblems = new ArrayList<>();
     /** Whether the header line, or all that comes before a HAR file's entries, was read. */
     private boolean headerRead;
 
     private boolean relative;
 
-    public Trace(Scenario.FromTrace settings) throws IOException {
+    public Trace(Scenario.TraceSettings settings) throws IOException {
         this.settings = settings;
         this.file = settings.file;
         InputStream raw = Files.newInputStream(file);
@@ -180,8 +180,8 @@
     }
 
     /** Returns the first malformed lines: where, what was found, and what was expected. */
-    public List<Problem> shown() {
-        return shown;
+    public List<Problem> firstProblems() {
+        return firstProblems;
     }
 
     /** Returns the next entry in the file's order, or null at its end. */
@@ -211,8 +211,8 @@
                 };
             } catch (MalformedLineException malformedLine) {
                 malformed++;
-                if (shown.size() < MAX_SHOWN) {
-                    shown.add(new Problem(
+                if (firstProblems.size() < MAX_SHOWN) {
+                    firstProblems.add(new Problem(
                             file.toString(),
                             (int) Math.min(Integer.MAX_VALUE, lines + (format == Format.CSV ? 1 : 0)),
                             malformedLine.getMessage()));
@@ -225,7 +225,7 @@
     /** Throws if too many lines are malformed so far. */
     private void checkMalformedShare(boolean atEnd) throws IOException {
         if (malformed > settings.malformedShare * lines && (atEnd || lines >= MIN_LINES_FOR_SHARE)) {
-            throw new TooManyMalformed(String.format(
+            throw new TooManyMalformedException(String.format(
                     Locale.ROOT,
                     "%s: %d of %d lines malformed, expected %.2f%% at most",
                     file,
@@ -356,8 +356,8 @@
 
     /** Builds an entry from the values of a CSV or JSON line, by column name. */
     private Entry entry(Map<String, String> values) throws MalformedLineException {
-        boolean recorded = values.containsKey(SentLog.TIME_COLUMN);
-        String time = values.get(recorded ? SentLog.TIME_COLUMN : column("time"));
+        boolean recorded = values.containsKey(FlowRecorder.TIME_COLUMN);
+        String time = values.get(recorded ? FlowRecorder.TIME_COLUMN : column("time"));
         if (time == null) {
             throw new MalformedLineException("no '" + column("time") + "', expected a time");
         }
--- a/src/main/java/puffinbarrow/load/TraceFlows.java
+++ b/src/main/java/puffinbarrow/load/TraceFlows.java
@@ -18,7 +18,7 @@
  * that is sent at once and counted as late. Entries timed to the whole second are spread evenly over it in the file's
  * order. Read by the feeder's thread during a run; not thread-safe.
  */
-public final class TraceFlows implements Source {
+public final class TraceFlows implements FlowSource {
     /**
      * How much older than the newest entry read an entry may be and still be sorted: the longest that answers usually
      * take.
@@ -40,7 +40,7 @@
     private record Timed(Trace.Entry entry, long atNs) {}
 
     private final Scenario scenario;
-    private final Scenario.FromTrace settings;
+    private final Scenario.TraceSettings settings;
     private final UniformRandomProvider random;
     private final Map<String, Integer> groupIndexes = new HashMap<>();
     private final PriorityQueue<WindowEntry> window = new PriorityQueue<>();
@@ -73,13 +73,13 @@
     /** Newest time passed on in order during the first loop. */
     private long orderedUntilNs = Long.MIN_VALUE;
 
-    private long late;
-    private long unmatched;
+    private long lateEntries;
+    private long unmatchedEntries;
     /** Lines of the loops before the present one; malformed and shown are of those loops, too. */
     private long lines;
 
     private long malformed;
-    private List<Problem> shown = List.of();
+    private List<Problem> firstProblems = List.of();
 
     public TraceFlows(Scenario scenario) throws IOException {
         this.scenario = scenario;
@@ -92,13 +92,13 @@
     }
 
     /** Returns the entries too old for the window to sort. */
-    public long late() {
-        return late;
+    public long lateEntries() {
+        return lateEntries;
     }
 
     /** Returns the entries that belong to no group; they are not sent. */
-    public long unmatched() {
-        return unmatched;
+    public long unmatchedEntries() {
+        return unmatchedEntries;
     }
 
     /** Returns the lines read over all loops so far, malformed ones included. */
@@ -112,8 +112,8 @@
     }
 
     /** Returns the first malformed lines. */
-    public List<Problem> shown() {
-        return shown.isEmpty() ? trace.shown() : shown;
+    public List<Problem> firstProblems() {
+        return firstProblems.isEmpty() ? trace.firstProblems() : firstProblems;
     }
 
     public Trace.Format format() {
@@ -144,7 +144,7 @@
     private void addFlows(Timed timed, long nextNs) {
         int group = group(timed.entry);
         if (group < 0) {
-            unmatched++;
+            unmatchedEntries++;
             return;
         }
         int count = (int) Math.floor(settings.rate);
@@ -245,7 +245,7 @@
     private void reopen() throws IOException {
         lines += trace.lines();
         malformed += trace.malformed();
-        shown = trace.shown();
+        firstProblems = trace.firstProblems();
         trace.close();
         trace = new Trace(settings);
         traceEnded = false;
@@ -292,7 +292,7 @@
     /** Counts the entry as late if it is older than one already passed on. */
     private Timed checkOrder(Trace.Entry entry, long atNs) {
         if (atNs < orderedUntilNs && loop == 0) {
-            late++;
+            lateEntries++;
         }
         orderedUntilNs = loop == 0 ? Math.max(orderedUntilNs, atNs) : orderedUntilNs;
         return new Timed(entry, atNs);
--- a/src/test/java/puffinbarrow/emulator/EmulatorTest.java
+++ b/src/test/java/puffinbarrow/emulator/EmulatorTest.java
@@ -44,32 +44,37 @@
             at 14s cut coordinator 0 from proxies for 2s
             """;
 
-    private static Setup setup(String text) {
+    private static EmulatedDay setup(String text) {
         List<Problem> problems = new ArrayList<>();
-        Setup setup = Setup.parse("test", text, problems);
+        EmulatedDay setup = EmulatedDay.parse("test", text, problems);
         assertEquals(List.of(), problems);
         return setup;
     }
 
     private static Outcome run(String text, String policy) {
-        return new Fleet(setup(text), Policy.named(policy), new Heap(), 50_000_000).run();
+        return new Fleet(setup(text), Policy.byName(policy), new QuaternaryHeap(), 50_000_000).run();
     }
 
     private static Outcome run(String text, Controller.Factory controllerFactory, long maxEvents) {
-        return new Fleet(setup(text), new Policy("test", trueState -> controllerFactory), new Heap(), maxEvents).run();
+        return new Fleet(
+                        setup(text),
+                        new Policy("test", trueState -> controllerFactory),
+                        new QuaternaryHeap(),
+                        maxEvents)
+                .run();
     }
 
     /** Returns a text of everything that a seed determines. */
     private static String fingerprint(Outcome outcome) {
         return outcome.text() + outcome.events + " " + outcome.decisionTurns + " " + outcome.decisionEvents + " "
-                + outcome.mostOpen;
+                + outcome.maxOpenFlows;
     }
 
     // ---- Event queues and simulation.
 
     @Test
     void queuesReturnEventsByTimeThenByInsertion() {
-        for (Agenda queue : List.of(new Heap(), new Calendar())) {
+        for (EventQueue queue : List.of(new QuaternaryHeap(), new CalendarQueue())) {
             UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(3);
             List<long[]> processed = new ArrayList<>();
             long now = 1_000_000;
@@ -82,13 +87,13 @@
                     long number = added++;
                     queue.add(at, () -> processed.add(new long[] {at, number}));
                 } else {
-                    now = queue.nextNs();
-                    queue.take().run();
+                    now = queue.nextTimeNs();
+                    queue.removeNext().run();
                     assertEquals(now, processed.get(processed.size() - 1)[0]);
                 }
             }
             while (queue.size() > 0) {
-                queue.take().run();
+                queue.removeNext().run();
             }
             assertEquals(added, processed.size());
             for (int i = 1; i < processed.size(); i++) {
@@ -103,8 +108,8 @@
 
     @Test
     void randomGeneratorsOfPartsAreIndependent() {
-        Simulation first = new Simulation(new Heap(), 9, 10);
-        Simulation second = new Simulation(new Heap(), 9, 10);
+        Simulation first = new Simulation(new QuaternaryHeap(), 9, 10);
+        Simulation second = new Simulation(new QuaternaryHeap(), 9, 10);
         second.random("server", 7).nextLong();
         assertEquals(
                 first.random("proxy", 1).nextLong(), second.random("proxy", 1).nextLong());
@@ -114,10 +119,10 @@
 
     @Test
     void sojournTimesMatchQueueingTheory() {
-        for (Queueing.Check check : Queueing.all(1, 900)) {
+        for (QueueingChecks.Check check : QueueingChecks.all(1, 900)) {
             // Sojourn times at load 0.8 are strongly correlated: the mean of some ten thousand is off by several
             // percent.
-            assertTrue(check.off() < 0.07, check.toString());
+            assertTrue(check.relativeError() < 0.07, check.toString());
         }
     }
 
@@ -130,15 +135,15 @@
         assertNotEquals(first, fingerprint(run(SMALL_DAY + FAULTS + "seed 6\n", "ours")));
         assertEquals(
                 first,
-                fingerprint(
-                        new Fleet(setup(SMALL_DAY + FAULTS), Policy.named("ours"), new Calendar(), 50_000_000).run()));
+                fingerprint(new Fleet(setup(SMALL_DAY + FAULTS), Policy.byName("ours"), new CalendarQueue(), 50_000_000)
+                        .run()));
     }
 
     @Test
     void everyFlowEndsOnceUnderEveryPolicyAndModel() {
         for (Policy policy : Policy.ALL) {
             Outcome outcome = run(SMALL_DAY + FAULTS, policy.name());
-            assertTrue(outcome.whole() && outcome.intended > 1500, policy.name() + outcome.text());
+            assertTrue(outcome.complete() && outcome.intended > 1500, policy.name() + outcome.text());
             assertEquals(
                     outcome.inBudget + outcome.late,
                     outcome.latencyUs[0].getTotalCount()
@@ -157,14 +162,14 @@
                 "avoid 0",
                 "network 20ms")) {
             Outcome outcome = run(SMALL_DAY + FAULTS + "model " + model + "\n", "ours");
-            assertTrue(outcome.whole() && outcome.service > 0.5, model + outcome.text());
+            assertTrue(outcome.complete() && outcome.service > 0.5, model + outcome.text());
         }
         Outcome sharedCores = run(
                 SMALL_DAY + FAULTS
                         + "model work processor\nmodel overdue stops\nat 3s backends 3 pause 1s every 2s for 8s\n"
                         + "at 4s backends cells 1 vanish for 5s\n",
                 "ours");
-        assertTrue(sharedCores.whole(), sharedCores.text());
+        assertTrue(sharedCores.complete(), sharedCores.text());
     }
 
     @Test
@@ -237,7 +242,7 @@
     @Test
     void invalidSettingsAreReportedWithTheirLine() {
         List<Problem> problems = new ArrayList<>();
-        Setup.parse(
+        EmulatedDay.parse(
                 "d",
                 "proxies 3\nmodel network fast\nmodel pick best\nat 4s coordinator 7 killed for 1s\nmodel sharing x\n",
                 problems);
@@ -286,15 +291,15 @@
     @Test
     void interruptedExperimentContinuesToTheSameResultsOnAnyNumberOfThreads(@TempDir Path folder) throws Exception {
         Path complete = folder.resolve("whole");
-        assertTrue(new Runs(experiment(EXPERIMENT), complete, 1, t -> {}).play());
+        assertTrue(new ExperimentRunner(experiment(EXPERIMENT), complete, 1, t -> {}).run());
         String results = Files.readString(complete.resolve("results.csv"));
         assertEquals(13, results.lines().count(), results);
         Path interrupted = folder.resolve("cut");
         Files.createDirectories(interrupted);
         // As a killed process leaves the file: some rows, the last one incomplete.
         List<String> partRows = new ArrayList<>();
-        Runs firstRun = new Runs(experiment(EXPERIMENT), interrupted, 8, t -> {});
-        assertTrue(firstRun.play());
+        ExperimentRunner firstRun = new ExperimentRunner(experiment(EXPERIMENT), interrupted, 8, t -> {});
+        assertTrue(firstRun.run());
         assertEquals(results, Files.readString(interrupted.resolve("results.csv")));
         List<String> lines = results.lines().toList();
         for (int i = 1; i < 6; i++) {
@@ -305,12 +310,13 @@
                 interrupted.resolve("runs.part.csv"),
                 String.join("\n", partRows) + "\n" + lines.get(7).substring(0, 30));
         List<String> progressLines = new ArrayList<>();
-        assertTrue(new Runs(experiment(EXPERIMENT), interrupted, 3, progressLines::add).play());
+        assertTrue(new ExperimentRunner(experiment(EXPERIMENT), interrupted, 3, progressLines::add).run());
         assertTrue(progressLines.get(0).startsWith("5 of 12 runs were completed"), progressLines.toString());
         assertEquals(8, progressLines.size(), progressLines.toString());
         assertEquals(results, Files.readString(interrupted.resolve("results.csv")));
-        assertFalse(new Runs(experiment(EXPERIMENT + "draw slices {16..20}\n"), interrupted, 3, t -> {}).play());
-        Report report = new Report(Sheet.read(interrupted.resolve("results.csv")));
+        assertFalse(
+                new ExperimentRunner(experiment(EXPERIMENT + "draw slices {16..20}\n"), interrupted, 3, t -> {}).run());
+        Report report = new Report(ResultTable.read(interrupted.resolve("results.csv")));
         assertEquals(4, report.table().size());
         report.html(folder.resolve("r.html"), "test");
         assertTrue(Files.size(folder.resolve("r.html")) > 10_000);
@@ -330,10 +336,11 @@
                 maybe 70% not at {2..9}s traffic x 1.0{1..9} for {1..3}s
                 maybe 70% nor at {2..9}s hot 1 keys {1..2}% for {1..3}s
                 """);
-        Search.Find find = new Search(experiment, Policy.named("ours"), Policy.named("oracle"), 1, 4, t -> {}).run(24);
-        assertTrue(find.loss() > 0.05 || !find.broken().isEmpty(), find.told());
+        Search.Result find =
+                new Search(experiment, Policy.byName("ours"), Policy.byName("oracle"), 1, 4, t -> {}).run(24);
+        assertTrue(find.loss() > 0.05 || !find.broken().isEmpty(), find.describe());
         assertTrue(find.text().contains("slow x 20") && !find.text().contains("hot 1 keys"), find.text());
-        assertEquals(find.text(), Token.text(Token.of(find.text())));
-        assertNull(Token.text("no token"));
+        assertEquals(find.text(), DayToken.text(DayToken.of(find.text())));
+        assertNull(DayToken.text("no token"));
     }
 }
--- a/src/test/java/puffinbarrow/load/EngineTest.java
+++ b/src/test/java/puffinbarrow/load/EngineTest.java
@@ -49,7 +49,7 @@
     private static Result run(InetSocketAddress target, String more) throws Exception {
         try (Engine engine = new Engine(scenario(target, more))) {
             Result result = engine.run(null);
-            assertTrue(result.whole(), result.intended + " intended, outcomes " + result.all.outcomes);
+            assertTrue(result.isComplete(), result.intended + " intended, outcomes " + result.all.outcomes);
             return result;
         }
     }
@@ -170,7 +170,7 @@
             assertEquals(List.of(), problems);
             try (Engine engine = new Engine(upload)) {
                 Result result = engine.run(null);
-                assertTrue(result.whole());
+                assertTrue(result.isComplete());
                 assertEquals(
                         result.intended, result.all.count(Result.Outcome.IN_BUDGET), result.all.outcomes.toString());
                 assertEquals(result.intended, target.requests());
--- a/src/test/java/puffinbarrow/load/TraceTest.java
+++ b/src/test/java/puffinbarrow/load/TraceTest.java
@@ -32,7 +32,7 @@
         return Files.writeString(folder.resolve(name), text);
     }
 
-    private static List<Flow> all(Source source) throws IOException {
+    private static List<Flow> all(FlowSource source) throws IOException {
         List<Flow> flows = new ArrayList<>();
         for (Flow flow = source.next(); flow != null; flow = source.next()) {
             flows.add(flow);
@@ -81,10 +81,14 @@
         assertEquals(4, flows.malformed());
         assertEquals(301, flows.lines());
         assertTrue(
-                flows.shown().get(0).toString().startsWith(log + ":8: not a line of the Common Log Format, expected"),
-                flows.shown().toString());
-        assertTrue(flows.shown().get(3).toString().contains("over 65536 bytes"));
-        Trace.TooManyMalformed thrown = assertThrows(Trace.TooManyMalformed.class, () -> flows(log, ""));
+                flows.firstProblems()
+                        .get(0)
+                        .toString()
+                        .startsWith(log + ":8: not a line of the Common Log Format, expected"),
+                flows.firstProblems().toString());
+        assertTrue(flows.firstProblems().get(3).toString().contains("over 65536 bytes"));
+        Trace.TooManyMalformedException thrown =
+                assertThrows(Trace.TooManyMalformedException.class, () -> flows(log, ""));
         assertTrue(thrown.getMessage().contains("expected 1.00% at most"), thrown.getMessage());
     }
 
@@ -121,7 +125,7 @@
         assertEquals(10, lines.get(1).request().bodyBytes());
         assertEquals(lines, flows(har, "trace-malformed 50%\n"));
         Path truncated = file("cut.har", Files.readString(har).substring(0, 260));
-        assertThrows(Trace.TooManyMalformed.class, () -> flows(truncated, ""));
+        assertThrows(Trace.TooManyMalformedException.class, () -> flows(truncated, ""));
     }
 
     @Test
@@ -153,7 +157,7 @@
                         + "hot 1 keys 30% at 1s for 1s\n";
         Scenario scenario = scenario(settings);
         Path recording = folder.resolve("sent.json.gz");
-        List<Flow> first = all(new SentLog(new Arrivals(scenario), scenario, recording));
+        List<Flow> first = all(new FlowRecorder(new Arrivals(scenario), scenario, recording));
         List<Flow> again = all(new TraceFlows(scenario(settings + "trace " + recording + "\n")));
         assertEquals(first.size(), again.size());
         for (int i = 0; i < first.size(); i++) {
@@ -165,7 +169,7 @@
         }
         Path secondRecording = folder.resolve("again.json");
         Scenario replay = scenario(settings + "trace " + recording + "\n");
-        all(new SentLog(new TraceFlows(replay), replay, secondRecording));
+        all(new FlowRecorder(new TraceFlows(replay), replay, secondRecording));
         assertEquals(again, all(new TraceFlows(scenario(settings + "trace " + secondRecording + "\n"))));
     }
 }
