--- a/src/main/java/puffinbarrow/control/Order.java
+++ b/src/main/java/puffinbarrow/control/Order.java
@@ -25,7 +25,10 @@
     /** Makes a proxy use a table for the traffic groups in the bit set (0: all). */
     record Bind(int table, int proxy, int groups) implements Order {}
 
-    /** Masks a server in all tables ({@code out}), or lifts its mask. Proxies send nothing new to a masked server. */
+    /**
+     * Masks a server in all tables, or lifts its mask if {@code masked} is false. Proxies send nothing new to a masked
+     * server.
+     */
     record Mask(String server, boolean masked) implements Order {}
 
     /**
--- a/src/main/java/puffinbarrow/coordinator/Coordinator.java
+++ b/src/main/java/puffinbarrow/coordinator/Coordinator.java
@@ -34,9 +34,9 @@
 import puffinbarrow.proto.FrameWriter;
 
 /**
- * The coordinator daemon: listeners, connections and the decision thread around one {@link Core}. Threads of the
- * channel group decode frames and put them into the core's inbox; only the decision thread calls the core otherwise.
- * Started by the command line, by days in one process, by replays and by tests.
+ * The coordinator daemon: listeners, connections and the decision thread around one {@link CoordinatorCore}. Threads of
+ * the channel group decode frames and put them into the core's inbox; only the decision thread calls the core
+ * otherwise. Started by the command line, by days in one process, by replays and by tests.
  */
 public final class Coordinator implements AutoCloseable, CoordinatorCore.Environment {
     private static final Logger LOG = LoggerFactory.getLogger("puffinbarrow.coordinator");
@@ -78,7 +78,7 @@
     private final Net net;
     private final CoordinatorCore core;
     /** Null if the settings keep no memory across restarts. */
-    private final FactWriter keeper;
+    private final FactWriter factWriter;
     /** Null if the store assigns slices to coordinators, instead of leases. */
     private final LeaseHolder leaseHolder;
 
@@ -92,7 +92,7 @@
 
     private final List<Dialer> dialers = new ArrayList<>();
     private final TreeMap<Integer, Dialer> peerDialers = new TreeMap<>();
-    private final FailureWindow failures = new FailureWindow();
+    private final FailureWindow failureWindow = new FailureWindow();
     private final AtomicLong failedBatches = new AtomicLong();
     private final CountDownLatch decisionThreadEnded = new CountDownLatch(1);
     private Dialer storeDialer;
@@ -117,34 +117,34 @@
     public Coordinator(
             CoordinatorConfig config,
             Controller.Factory factory,
-            CoordinatorCore.RateLimits tempo,
+            CoordinatorCore.RateLimits rateLimits,
             Function<String, InetSocketAddress> addresses)
             throws IOException {
         this.config = config;
         this.incarnation = System.nanoTime() ^ (long) config.number << 48;
         this.net = new Net("c" + config.number, IO_THREADS);
         this.prober = addresses == null ? new Prober(net) : new Prober(net, addresses, REPLAY_PROBE_TIMEOUT_MS);
-        this.keeper =
+        this.factWriter =
                 config.memory == null ? null : FactWriter.open(config.memory, config.memoryBytes, MAX_PENDING_FACTS);
         this.core = new CoordinatorCore(
                 config,
                 factory,
                 this,
-                keeper == null ? CoordinatorCore.Memory.NONE : new CoordinatorMemory(keeper, incarnation),
+                factWriter == null ? CoordinatorCore.Memory.NONE : new CoordinatorMemory(factWriter, incarnation),
                 meters,
-                tempo);
+                rateLimits);
         this.leaseHolder = config.leaseNs > 0 && config.slices > 0
-                ? new LeaseHolder(config, incarnation, new SystemTiming(), core::offer, meters)
+                ? new LeaseHolder(config, incarnation, new SystemClock(), core::offer, meters)
                 : null;
         if (leaseHolder != null) {
             core.setFence(leaseHolder);
         }
-        if (keeper != null) {
-            meters.gauge("memory.well", keeper, k -> k.healthy() ? 1 : 0);
-            meters.gauge("memory.skipped", keeper, FactWriter::skipped);
-            meters.gauge("memory.commits", keeper, FactWriter::commits);
-            meters.gauge("memory.bytes", keeper, FactWriter::bytes);
-            meters.gauge("memory.failures", keeper, FactWriter::failures);
+        if (factWriter != null) {
+            meters.gauge("memory.well", factWriter, k -> k.healthy() ? 1 : 0);
+            meters.gauge("memory.skipped", factWriter, FactWriter::skipped);
+            meters.gauge("memory.commits", factWriter, FactWriter::commits);
+            meters.gauge("memory.bytes", factWriter, FactWriter::bytes);
+            meters.gauge("memory.failures", factWriter, FactWriter::failures);
         }
     }
 
@@ -153,7 +153,7 @@
         open();
         decisionThread = new Thread(this::run, "decisions-" + config.number);
         decisionThread.setDaemon(true);
-        core.reader(decisionThread);
+        core.setConsumer(decisionThread);
         decisionThread.start();
         return this;
     }
@@ -164,7 +164,7 @@
         return this;
     }
 
-    /** Runs one turn at the given time on the caller's thread; only after {@link #startByHand}. */
+    /** Runs one turn at the given time on the caller's thread; only after {@link #startManually}. */
     public void turnAt(long now) {
         core.turn(now);
     }
@@ -273,7 +273,7 @@
     }
 
     /** The clock and timer of the lease holder: monotonic time and the network timer. */
-    private final class SystemTiming implements LeaseHolder.Clock {
+    private final class SystemClock implements LeaseHolder.Clock {
         @Override
         public long now() {
             return System.nanoTime();
@@ -285,7 +285,7 @@
         }
     }
 
-    // ---- Core.Surroundings, on the decision thread.
+    // ---- CoordinatorCore.Environment, on the decision thread.
 
     @Override
     public void probe(String server, Consumer<Event.Probed> answer) {
@@ -311,7 +311,7 @@
                 .addKeyValue("events", batch.size())
                 .setCause(failure)
                 .log("decision turn failed; tables and levels stay as they are");
-        if (failures.tooMany(now)) {
+        if (failureWindow.tooMany(now)) {
             LOG.atError().addKeyValue("failures", FailureWindow.MAX_FAILURES).log("giving up");
             running = false;
             onFatalExit.accept(1);
@@ -432,7 +432,7 @@
             if (first.major() != Frame.MAJOR) {
                 refuse(
                         Frame.RefusalReason.VERSION,
-                        "version " + first.major() + ", " + Frame.MAJOR + " is spoken here");
+                        "version " + first.major() + " is not supported, expected " + Frame.MAJOR);
             } else if (first.role() == Frame.Role.PEER) {
                 if (first.number() == config.number
                         || first.number() < 0
@@ -563,9 +563,9 @@
 
         private String pace(String text) {
             try {
-                double part = Double.parseDouble(text);
-                if (part > 0 && part <= 1) {
-                    core.offer(new Input.SetPace(part));
+                double fraction = Double.parseDouble(text);
+                if (fraction > 0 && fraction <= 1) {
+                    core.offer(new Input.SetPace(fraction));
                     return "ok\n";
                 }
             } catch (NumberFormatException notANumber) {
@@ -619,8 +619,8 @@
     }
 
     /** Slows the channel to the proxies to this fraction of its configured rate, above 0 and up to 1. */
-    public void pace(double part) {
-        core.offer(new Input.SetPace(part));
+    public void pace(double fraction) {
+        core.offer(new Input.SetPace(fraction));
     }
 
     /** Cuts or restores the connection to a peer, as a network partition would. */
@@ -662,8 +662,8 @@
         running = false;
         LockSupport.unpark(decisionThread);
         closeSockets();
-        if (keeper != null) {
-            keeper.kill();
+        if (factWriter != null) {
+            factWriter.kill();
         }
     }
 
@@ -693,8 +693,8 @@
             Thread.currentThread().interrupt();
         }
         closeSockets();
-        if (keeper != null) {
-            keeper.close();
+        if (factWriter != null) {
+            factWriter.close();
         }
         LOG.atInfo().addKeyValue("coordinator", config.number).log("ended");
     }
--- a/src/main/java/puffinbarrow/coordinator/CoordinatorCore.java
+++ b/src/main/java/puffinbarrow/coordinator/CoordinatorCore.java
@@ -60,7 +60,7 @@
         /** Returns what an earlier process learned and is still valid, given the first server list of this process. */
         List<Event.Recalled> recall(List<Event.Entry> list);
 
-        /** Notes the events and orders of a turn. */
+        /** Records the events and orders of a turn. */
         void recordTurn(long now, List<Event> events, List<Order> orders, Controller controller);
 
         /** Called at an orderly shutdown. */
@@ -97,14 +97,14 @@
 
     /** A joined proxy. */
     private static final class Proxy {
-        final FrameSink outlet;
+        final FrameSink sink;
         /** Marks sent and not acknowledged yet, oldest first; bounded by the channel's limits. */
         final ArrayDeque<Integer> marks = new ArrayDeque<>();
         /** For sites without slices: the table that each traffic group (by its bit number) is bound to. */
         final TreeMap<Integer, Integer> tableByGroup = new TreeMap<>();
 
-        Proxy(FrameSink outlet) {
-            this.outlet = outlet;
+        Proxy(FrameSink sink) {
+            this.sink = sink;
         }
     }
 
@@ -155,7 +155,7 @@
     /** Orders not sent to the store yet, by slice and server; bounded by the size of the tables. */
     private final Map<Integer, TreeMap<String, Order>> pendingStoreWrites = new TreeMap<>();
     /** Null if the store assigns slices to coordinators; orders then carry no lease terms. */
-    private Fence setFence;
+    private Fence fence;
     /** Delays a change of a slice's only owner; null where a slice may have several owners. */
     private OwnerChangePause ownerPause;
 
@@ -176,19 +176,19 @@
     public CoordinatorCore(
             CoordinatorConfig config,
             Controller.Factory factory,
-            Environment around,
+            Environment environment,
             Memory memory,
             Meters meters,
-            RateLimits tempo) {
+            RateLimits rateLimits) {
         this.memory = memory;
         this.config = config;
-        this.environment = around;
+        this.environment = environment;
         this.meters = meters;
         this.sliced = config.slices > 0;
         this.inbox = new Inbox<>(config.inboxFrames);
         this.channel =
-                new PacedChannel(config.queueLines, tempo.linesPerS(), config.maxMessages, config.messagesSpanNs);
-        this.aggregator = new ReportAggregator(tempo.intakePerS(), tempo.reportIntervalNs());
+                new PacedChannel(config.queueLines, rateLimits.linesPerS(), config.maxMessages, config.messagesSpanNs);
+        this.aggregator = new ReportAggregator(rateLimits.intakePerS(), rateLimits.reportIntervalNs());
         this.controller = factory.start(config.settings(), config.seed);
         meters.gauge("streams.joined", this, c -> c.proxies.size());
         meters.gauge("inbox.waiting", inbox, Inbox::size);
@@ -203,8 +203,8 @@
     }
 
     /** Makes sending depend on a lease; called before the first turn. */
-    public void setFence(Fence with) {
-        setFence = with;
+    public void setFence(Fence fence) {
+        this.fence = fence;
         if (config.soleOwner) {
             ownerPause = new OwnerChangePause(
                     config.proxyLeaseNs,
@@ -218,18 +218,18 @@
         }
     }
 
-    /** Queues an input, from any thread; if false, the caller stops reading and calls {@link #stopped}. */
+    /** Queues an input, from any thread; if false, the caller stops reading and calls {@link #readingPaused}. */
     public boolean offer(Input input) {
         return inbox.offer(input);
     }
 
-    /** Notes a connection that stopped reading; it is resumed once the inbox has been drained. */
-    public void readingPaused(FrameSink outlet) {
-        inbox.resumeAfterDrain(outlet::resume);
+    /** Records a connection that stopped reading; it is resumed once the inbox has been drained. */
+    public void readingPaused(FrameSink sink) {
+        inbox.resumeAfterDrain(sink::resume);
     }
 
     /** Sets the thread to wake when an input is offered. */
-    void reader(Thread thread) {
+    void setConsumer(Thread thread) {
         inbox.setConsumer(thread);
     }
 
@@ -292,7 +292,7 @@
 
     /** Returns when the channel may have the next message to send. */
     private long nextSendNs(long now) {
-        return setFence == null || setFence.mayWrite(now)
+        return fence == null || fence.mayWrite(now)
                 ? channel.nextAtNs()
                 : Math.max(channel.nextAtNs(), now + LEASE_CHECK_NS);
     }
@@ -318,7 +318,7 @@
 
     /** Sends the messages that the channel releases by now, while the lease is valid. */
     private void send(long now) {
-        if (setFence != null && !setFence.mayWrite(now)) {
+        if (fence != null && !fence.mayWrite(now)) {
             return;
         }
         for (PacedChannel.Message next = channel.poll(now); next != null; next = channel.poll(now)) {
@@ -334,7 +334,7 @@
     private void process(long now, Input input, List<Event> events) {
         if (input instanceof Input.FromProxy in) {
             Proxy proxy = proxies.get(in.proxy());
-            if (proxy == null || proxy.outlet != in.outlet()) {
+            if (proxy == null || proxy.sink != in.sink()) {
                 // The connection was replaced or cut off while this frame waited.
                 meters.count("frames.late");
                 return;
@@ -344,7 +344,7 @@
             onJoined(now, in, events);
         } else if (input instanceof Input.Left in) {
             Proxy proxy = proxies.get(in.proxy());
-            if (proxy != null && proxy.outlet == in.outlet()) {
+            if (proxy != null && proxy.sink == in.sink()) {
                 onLeft(now, in.proxy(), events);
             }
         } else if (input instanceof Input.FromRegistry in) {
@@ -355,9 +355,9 @@
             }
             meters.count("lists." + in.list().kind().name().toLowerCase(Locale.ROOT));
         } else if (input instanceof Input.RegistryConnection in) {
-            onRegistryConnection(in.outlet(), events);
+            onRegistryConnection(in.sink(), events);
         } else if (input instanceof Input.StoreConnection in) {
-            store = in.outlet();
+            store = in.sink();
             if (store != null) {
                 flushStoreWrites(now);
             }
@@ -366,10 +366,10 @@
         } else if (input instanceof Input.FromPeer in) {
             events.add(new Event.PeerMessage(in.sender(), in.text()));
         } else if (input instanceof Input.PeerConnection in) {
-            if (in.outlet() == null) {
+            if (in.sink() == null) {
                 peers.remove(in.peer());
             } else {
-                peers.put(in.peer(), in.outlet());
+                peers.put(in.peer(), in.sink());
             }
         } else if (input instanceof Input.ProbeEnded in) {
             events.add(in.probed());
@@ -386,12 +386,12 @@
         Proxy previous = proxies.get(number);
         if (previous != null) {
             onLeft(now, number, events);
-            previous.outlet.close("replaced by a new connection of the same proxy");
+            previous.sink.close("replaced by a new connection of the same proxy");
         }
         // The welcome is sent only now, as the proxy joins: a proxy reads the store when it is welcomed, and an order
         // carried out between that read and the join would be missing from both the read and the connection.
-        in.outlet().send(writer.encodeCopy(in.welcome()));
-        proxies.put(number, new Proxy(in.outlet()));
+        in.sink().send(writer.encodeCopy(in.welcome()));
+        proxies.put(number, new Proxy(in.sink()));
         events.add(new Event.ProxyJoined(
                 number, in.hello().fresh(), in.hello().flowsPerS(), in.hello().zone()));
         meters.count("streams.joins");
@@ -434,15 +434,15 @@
         }
     }
 
-    private void onRegistryConnection(FrameSink outlet, List<Event> events) {
-        boolean lost = registry != null && outlet == null;
-        registry = outlet;
-        if (outlet == null) {
+    private void onRegistryConnection(FrameSink sink, List<Event> events) {
+        boolean lost = registry != null && sink == null;
+        registry = sink;
+        if (sink == null) {
             if (lost && config.listOnRequest) {
                 events.add(new Event.ServerList(Event.ListKind.BROKEN, List.of()));
             }
         } else if (!config.listOnRequest) {
-            outlet.send(writer.encodeCopy(new Frame.Follow(true)));
+            sink.send(writer.encodeCopy(new Frame.Follow(true)));
         } else if (Boolean.TRUE.equals(subscribed)) {
             // The subscription ended with the connection; the Controller orders a new one when it wants to.
             subscribed = null;
@@ -487,7 +487,7 @@
         boolean levelsChanged = false;
         for (Order order : orders) {
             if (order instanceof Order.SetLine o) {
-                if (sliced && (!ownedSlices.contains(o.table()) || setFence != null && setFence.term(o.table()) == 0)) {
+                if (sliced && (!ownedSlices.contains(o.table()) || fence != null && fence.term(o.table()) == 0)) {
                     meters.count("orders.not_in_charge");
                     continue;
                 }
@@ -501,7 +501,7 @@
                             .add(o));
                 }
             } else if (order instanceof Order.ClearTable o) {
-                if (sliced && setFence != null && setFence.term(o.table()) == 0) {
+                if (sliced && fence != null && fence.term(o.table()) == 0) {
                     meters.count("orders.not_in_charge");
                 } else if (sliced) {
                     common.add(o);
@@ -595,7 +595,7 @@
             // Most turns order nothing, and then need not iterate over a thousand proxies.
             return;
         }
-        List<Order> carried = levelsChanged ? List.of() : List.copyOf(globalLevels.values());
+        List<Order> restated = levelsChanged ? List.of() : List.copyOf(globalLevels.values());
         ByteBuffer sharedBytes = null;
         int sharedLines = 0;
         for (Map.Entry<Integer, Proxy> each : List.copyOf(proxies.entrySet())) {
@@ -608,15 +608,15 @@
             int lines;
             if (ownOrders.isEmpty()) {
                 if (sharedBytes == null) {
-                    List<Order> all = concatenate(common, ownOrders, mark, carried);
+                    List<Order> all = concatenate(common, ownOrders, mark, restated);
                     sharedLines = all.size();
-                    sharedBytes = writer.encodeCopy(new Frame.Orders(turn, now, carried.size(), all, terms(all)));
+                    sharedBytes = writer.encodeCopy(new Frame.Orders(turn, now, restated.size(), all, terms(all)));
                 }
                 bytes = sharedBytes.duplicate();
                 lines = sharedLines;
             } else {
-                List<Order> all = concatenate(ownOrders, common, mark, carried);
-                bytes = writer.encodeCopy(new Frame.Orders(turn, now, carried.size(), all, terms(all)));
+                List<Order> all = concatenate(ownOrders, common, mark, restated);
+                bytes = writer.encodeCopy(new Frame.Orders(turn, now, restated.size(), all, terms(all)));
                 lines = all.size();
             }
             enqueue(now, each.getKey(), each.getValue(), bytes, config.messageOverheadLines + lines, mark);
@@ -626,7 +626,7 @@
 
     /** Returns the lease term of each slice that the orders write to. */
     private List<Frame.Term> terms(List<Order> orders) {
-        if (setFence == null) {
+        if (fence == null) {
             return List.of();
         }
         TreeSet<Integer> slices = new TreeSet<>();
@@ -638,26 +638,26 @@
             }
         }
         return slices.stream()
-                .map(slice -> new Frame.Term(slice, setFence.term(slice)))
+                .map(slice -> new Frame.Term(slice, fence.term(slice)))
                 .toList();
     }
 
     /** Joins the parts of one message; the restated levels come last, behind the mark. */
     private static List<Order> concatenate(
-            List<Order> first, List<Order> second, Order.Mark mark, List<Order> carried) {
+            List<Order> first, List<Order> second, Order.Mark mark, List<Order> restated) {
         List<Order> all = new ArrayList<>(first);
         all.addAll(second);
         if (mark != null) {
             all.add(mark);
         }
-        all.addAll(carried);
+        all.addAll(restated);
         return all;
     }
 
     /** Queues a message to a proxy; disconnects the proxy if the message is over a limit. */
     private void enqueue(long now, int number, Proxy proxy, ByteBuffer bytes, double lines, Order.Mark mark) {
         PacedChannel.OfferResult result =
-                channel.offer(now, new PacedChannel.Message(number, proxy.outlet, bytes, lines, now));
+                channel.offer(now, new PacedChannel.Message(number, proxy.sink, bytes, lines, now));
         if (result == PacedChannel.OfferResult.QUEUED) {
             if (mark != null) {
                 proxy.marks.addLast(mark.number());
@@ -673,7 +673,7 @@
                 .addKeyValue("cause", result)
                 .log("message over the limits of the channel to the proxies; disconnecting its proxy");
         channel.removeProxy(number);
-        proxy.outlet.close("message over the limits of the channel");
+        proxy.sink.close("message over the limits of the channel");
     }
 
     /** Carries out an order that does not go to proxies. */
@@ -694,9 +694,9 @@
             }
         } else if (order instanceof Order.Tell o) {
             ByteBuffer bytes = writer.encodeCopy(new Frame.Peer(config.number, o.text()));
-            peers.forEach((number, outlet) -> {
+            peers.forEach((number, sink) -> {
                 if (o.peer() == number || o.peer() < 0) {
-                    outlet.send(bytes.duplicate());
+                    sink.send(bytes.duplicate());
                     meters.count("peers.told");
                 }
             });
@@ -748,7 +748,7 @@
     /** Sends a goodbye on all connections; on the decision thread, at an orderly shutdown. */
     void sendBye() {
         ByteBuffer bytes = writer.encodeCopy(new Frame.Bye());
-        proxies.values().forEach(p -> p.outlet.send(bytes.duplicate()));
+        proxies.values().forEach(p -> p.sink.send(bytes.duplicate()));
         peers.values().forEach(p -> p.send(bytes.duplicate()));
     }
 
--- a/src/main/java/puffinbarrow/coordinator/CoordinatorMemory.java
+++ b/src/main/java/puffinbarrow/coordinator/CoordinatorMemory.java
@@ -13,22 +13,23 @@
 import puffinbarrow.memory.RecallFilter;
 
 /**
- * The core's memory on disk: notes events and orders, passes changes to the {@link Keeper} twice a second, and recalls
- * what an earlier process learned at the first server list. Runs on the decision thread; the keeper writes on its own.
+ * The core's memory on disk: records events and orders, passes changes to the {@link FactWriter} twice a second, and
+ * at the first server list recalls what an earlier process learned. Runs on the decision thread; the writer has a
+ * thread of its own.
  */
 final class CoordinatorMemory implements CoordinatorCore.Memory {
     private static final Logger LOG = LoggerFactory.getLogger("puffinbarrow.memory");
     /** A restart loses no more than about one reporting round. */
     private static final long SAVE_INTERVAL_NS = 500_000_000L;
 
-    private final FactWriter keeper;
-    private final FactCollector notes;
+    private final FactWriter factWriter;
+    private final FactCollector factCollector;
     private long nextSaveNs = Long.MIN_VALUE;
 
-    CoordinatorMemory(FactWriter keeper, long incarnation) {
-        this.keeper = keeper;
-        this.notes = new FactCollector(incarnation);
-        notes.resume(keeper.remembered());
+    CoordinatorMemory(FactWriter factWriter, long incarnation) {
+        this.factWriter = factWriter;
+        this.factCollector = new FactCollector(incarnation);
+        factCollector.resume(factWriter.remembered());
     }
 
     /** Returns the wall-clock time in nanoseconds since the epoch. */
@@ -39,7 +40,8 @@
     @Override
     public List<Event.Recalled> recall(List<Event.Entry> list) {
         List<String> summaries = new ArrayList<>();
-        List<Event.Recalled> events = RecallFilter.recalledEvents(keeper.remembered(), list, wallClockNs(), summaries);
+        List<Event.Recalled> events =
+                RecallFilter.recalledEvents(factWriter.remembered(), list, wallClockNs(), summaries);
         summaries.forEach(LOG::info);
         if (!events.isEmpty()) {
             LOG.atInfo().addKeyValue("facts", events.size()).log("recalled");
@@ -50,16 +52,17 @@
     @Override
     public void recordTurn(long now, List<Event> events, List<Order> orders, Controller controller) {
         long wallNs = wallClockNs();
-        notes.recordEvents(wallNs, events);
-        notes.recordOrders(orders);
+        factCollector.recordEvents(wallNs, events);
+        factCollector.recordOrders(orders);
         if (now >= nextSaveNs) {
             nextSaveNs = now + SAVE_INTERVAL_NS;
-            keeper.offer(notes.takeChangedFacts(wallNs, now, false, controller.rememberedState()));
+            factWriter.offer(factCollector.takeChangedFacts(wallNs, now, false, controller.rememberedState()));
         }
     }
 
     @Override
     public void shutDown(Controller controller) {
-        keeper.offer(notes.takeChangedFacts(wallClockNs(), System.nanoTime(), true, controller.rememberedState()));
+        factWriter.offer(
+                factCollector.takeChangedFacts(wallClockNs(), System.nanoTime(), true, controller.rememberedState()));
     }
 }
--- a/src/main/java/puffinbarrow/coordinator/Dialer.java
+++ b/src/main/java/puffinbarrow/coordinator/Dialer.java
@@ -48,7 +48,7 @@
      * @param queueBytes the most bytes that may wait to be sent
      * @param frameBytes the longest frame accepted
      * @param frames receives the frames that come after the welcome
-     * @param upOrDown receives the connection once it is welcomed, and null once it has ended
+     * @param connectionChanged receives the connection once it is welcomed, and null once it has ended
      */
     public Dialer(
             Net net,
@@ -58,7 +58,7 @@
             long queueBytes,
             int frameBytes,
             Consumer<Frame> frames,
-            Consumer<FrameSink> upOrDown) {
+            Consumer<FrameSink> connectionChanged) {
         this.net = net;
         this.name = name;
         this.to = to;
@@ -66,7 +66,7 @@
         this.queueBytes = queueBytes;
         this.frameBytes = frameBytes;
         this.frames = frames;
-        this.connectionChanged = upOrDown;
+        this.connectionChanged = connectionChanged;
     }
 
     /** Returns the incarnation stated by the last welcome; a new one means that the server has restarted. */
@@ -76,11 +76,11 @@
 
     /** Starts to connect. */
     public Dialer start() {
-        dial();
+        connect();
         return this;
     }
 
-    private void dial() {
+    private void connect() {
         if (closed) {
             return;
         }
@@ -106,7 +106,7 @@
 
     private void scheduleRetry() {
         if (!closed) {
-            net.schedule(retryMs, this::dial);
+            net.schedule(retryMs, this::connect);
             retryMs = Math.min(MAX_RETRY_MS, retryMs * 2);
         }
     }
--- a/src/main/java/puffinbarrow/coordinator/FailureWindow.java
+++ b/src/main/java/puffinbarrow/coordinator/FailureWindow.java
@@ -7,7 +7,7 @@
  */
 public final class FailureWindow {
     /**
-     * Failures within {@link #WINDOW_NS} after which the process gives up: a state that fails five times in a minute
+     * Failures within {@link #WINDOW_NS} after which the process exits: a state that fails five times in a minute
      * will not recover by itself, while a restart begins with the tables in force.
      */
     static final int MAX_FAILURES = 5;
@@ -16,7 +16,7 @@
 
     private final ArrayDeque<Long> times = new ArrayDeque<>();
 
-    /** Notes a failure at that time; returns whether there have been too many. */
+    /** Records a failure at that time; returns whether there have been too many. */
     public boolean tooMany(long now) {
         times.addLast(now);
         while (now - times.peekFirst() > WINDOW_NS) {
--- a/src/main/java/puffinbarrow/coordinator/Inbox.java
+++ b/src/main/java/puffinbarrow/coordinator/Inbox.java
@@ -19,7 +19,7 @@
     private final AtomicLong offered = new AtomicLong();
     private volatile int limit;
     /** The draining thread, woken by each input; null before it is known. */
-    private volatile Thread setConsumer;
+    private volatile Thread consumer;
     /** How often a connection stopped reading. */
     private volatile long overflows;
 
@@ -37,23 +37,23 @@
 
     /** Sets the thread to wake when there is something to do. */
     public void setConsumer(Thread thread) {
-        setConsumer = thread;
+        consumer = thread;
     }
 
-    /** Adds an input; if this returns false, the caller must stop reading and call {@link #stopped}. */
+    /** Adds an input; if this returns false, the caller must stop reading and call {@link #resumeAfterDrain}. */
     public boolean offer(T input) {
         queue.add(input);
         offered.incrementAndGet();
         int now = size.incrementAndGet();
-        LockSupport.unpark(setConsumer);
+        LockSupport.unpark(consumer);
         return now < limit;
     }
 
-    /** Notes a connection that stopped reading; {@code resume} is called by the next drain. */
+    /** Records a connection that stopped reading; {@code resume} is called by the next drain. */
     public void resumeAfterDrain(Runnable resume) {
         overflows++;
         toResume.add(resume);
-        LockSupport.unpark(setConsumer);
+        LockSupport.unpark(consumer);
     }
 
     public boolean isEmpty() {
--- a/src/main/java/puffinbarrow/coordinator/Input.java
+++ b/src/main/java/puffinbarrow/coordinator/Input.java
@@ -5,28 +5,28 @@
 import puffinbarrow.control.Event;
 import puffinbarrow.proto.Frame;
 
-/** The inputs of {@link Core}, put into its inbox by the threads that receive them. */
+/** The inputs of {@link CoordinatorCore}, put into its inbox by the threads that receive them. */
 public sealed interface Input {
     /**
      * A proxy's hello was accepted; the core sends the welcome itself, as every order from then on must reach the
      * proxy.
      */
-    record Joined(Frame.Hello hello, FrameSink outlet, Frame.Welcome welcome) implements Input {}
+    record Joined(Frame.Hello hello, FrameSink sink, Frame.Welcome welcome) implements Input {}
 
     /** A proxy's connection ended. */
-    record Left(int proxy, FrameSink outlet) implements Input {}
+    record Left(int proxy, FrameSink sink) implements Input {}
 
     /** A report or acknowledgement from a proxy, with the connection that it came on. */
-    record FromProxy(int proxy, FrameSink outlet, Frame frame) implements Input {}
+    record FromProxy(int proxy, FrameSink sink, Frame frame) implements Input {}
 
     /** A server list from the registry. */
     record FromRegistry(Frame.ServerList list) implements Input {}
 
     /** The connection to the registry is up, or has ended (null). */
-    record RegistryConnection(FrameSink outlet) implements Input {}
+    record RegistryConnection(FrameSink sink) implements Input {}
 
     /** The connection to the store is up, or has ended (null). */
-    record StoreConnection(FrameSink outlet) implements Input {}
+    record StoreConnection(FrameSink sink) implements Input {}
 
     /** A frame from the store. */
     record FromStore(Frame frame) implements Input {}
@@ -35,7 +35,7 @@
     record FromPeer(int sender, String text) implements Input {}
 
     /** The connection to a peer coordinator is up, or has ended (null). */
-    record PeerConnection(int peer, FrameSink outlet) implements Input {}
+    record PeerConnection(int peer, FrameSink sink) implements Input {}
 
     /** The outcome of a probe. */
     record ProbeEnded(Event.Probed probed) implements Input {}
--- a/src/main/java/puffinbarrow/coordinator/LeaseHolder.java
+++ b/src/main/java/puffinbarrow/coordinator/LeaseHolder.java
@@ -40,7 +40,7 @@
     private static final long LEAVE_POLL_MS = 10;
 
     private final CoordinatorConfig config;
-    private final Clock timing;
+    private final Clock clock;
     private final Predicate<Input> inbox;
     private final Meters meters;
     private final Lease lease;
@@ -49,19 +49,18 @@
     /** Terms by slice, for slices whose lease began but whose table has not arrived from the store. */
     private final Map<Integer, Long> awaitingTable = new HashMap<>();
 
-    /** When the lease ends, by the clock of {@link #timing}. */
+    /** When the lease ends, by {@link #clock}. */
     private volatile long leaseEndsNs = Long.MIN_VALUE;
     /** Sends a frame to the store; null while there is no connection. */
     private Consumer<Frame> store;
 
-    /** @param charges the core's inbox */
-    public LeaseHolder(
-            CoordinatorConfig config, long incarnation, Clock timing, Predicate<Input> charges, Meters meters) {
+    /** @param inbox the core's inbox */
+    public LeaseHolder(CoordinatorConfig config, long incarnation, Clock clock, Predicate<Input> inbox, Meters meters) {
         this.config = config;
-        this.timing = timing;
-        this.inbox = charges;
+        this.clock = clock;
+        this.inbox = inbox;
         this.meters = meters;
-        meters.gauge("lease.voices", this, LeaseHolder::held);
+        meters.gauge("lease.voices", this, LeaseHolder::heldSlices);
         this.terms = new AtomicLongArray(config.slices);
         this.lease = new Lease(
                 new Lease.Settings(
@@ -71,24 +70,24 @@
 
     /** Starts the timer. */
     public void start() {
-        timing.after(config.leaseNs / TICKS_PER_LEASE, this::tick);
+        clock.after(config.leaseNs / TICKS_PER_LEASE, this::tick);
     }
 
     private void tick() {
         synchronized (this) {
-            carryOut(lease.tick(timing.now()));
+            carryOut(lease.tick(clock.now()));
         }
         start();
     }
 
-    /** Notes a new connection to the store, which takes frames, or its end (null). */
+    /** Handles a new connection to the store, which takes frames, or its end (null). */
     public synchronized void store(Consumer<Frame> up) {
         store = up;
         awaitingTable.clear();
         if (up == null) {
-            carryOut(lease.disconnected(timing.now()));
+            carryOut(lease.disconnected(clock.now()));
         } else {
-            carryOut(lease.connected(timing.now()));
+            carryOut(lease.connected(clock.now()));
             up.accept(new Frame.Watch());
             // Ask again for tables that were asked for over the previous connection.
             for (int slice = 0; slice < config.slices; slice++) {
@@ -101,7 +100,7 @@
 
     /** Handles a frame from the store. */
     public synchronized void frame(Frame frame) {
-        long now = timing.now();
+        long now = clock.now();
         if (frame instanceof Frame.MemberRecord f) {
             carryOut(lease.memberRecord(
                     now,
@@ -134,25 +133,25 @@
         }
     }
 
-    /** Notes that a proxy or the store has seen a later term of a slice. */
+    /** Called when a proxy or the store has observed a later term of a slice. */
     public synchronized void stale(int slice, long term) {
         meters.count("lease.told_stale");
         if (slice >= 0 && slice < config.slices) {
-            carryOut(lease.laterTermSeen(timing.now(), slice, term));
+            carryOut(lease.laterTermSeen(clock.now(), slice, term));
         }
     }
 
     /** Starts to hand all slices on to other coordinators. */
     public synchronized void leave() {
-        carryOut(lease.leave(timing.now()));
+        carryOut(lease.leave(clock.now()));
     }
 
     /** Hands all slices on, and waits up to the given time while there are other members to take them. */
     void leaveWithin(long ns) {
         leave();
-        long deadlineNs = timing.now() + ns;
+        long deadlineNs = clock.now() + ns;
         try {
-            while (timing.now() < deadlineNs && otherMembersAlive() && held() > 0) {
+            while (clock.now() < deadlineNs && otherMembersAlive() && heldSlices() > 0) {
                 Thread.sleep(LEAVE_POLL_MS);
             }
         } catch (InterruptedException interrupted) {
@@ -161,10 +160,10 @@
     }
 
     private synchronized boolean otherMembersAlive() {
-        return lease.liveMembers(timing.now()).size() > 1;
+        return lease.liveMembers(clock.now()).size() > 1;
     }
 
-    private synchronized int held() {
+    private synchronized int heldSlices() {
         return lease.heldSlices();
     }
 
@@ -224,7 +223,7 @@
 
     @Override
     public boolean mayWrite(long now) {
-        return timing.now() < leaseEndsNs;
+        return clock.now() < leaseEndsNs;
     }
 
     @Override
@@ -236,7 +235,7 @@
     synchronized Map<String, Object> state() {
         Map<String, Object> state = new TreeMap<>();
         List<String> members = new ArrayList<>();
-        for (Member m : lease.liveMembers(timing.now())) {
+        for (Member m : lease.liveMembers(clock.now())) {
             members.add(m.number() + (m.leaving() ? " leaving" : m.settled() ? "" : " not settled"));
         }
         long minTerm = Long.MAX_VALUE;
@@ -253,7 +252,7 @@
         state.put("members", members);
         state.put("voices", held);
         state.put("terms", held == 0 ? "none" : minTerm + " to " + maxTerm);
-        state.put("lease", Math.max(0, (leaseEndsNs - timing.now()) / 1_000_000) + " ms left");
+        state.put("lease", Math.max(0, (leaseEndsNs - clock.now()) / 1_000_000) + " ms left");
         return state;
     }
 }
--- a/src/main/java/puffinbarrow/coordinator/PacedChannel.java
+++ b/src/main/java/puffinbarrow/coordinator/PacedChannel.java
@@ -10,7 +10,7 @@
  * second. The size of a message is its number of lines plus a fixed overhead. Two limits hold whatever is ordered: the
  * lines waiting, and the messages to one proxy within a time window. A message over a limit is not queued, and the
  * caller disconnects its proxy, which reconnects and is sent the full state; dropping the message would lose it. Used
- * by {@link Core} on the decision thread; the time is passed in.
+ * by {@link CoordinatorCore} on the decision thread; the time is passed in.
  */
 final class PacedChannel {
     /** An encoded message; {@code lines} is its size, overhead included. */
--- a/src/main/java/puffinbarrow/coordinator/Prober.java
+++ b/src/main/java/puffinbarrow/coordinator/Prober.java
@@ -26,7 +26,7 @@
      */
     public record ProbeSpec(String path, Function<HttpParser.Message, Map<Event.Measure, Double>> report) {}
 
-    private static final ProbeSpec DEFAULT_QUESTION =
+    private static final ProbeSpec DEFAULT_SPEC =
             new ProbeSpec("/probe", reply -> OrcaReport.read(reply.header(OrcaReport.HEADER)));
 
     /** As long as proxies wait for a connection; a server that pauses for longer counts as not answering. */
@@ -44,22 +44,22 @@
 
     private final Function<String, InetSocketAddress> addresses;
     private final long timeoutMs;
-    private final ProbeSpec question;
+    private final ProbeSpec spec;
 
     Prober(Net net) {
-        this(net, Prober::address, TIMEOUT_MS, DEFAULT_QUESTION);
+        this(net, Prober::address, TIMEOUT_MS, DEFAULT_SPEC);
     }
 
     Prober(Net net, Function<String, InetSocketAddress> addresses, long timeoutMs) {
-        this(net, addresses, timeoutMs, DEFAULT_QUESTION);
+        this(net, addresses, timeoutMs, DEFAULT_SPEC);
     }
 
     /**
      * @param addresses maps a server id to its address, or to null if it cannot be probed
      * @param timeoutMs for connecting, and for the whole probe
      */
-    public Prober(Net net, Function<String, InetSocketAddress> addresses, long timeoutMs, ProbeSpec question) {
-        this.question = question;
+    public Prober(Net net, Function<String, InetSocketAddress> addresses, long timeoutMs, ProbeSpec spec) {
+        this.spec = spec;
         this.net = net;
         this.addresses = addresses;
         this.timeoutMs = timeoutMs;
@@ -88,7 +88,7 @@
         HttpParser parser = new HttpParser(
                 false,
                 MAX_BODY_BYTES,
-                reply -> end.accept(reply.first().startsWith("2") ? question.report.apply(reply) : null));
+                reply -> end.accept(reply.first().startsWith("2") ? spec.report.apply(reply) : null));
         Link.Receiver receiver = new Link.Receiver() {
             @Override
             public void received(Link link, ByteBuffer bytes) {
@@ -110,7 +110,7 @@
                 timeoutMs,
                 link -> {
                     link.send(ByteBuffer.wrap(
-                            ("GET " + question.path + " HTTP/1.1\r\nhost: " + server + "\r\nconnection: close\r\n\r\n")
+                            ("GET " + spec.path + " HTTP/1.1\r\nhost: " + server + "\r\nconnection: close\r\n\r\n")
                                     .getBytes(StandardCharsets.US_ASCII)));
                     net.schedule(timeoutMs, link::close);
                 },
--- a/src/main/java/puffinbarrow/net/HttpCaller.java
+++ b/src/main/java/puffinbarrow/net/HttpCaller.java
@@ -16,7 +16,7 @@
      *
      * @param answer the complete response, or null if the call failed
      * @param failure why there is no response, or null
-     * @param sent whether any of the request may have left; if false, the request took no effect
+     * @param maybeDelivered whether any of the request may have left; if false, the request took no effect
      */
     public record CallResult(HttpParser.Message answer, String failure, boolean maybeDelivered) {}
 
@@ -63,11 +63,11 @@
             connection.send();
         } else {
             close();
-            dial(call);
+            connect(call);
         }
     }
 
-    private void dial(Call call) {
+    private void connect(Call call) {
         Connection fresh = new Connection(call);
         synchronized (this) {
             current = fresh;
@@ -108,7 +108,7 @@
         final long timeoutMs;
         final Consumer<CallResult> done;
         final AtomicBoolean completed = new AtomicBoolean();
-        volatile boolean sent;
+        volatile boolean maybeDelivered;
         /** The connection that carries this call; null while a retry connects. */
         volatile Connection connection;
         /** Whether {@link #connection} was kept from an earlier call. */
@@ -125,7 +125,7 @@
         boolean complete(HttpParser.Message answer, String failure) {
             boolean first = completed.compareAndSet(false, true);
             if (first) {
-                done.accept(new CallResult(answer, failure, sent));
+                done.accept(new CallResult(answer, failure, maybeDelivered));
             }
             return first;
         }
@@ -173,9 +173,9 @@
         /** Sends the current call's request and starts its timeout. */
         void send() {
             Call pending = call;
-            pending.sent = true;
+            pending.maybeDelivered = true;
             if (!link.send(ByteBuffer.wrap(pending.request))) {
-                pending.sent = false;
+                pending.maybeDelivered = false;
                 connectionLost(pending, true, "connection ended before the request was sent");
                 return;
             }
@@ -208,7 +208,7 @@
                 }
             }
             if (retry) {
-                dial(pending);
+                connect(pending);
             } else {
                 pending.complete(null, why);
             }
--- a/src/main/java/puffinbarrow/net/Net.java
+++ b/src/main/java/puffinbarrow/net/Net.java
@@ -42,8 +42,8 @@
     }
 
     /**
-     * Parses ADDRESS:PORT, the inverse of {@link #text}; throws IllegalArgumentException if the text is anything
-     * else.
+     * Parses ADDRESS:PORT, the inverse of {@link #formatAddress}; throws IllegalArgumentException if the text is
+     * anything else.
      */
     public static InetSocketAddress parseAddress(String text) {
         int colon = text.lastIndexOf(':');
--- a/src/main/java/puffinbarrow/platform/DiscoveryClient.java
+++ b/src/main/java/puffinbarrow/platform/DiscoveryClient.java
@@ -93,16 +93,16 @@
                 discovery,
                 request,
                 holdMs + ANSWER_TIMEOUT_MS,
-                ended -> loop.execute(() -> {
+                result -> loop.execute(() -> {
                     if (watch == watchId && watching) {
-                        handleWatchAnswer(watch, ended, holdMs == 0, since);
+                        handleWatchAnswer(watch, result, holdMs == 0, since);
                     }
                 }));
     }
 
-    private void handleWatchAnswer(long watch, HttpCaller.CallResult ended, boolean first, long since) {
+    private void handleWatchAnswer(long watch, HttpCaller.CallResult result, boolean first, long since) {
         try {
-            PlatformCodec.Listing listing = decode(ended);
+            PlatformCodec.Listing listing = decode(result);
             if (generationRestarted(listing, since) && listing.list().kind() != Event.ListKind.WHOLE) {
                 requestWholeList(watch);
                 return;
@@ -138,9 +138,9 @@
                 discovery,
                 get("/api/targets"),
                 ANSWER_TIMEOUT_MS,
-                ended -> loop.execute(() -> {
+                result -> loop.execute(() -> {
                     if (watch == watchId && watching) {
-                        handleWatchAnswer(watch, ended, true, 0);
+                        handleWatchAnswer(watch, result, true, 0);
                     }
                 }));
     }
@@ -157,9 +157,9 @@
                 discovery,
                 get("/api/targets"),
                 ANSWER_TIMEOUT_MS,
-                ended -> loop.execute(() -> {
+                result -> loop.execute(() -> {
                     try {
-                        PlatformCodec.Listing listing = decode(ended);
+                        PlatformCodec.Listing listing = decode(result);
                         generationRestarted(listing, since);
                         if (!accept(listing)) {
                             // An answer of the watch overtook this one, but the controller still waits for a whole
@@ -172,14 +172,14 @@
                 }));
     }
 
-    private PlatformCodec.Listing decode(HttpCaller.CallResult ended) throws IOException {
-        if (ended.answer() == null) {
-            throw new IOException(ended.failure());
+    private PlatformCodec.Listing decode(HttpCaller.CallResult result) throws IOException {
+        if (result.answer() == null) {
+            throw new IOException(result.failure());
         }
-        if (!ended.answer().first().equals("200")) {
-            throw new IOException("HTTP status " + ended.answer().first());
+        if (!result.answer().first().equals("200")) {
+            throw new IOException("HTTP status " + result.answer().first());
         }
-        return codec.decodeListing(Configuration.json(ended.answer().body()));
+        return codec.decodeListing(Configuration.json(result.answer().body()));
     }
 
     /** Passes the list on to the controller and returns true, or returns false if a newer one was received before. */
--- a/src/main/java/puffinbarrow/platform/RelayClient.java
+++ b/src/main/java/puffinbarrow/platform/RelayClient.java
@@ -211,19 +211,19 @@
                 relay,
                 request.getBytes(StandardCharsets.US_ASCII),
                 ANSWER_TIMEOUT_MS,
-                ended -> loop.execute(() -> handleAnswer(call, ended)));
+                result -> loop.execute(() -> handleAnswer(call, result)));
     }
 
-    private void handleAnswer(Call call, HttpCaller.CallResult ended) {
+    private void handleAnswer(Call call, HttpCaller.CallResult result) {
         busy = false;
-        if (ended.answer() == null) {
-            loop.counters().incrementAndLog("calls.broken", ended.failure());
+        if (result.answer() == null) {
+            loop.counters().incrementAndLog("calls.broken", result.failure());
             if (!acceptIfAcknowledged(call)) {
-                retryUnanswered(call, ended.maybeDelivered());
+                retryUnanswered(call, result.maybeDelivered());
             }
             return;
         }
-        String text = new String(ended.answer().body(), StandardCharsets.UTF_8);
+        String text = new String(result.answer().body(), StandardCharsets.UTF_8);
         int accepted;
         try {
             accepted = PlatformCodec.acceptedCount(text, call.orders.size());
--- a/src/main/java/puffinbarrow/platform/Service.java
+++ b/src/main/java/puffinbarrow/platform/Service.java
@@ -58,7 +58,7 @@
     private final DiscoveryClient discovery;
     private final Prober prober;
     private final Net.Listener listener;
-    private final FailureWindow failures = new FailureWindow();
+    private final FailureWindow failureWindow = new FailureWindow();
     private final PriorityQueue<Order.WakeAt> timers = new PriorityQueue<>((a, b) -> Long.compare(a.atNs(), b.atNs()));
     private List<Event> batch = new ArrayList<>();
     private volatile boolean running = true;
@@ -207,7 +207,7 @@
                         + " on " + events.size() + " events; the relay's state is left unchanged");
         // The controller's own timer may have been lost with the batch.
         timers.add(new Order.WakeAt(now + FAILURE_RETRY_NS, 0));
-        if (failures.tooMany(now)) {
+        if (failureWindow.tooMany(now)) {
             gaveUp = true;
             running = false;
         }
--- a/src/main/java/puffinbarrow/proto/Frame.java
+++ b/src/main/java/puffinbarrow/proto/Frame.java
@@ -71,9 +71,9 @@
      * The orders of one decision turn for one receiver, in the order to apply them.
      *
      * @param orderedAtNs when they were decided, by the coordinator's clock
-     * @param carried how many orders at the end only restate levels that are in force already
+     * @param restated how many orders at the end only restate levels that are in force already
      * @param terms where coordinators hold leases, the lease term of each slice that the orders write to; a receiver
-     *     refuses lines of an older term than the latest it has seen
+     *     refuses lines of an older term than the latest it has observed
      */
     record Orders(long turn, long orderedAtNs, int restated, List<Order> orders, List<Term> terms) implements Frame {
         /** Orders without lease terms. */
@@ -85,7 +85,7 @@
     /** The lease term under which a slice is written. */
     record Term(int slice, long term) {}
 
-    /** Sent by a proxy or the store that has seen a later term for the slice than that of the lines it was sent. */
+    /** Sent by a proxy or the store that has observed a later term for the slice than that of the lines it was sent. */
     record Stale(int slice, long term) implements Frame {}
 
     /**
@@ -163,7 +163,7 @@
      * has this revision, and is answered by {@link Written} with the same id. Sent by the store it is the record's
      * current value and revision, with id 0.
      *
-     * @param beat heartbeat counter
+     * @param heartbeat heartbeat counter
      * @param settled whether the member has been up long enough to be given slices
      * @param leaving whether it hands its slices on
      * @param dead whether another member saw its lease expire and closed the record
--- a/src/main/java/puffinbarrow/proto/FrameReader.java
+++ b/src/main/java/puffinbarrow/proto/FrameReader.java
@@ -39,7 +39,7 @@
     /** The longest text of a peer message, in bytes of UTF-8. */
     private static final int MAX_PEER_MESSAGE_BYTES = 256;
 
-    /** Receives the parts of an orders frame without a record for each line; see {@link #lines}. */
+    /** Receives the parts of an orders frame without a record for each line; see {@link #visitOrders}. */
     public interface OrderVisitor {
         /** One {@link Order.SetLine}. */
         void line(int table, String server, double weight);
@@ -111,7 +111,7 @@
         if (length < 0 || length > limit) {
             throw new FrameException(
                     Cause.OVERSIZED,
-                    "a frame of " + Integer.toUnsignedString(length) + " bytes, " + limit + " is the most");
+                    "a frame of " + Integer.toUnsignedString(length) + " bytes, over the limit of " + limit);
         }
         return length;
     }
@@ -149,7 +149,7 @@
             throw new FrameException(Cause.CHECKSUM, "checksum of a frame of type " + type);
         }
         if (major != Frame.MAJOR) {
-            throw new FrameException(Cause.VERSION, "version " + major + ", " + Frame.MAJOR + " is spoken here");
+            throw new FrameException(Cause.VERSION, "version " + major + " is not supported, expected " + Frame.MAJOR);
         }
         Frame frame;
         try {
@@ -174,10 +174,10 @@
             case FrameTypes.ORDERS: {
                 long turn = in.getLong();
                 long at = in.getLong();
-                int carried = in.getInt();
+                int restated = in.getInt();
                 int count = count(in, MIN_ORDER_BYTES);
-                if (carried < 0 || carried > count) {
-                    throw malformed("orders with " + carried + " carried of " + count);
+                if (restated < 0 || restated > count) {
+                    throw malformed("orders with " + restated + " restated of " + count);
                 }
                 List<Order> orders = new ArrayList<>(count);
                 for (int i = 0; i < count; i++) {
@@ -191,7 +191,7 @@
                         terms.add(new Frame.Term(in.getInt(), notNegative(in.getLong(), "term")));
                     }
                 }
-                return new Frame.Orders(turn, at, carried, orders, terms);
+                return new Frame.Orders(turn, at, restated, orders, terms);
             }
             case FrameTypes.SUMS: {
                 int zone = in.getInt();
@@ -307,20 +307,20 @@
                 long revision = in.getLong();
                 int number = in.getInt();
                 long incarnation = in.getLong();
-                long beat = notNegative(in.getLong(), "beat");
+                long heartbeat = notNegative(in.getLong(), "heartbeat");
                 int flags = in.get();
                 return new Frame.MemberRecord(
                         id,
                         revision,
                         number,
                         incarnation,
-                        beat,
+                        heartbeat,
                         (flags & 1) != 0,
                         (flags & 2) != 0,
                         (flags & 4) != 0,
                         in.getInt());
             }
-            case FrameTypes.VOICE_RECORD:
+            case FrameTypes.SLICE_OWNER_RECORD:
                 return new Frame.SliceOwnerRecord(
                         in.getLong(),
                         in.getLong(),
@@ -369,7 +369,7 @@
                         in.getInt(),
                         in.getInt(),
                         weight(in.getDouble()),
-                        pick(Order.Retry.values(), in.get(), "way of trying again"));
+                        pick(Order.Retry.values(), in.get(), "retry rule"));
             case FrameTypes.ORDER_MARK:
                 return new Order.Mark(in.getInt(), in.get() != 0);
             default:
@@ -446,7 +446,7 @@
 
     private static double finite(double value) {
         if (!Double.isFinite(value)) {
-            throw malformed("a figure that is not finite");
+            throw malformed("a number that is not finite");
         }
         return value;
     }
--- a/src/main/java/puffinbarrow/proto/FrameTypes.java
+++ b/src/main/java/puffinbarrow/proto/FrameTypes.java
@@ -34,7 +34,7 @@
     static final int WATCH = 34;
     static final int SYNCED = 35;
     static final int MEMBER_RECORD = 36;
-    static final int VOICE_RECORD = 37;
+    static final int SLICE_OWNER_RECORD = 37;
     static final int WRITTEN = 38;
 
     // Coordinators among each other.
--- a/src/main/java/puffinbarrow/proto/FrameWriter.java
+++ b/src/main/java/puffinbarrow/proto/FrameWriter.java
@@ -12,7 +12,7 @@
 import puffinbarrow.control.Order;
 
 /**
- * Encodes frames into a growing buffer that is reused: {@link #bytes} returns a copy that the caller owns, {@link
+ * Encodes frames into a growing buffer that is reused: {@link #encodeCopy} returns a copy that the caller owns, {@link
  * #write} a view of the buffer. Encoding a line allocates nothing if its server id has been written before. Not
  * thread-safe: each thread has its own.
  */
@@ -229,7 +229,7 @@
                     .putInt(f.owner())
                     .putLong(f.incarnation())
                     .putLong(f.term());
-            return FrameTypes.VOICE_RECORD;
+            return FrameTypes.SLICE_OWNER_RECORD;
         } else if (frame instanceof Frame.Written f) {
             to.putLong(f.id()).put(bit(f.applied()));
             return FrameTypes.WRITTEN;
--- a/src/main/java/puffinbarrow/wire/SettingsReader.java
+++ b/src/main/java/puffinbarrow/wire/SettingsReader.java
@@ -11,7 +11,7 @@
      * What a host that uses names in place of numbers needs from the settings.
      *
      * @param zones names by zone number
-     * @param kinds machine types by number
+     * @param machineTypes machine types by number
      * @param groups traffic groups by number
      * @param proxies number of proxies
      * @param slices number of slices
@@ -20,7 +20,7 @@
 
     private SettingsReader() {}
 
-    /** Returns the names in a settings object as {@link Json#any} reads it. */
+    /** Returns the names in a settings object as {@link JsonReader#readAny} reads it. */
     public static Names names(Object settings) {
         Map<?, ?> all = map(settings, "Facts");
         Map<?, ?> domain = map(all.get("Domain"), "Domain");
@@ -37,7 +37,10 @@
         return list(object.get(key), key).stream().map(String::valueOf).toList();
     }
 
-    /** Returns the settings in a settings object as {@link Json#any} reads it; a missing key counts as 0 or false. */
+    /**
+     * Returns the settings in a settings object as {@link JsonReader#readAny} reads it; a missing key counts as 0 or
+     * false.
+     */
     public static Settings settings(Object settings) {
         Map<?, ?> all = map(settings, "Facts");
         Map<?, ?> domain = map(all.get("Domain"), "Domain");
--- a/src/main/java/puffinbarrow/wire/WireHost.java
+++ b/src/main/java/puffinbarrow/wire/WireHost.java
@@ -43,7 +43,7 @@
     /**
      * Answers batches until the end of input.
      *
-     * @throws MalformedBatch if a line does not follow the wire's format
+     * @throws MalformedInputException if a line does not follow the wire's format
      */
     public void run(InputStream from, OutputStream to) throws IOException {
         BufferedReader lines = new BufferedReader(new InputStreamReader(from, StandardCharsets.UTF_8), 1 << 16);
--- a/src/test/java/puffinbarrow/FakeHost.java
+++ b/src/test/java/puffinbarrow/FakeHost.java
@@ -52,7 +52,7 @@
         return settings(slices, listOnRequest, messagesAllowed, false);
     }
 
-    static Settings settings(int slices, boolean listOnRequest, int messagesAllowed, boolean droppedStayOpen) {
+    static Settings settings(int slices, boolean listOnRequest, int messagesAllowed, boolean keepsDelisted) {
         return new Settings(
                 listOnRequest,
                 false,
@@ -70,8 +70,8 @@
                 16 * SECOND,
                 0.2,
                 3,
-                droppedStayOpen,
-                droppedStayOpen,
+                keepsDelisted,
+                keepsDelisted,
                 0);
     }
 
--- a/src/test/java/puffinbarrow/coordinator/CoordinatorTest.java
+++ b/src/test/java/puffinbarrow/coordinator/CoordinatorTest.java
@@ -455,13 +455,13 @@
             store.setInitialTable(i, "s:" + i % 12);
         }
         Path file = folder.resolve("c.conf");
-        Path ports = folder.resolve("ports");
+        Path portFile = folder.resolve("ports");
         Files.writeString(
                 file,
                 "coordinator 0 of 2\nregistry 127.0.0.1:" + registry.address().getPort()
                         + " push\nstore 127.0.0.1:" + store.address().getPort()
                         + "\nslices 30\ngroup g utility 1 budget 1s "
-                        + "expiry 2s retriable\nport-file " + ports + "\npace 300\nqueue 900\nhead 1\n");
+                        + "expiry 2s retriable\nport-file " + portFile + "\npace 300\nqueue 900\nhead 1\n");
         String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
         ProcessBuilder command = new ProcessBuilder(
                 java,
@@ -473,11 +473,11 @@
                 file.toString());
         command.redirectErrorStream(true).redirectOutput(folder.resolve("out").toFile());
         for (int run = 0; run < 2; run++) {
-            Files.deleteIfExists(ports);
+            Files.deleteIfExists(portFile);
             Process process = command.start();
             resources.add(process::destroyForcibly);
-            until("its port-file", () -> Files.exists(ports));
-            int port = Integer.parseInt(Files.readAllLines(ports).get(0).replaceAll(".*:", ""));
+            until("its port-file", () -> Files.exists(portFile));
+            int port = Integer.parseInt(Files.readAllLines(portFile).get(0).replaceAll(".*:", ""));
             RawClient proxy = new RawClient(new InetSocketAddress("127.0.0.1", port)).hello(1, 1);
             until("the welcome", proxy::welcomed);
             int gone = run;
