--- a/src/main/java/puffinbarrow/Logic.java
+++ b/src/main/java/puffinbarrow/Logic.java
@@ -204,7 +204,7 @@
 
         long reportedAtNs;
         /** Whether any sums have named it since the start. */
-        boolean seenInSums;
+        boolean namedInSums;
         /** Load moved here (negative: away) that no report shows yet, relative to the fleet's mean. */
         final SlidingSum pendingLoad = new SlidingSum(SUM_BUCKETS, SECOND);
         /** Owned slices carried, in parts where a slice has several lines. Recomputed before each decision. */
@@ -435,15 +435,16 @@
 
     @Override
     public List<Event.Recalled> rememberedState() {
-        List<Event.Recalled> known = new ArrayList<>(List.of(
+        List<Event.Recalled> remembered = new ArrayList<>(List.of(
                 new Event.Recalled(Event.Recall.CALM_LOAD, "", calmLoad, 1),
                 new Event.Recalled(Event.Recall.CALM_WHOLE, "", calmLoadWholeFleet, 1),
                 new Event.Recalled(Event.Recall.SHED, "", shedGroups, 1),
                 new Event.Recalled(Event.Recall.STRAINED, "", fleetOverloaded ? 1 : 0, 1)));
         servers.values().stream()
                 .filter(server -> server.holdNs > 0)
-                .forEach(server -> known.add(new Event.Recalled(Event.Recall.HOLD_NS, server.id, server.holdNs, 1)));
-        return known;
+                .forEach(server ->
+                        remembered.add(new Event.Recalled(Event.Recall.HOLD_NS, server.id, server.holdNs, 1)));
+        return remembered;
     }
 
     /** Returns the slice with the given number, or a throw-away one if the number is out of range. */
@@ -548,7 +549,7 @@
         if (server == null) {
             return;
         }
-        server.seenInSums = true;
+        server.namedInSums = true;
         server.attempts += sums.tries();
         server.dropped += sums.dropped();
         server.deliveredNs += (double) sums.tookNs() * Math.max(0, sums.tries() - sums.dropped());
@@ -645,9 +646,9 @@
             // slow and late answers for that reason, and a mask would only pass the load on to the next server. While
             // the fleet is overloaded every server may drop most flows; an ill one then shows by reporting little load
             // or none. The sums are some seconds old, so load moved away since then is added back.
-            double carried = relativeLoad(server, server.demand)
+            double sliceLoad = relativeLoad(server, server.demand)
                     - server.pendingLoad.over(nowNs, PENDING_LOAD_SECONDS) / Math.max(0.01, ownedShare);
-            boolean explained = carried > 1.4
+            boolean explained = sliceLoad > 1.4
                     || fleetOverloaded && warmth(server) >= 1 && server.reportedLoad > 0.6 * meanReportedLoad;
             // About half of the thresholds for "bad" make a server overloaded. Latency counts only where it hurts:
             // measured against the latency budget, not just against the median server.
@@ -889,7 +890,7 @@
      * coordinators only and whose sums have all been lost so far wrongly looks idle.
      */
     private boolean seemsUnused(Server server) {
-        return rounds >= START_ROUNDS && server.sliceCount < 0.5 && !server.seenInSums;
+        return rounds >= START_ROUNDS && server.sliceCount < 0.5 && !server.namedInSums;
     }
 
     /** Returns demand on a server relative to the fleet's mean, both per capacity. */
--- a/src/main/java/puffinbarrow/platform/Service.java
+++ b/src/main/java/puffinbarrow/platform/Service.java
@@ -63,7 +63,7 @@
     private List<Event> batch = new ArrayList<>();
     private volatile boolean running = true;
     /** Whether the controller failed so often that the process is to be restarted. */
-    private boolean gaveUp;
+    private boolean tooManyFailures;
     /** Number of reloads requested. */
     private long reloads;
 
@@ -153,7 +153,7 @@
                 sleep(tickRestNs);
             }
         }
-        return gaveUp;
+        return tooManyFailures;
     }
 
     private static void sleep(long ns) {
@@ -208,7 +208,7 @@
         // The controller's own timer may have been lost with the batch.
         timers.add(new Order.WakeAt(now + FAILURE_RETRY_NS, 0));
         if (failureWindow.tooMany(now)) {
-            gaveUp = true;
+            tooManyFailures = true;
             running = false;
         }
     }
--- a/src/test/java/puffinbarrow/coordinator/CoordinatorTest.java
+++ b/src/test/java/puffinbarrow/coordinator/CoordinatorTest.java
@@ -387,7 +387,7 @@
             proxy.send(new Frame.Sums(0, round, 1, List.of(new Frame.Met("a:1", 3, 0, 9, Map.of()))));
             until("failure " + round, () -> value(coordinator, "decision.failures") >= round || !exits.isEmpty());
         }
-        until("giving up", () -> exits.equals(List.of(1)));
+        until("the fatal exit", () -> exits.equals(List.of(1)));
     }
 
     @Test
