--- a/src/main/java/puffinbarrow/platform/Service.java
+++ b/src/main/java/puffinbarrow/platform/Service.java
@@ -58,12 +58,12 @@
     private final DiscoveryClient discovery;
     private final Prober prober;
     private final Net.Listener listener;
-    private final FailureWindow failures = new FailureWindow();
+    private final FailureWindow failureWindow = new FailureWindow();
     private final PriorityQueue<Order.WakeAt> timers = new PriorityQueue<>((a, b) -> Long.compare(a.atNs(), b.atNs()));
     private List<Event> batch = new ArrayList<>();
     private volatile boolean running = true;
     /** Whether the controller failed so often that the process is to be restarted. */
-    private boolean gaveUp;
+    private boolean tooManyFailures;
     /** Number of reloads requested. */
     private long reloads;
 
@@ -153,7 +153,7 @@
                 sleep(tickRestNs);
             }
         }
-        return gaveUp;
+        return tooManyFailures;
     }
 
     private static void sleep(long ns) {
@@ -207,8 +207,8 @@
                         + " on " + events.size() + " events; the relay's state is left unchanged");
         // The controller's own timer may have been lost with the batch.
         timers.add(new Order.WakeAt(now + FAILURE_RETRY_NS, 0));
-        if (failures.tooMany(now)) {
-            gaveUp = true;
+        if (failureWindow.tooMany(now)) {
+            tooManyFailures = true;
             running = false;
         }
     }
