--- a/src/main/java/puffinbarrow/coordinator/Coordinator.java
+++ b/src/main/java/puffinbarrow/coordinator/Coordinator.java
@@ -432,7 +432,7 @@
             if (first.major() != Frame.MAJOR) {
                 refuse(
                         Frame.RefusalReason.VERSION,
-                        "version " + first.major() + " is not supported, expected " + Frame.MAJOR);
+                        "version " + first.major() + ", " + Frame.MAJOR + " is spoken here");
             } else if (first.role() == Frame.Role.PEER) {
                 if (first.number() == config.number
                         || first.number() < 0
--- a/src/main/java/puffinbarrow/proto/FrameReader.java
+++ b/src/main/java/puffinbarrow/proto/FrameReader.java
@@ -111,7 +111,7 @@
         if (length < 0 || length > limit) {
             throw new FrameException(
                     Cause.OVERSIZED,
-                    "a frame of " + Integer.toUnsignedString(length) + " bytes, over the limit of " + limit);
+                    "a frame of " + Integer.toUnsignedString(length) + " bytes, " + limit + " is the most");
         }
         return length;
     }
@@ -149,7 +149,7 @@
             throw new FrameException(Cause.CHECKSUM, "checksum of a frame of type " + type);
         }
         if (major != Frame.MAJOR) {
-            throw new FrameException(Cause.VERSION, "version " + major + " is not supported, expected " + Frame.MAJOR);
+            throw new FrameException(Cause.VERSION, "version " + major + ", " + Frame.MAJOR + " is spoken here");
         }
         Frame frame;
         try {
@@ -177,7 +177,7 @@
                 int restated = in.getInt();
                 int count = count(in, MIN_ORDER_BYTES);
                 if (restated < 0 || restated > count) {
-                    throw malformed("orders with " + restated + " restated of " + count);
+                    throw malformed("orders with " + restated + " carried of " + count);
                 }
                 List<Order> orders = new ArrayList<>(count);
                 for (int i = 0; i < count; i++) {
@@ -307,7 +307,7 @@
                 long revision = in.getLong();
                 int number = in.getInt();
                 long incarnation = in.getLong();
-                long heartbeat = notNegative(in.getLong(), "heartbeat");
+                long heartbeat = notNegative(in.getLong(), "beat");
                 int flags = in.get();
                 return new Frame.MemberRecord(
                         id,
@@ -369,7 +369,7 @@
                         in.getInt(),
                         in.getInt(),
                         weight(in.getDouble()),
-                        pick(Order.Retry.values(), in.get(), "retry rule"));
+                        pick(Order.Retry.values(), in.get(), "way of trying again"));
             case FrameTypes.ORDER_MARK:
                 return new Order.Mark(in.getInt(), in.get() != 0);
             default:
@@ -446,7 +446,7 @@
 
     private static double finite(double value) {
         if (!Double.isFinite(value)) {
-            throw malformed("a number that is not finite");
+            throw malformed("a figure that is not finite");
         }
         return value;
     }
--- a/src/test/java/puffinbarrow/cli/ExternalNamesTest.java
+++ b/src/test/java/puffinbarrow/cli/ExternalNamesTest.java
@@ -26,6 +26,7 @@
 class ExternalNamesTest {
     private static final Path LIST = Path.of("src/test/resources/puffinbarrow/external-names.txt");
     private static final Path DEPLOY_FILE = Path.of("deploy/balancer.toml");
+    private static final Path SITE_GENERATOR = Path.of("deploy/sites/generate.sh");
     private static final Path RESOURCES = Path.of("src/main/resources/puffinbarrow");
 
     @Test
@@ -64,6 +65,7 @@
             texts.add(Files.readString(file));
         }
         texts.add(Files.readString(DEPLOY_FILE));
+        texts.add(Files.readString(SITE_GENERATOR));
         addCommandLine(new CommandLine(Commands.class).getCommandSpec(), texts);
         return texts;
     }
