--- a/src/main/java/puffinbarrow/audit/Audit.java
+++ b/src/main/java/puffinbarrow/audit/Audit.java
@@ -47,10 +47,10 @@
      * The breaches, and the worst value of each measure whether or not it broke a rule.
      *
      * @param longestBareNs longest time that a proxy had no backend for a slice
-     * @param latestDrainNs longest time after which a proxy still sent to a server that drained or was gone
-     * @param mostColdPart most work sent to a cold server, as a part of what it withstands
-     * @param mostQueued most lines waiting at one coordinator
-     * @param mostMessages most messages from one coordinator to one proxy within the span of the settings
+     * @param longestDrainNs longest time after which a proxy still sent to a server that drained or was gone
+     * @param maxColdLoad most work sent to a cold server, as a part of what it withstands
+     * @param maxQueuedLines most lines waiting at one coordinator
+     * @param maxMessagesInSpan most messages from one coordinator to one proxy within the span of the settings
      * @param attempts attempts sent by all proxies
      * @param ordersFrames frames with orders that reached proxies
      */
@@ -85,7 +85,7 @@
         /** When its process started, as listed. */
         long startedNs;
         /** When the coordinator was told of the present start. */
-        long startToldAt;
+        long startListedAt;
     }
 
     /** What a coordinator has been told. */
@@ -118,7 +118,9 @@
     /** Work sent to a cold server; {@code informed}: by a proxy that was, or had to be, informed of the start. */
     private record SentWork(long at, double workNs, boolean informed) {}
 
-    /** A server since its latest start, with the work sent to it during the last {@link CoordinatorConfig#fallNs}. */
+    /**
+     * A server since its latest start, with the work sent to it during the last {@link CoordinatorConfig#overloadNs}.
+     */
     private static final class ColdServer {
         Observation.ServerStarted start;
         final ArrayDeque<SentWork> window = new ArrayDeque<>();
@@ -177,12 +179,12 @@
     private final long flowLifetimeNs;
 
     private long longestBareNs;
-    private long latestDrainNs;
+    private long longestDrainNs;
     private long attempts;
     private long ordersFrames;
-    private double mostColdPart;
-    private double mostQueued;
-    private int mostMessages;
+    private double maxColdLoad;
+    private double maxQueuedLines;
+    private int maxMessagesInSpan;
 
     /** @param epochNs the time that evidence counts from */
     public Audit(CoordinatorConfig config, long epochNs) {
@@ -203,21 +205,30 @@
     /**
      * Judges a complete recording.
      *
-     * @param seen in order of time
+     * @param observations in order of time
      * @param epochNs the time that evidence counts from
      */
-    public static Verdict judge(CoordinatorConfig config, List<Observation> seen, long epochNs) {
+    public static Verdict judge(CoordinatorConfig config, List<Observation> observations, long epochNs) {
         Audit audit = new Audit(config, epochNs);
-        seen.forEach(audit::add);
+        observations.forEach(audit::add);
         return audit.conclude(
-                seen.isEmpty() ? epochNs : seen.get(seen.size() - 1).at());
+                observations.isEmpty()
+                        ? epochNs
+                        : observations.get(observations.size() - 1).at());
     }
 
-    /** Returns the result for a recording that ended at that time; {@link #take} must not be called afterwards. */
+    /** Returns the result for a recording that ended at that time; {@link #add} must not be called afterwards. */
     public Verdict conclude(long at) {
         finish(at);
         return new Verdict(
-                findings, longestBareNs, latestDrainNs, mostColdPart, mostQueued, mostMessages, attempts, ordersFrames);
+                findings,
+                longestBareNs,
+                longestDrainNs,
+                maxColdLoad,
+                maxQueuedLines,
+                maxMessagesInSpan,
+                attempts,
+                ordersFrames);
     }
 
     private void report(Rule rule, long at, String key, String evidence) {
@@ -229,11 +240,11 @@
     }
 
     /** Adds an event, in order of time. Memory grows with the fleet and what is in progress, not with the recording. */
-    public void add(Observation seen) {
-        if (seen instanceof Observation.ListSent s) {
+    public void add(Observation observation) {
+        if (observation instanceof Observation.ListSent s) {
             applyList(s);
             recheckSlicesOf(s.coordinator(), s.at());
-        } else if (seen instanceof Observation.ChargeSent s) {
+        } else if (observation instanceof Observation.ChargeSent s) {
             Coordinator coordinator = coordinator(s.coordinator());
             if (s.given()) {
                 coordinator.inChargeSince.put(s.slice(), s.at());
@@ -241,7 +252,7 @@
                 coordinator.inChargeSince.remove(s.slice());
             }
             proxies.forEach((number, proxy) -> updateBare(number, proxy, s.slice(), s.at()));
-        } else if (seen instanceof Observation.StreamChanged s) {
+        } else if (observation instanceof Observation.StreamChanged s) {
             Proxy proxy = proxy(s.proxy());
             if (s.up()) {
                 proxy.joinedAt.put(s.coordinator(), s.at());
@@ -250,30 +261,30 @@
                 proxy.joinedAt.remove(s.coordinator());
             }
             proxy.owners.keySet().forEach(slice -> updateBare(s.proxy(), proxy, slice, s.at()));
-        } else if (seen instanceof Observation.OrdersReceived s) {
+        } else if (observation instanceof Observation.OrdersReceived s) {
             countQueuedLines(s);
-        } else if (seen instanceof Observation.OrdersApplied s) {
+        } else if (observation instanceof Observation.OrdersApplied s) {
             applyOrders(s);
-        } else if (seen instanceof Observation.TermApplied s) {
+        } else if (observation instanceof Observation.TermApplied s) {
             checkTerm(s);
-        } else if (seen instanceof Observation.TableRead s) {
+        } else if (observation instanceof Observation.TableRead s) {
             TreeMap<String, Double> table = proxy(s.proxy()).tables.computeIfAbsent(s.slice(), n -> new TreeMap<>());
             table.clear();
             s.lines().forEach(line -> table.put(line.server(), line.weight()));
             updateBare(s.proxy(), proxy(s.proxy()), s.slice(), s.at());
-        } else if (seen instanceof Observation.OwnerRead s) {
+        } else if (observation instanceof Observation.OwnerRead s) {
             proxy(s.proxy()).owners.put(s.slice(), s.coordinator());
             updateBare(s.proxy(), proxy(s.proxy()), s.slice(), s.at());
-        } else if (seen instanceof Observation.AttemptSent s) {
+        } else if (observation instanceof Observation.AttemptSent s) {
             checkAttempt(s);
-        } else if (seen instanceof Observation.AttemptEnded s) {
+        } else if (observation instanceof Observation.AttemptEnded s) {
             List<Attempt> flowAttempts = attemptsByFlow.get(s.flow());
             if (flowAttempts != null) {
                 flowAttempts.replaceAll(t -> t.sent().attempt() == s.attempt() ? new Attempt(t.sent(), s) : t);
             }
-        } else if (seen instanceof Observation.WorkChanged s) {
+        } else if (observation instanceof Observation.WorkChanged s) {
             checkRun(s);
-        } else if (seen instanceof Observation.ServerStarted s) {
+        } else if (observation instanceof Observation.ServerStarted s) {
             ColdServer server = new ColdServer();
             server.start = s;
             coldServers.put(s.server(), server);
@@ -288,30 +299,30 @@
         return proxies.computeIfAbsent(number, n -> new Proxy());
     }
 
-    private void applyList(Observation.ListSent told) {
-        if (told.kind() == Event.ListKind.BROKEN) {
+    private void applyList(Observation.ListSent sent) {
+        if (sent.kind() == Event.ListKind.BROKEN) {
             return;
         }
-        Coordinator coordinator = coordinator(told.coordinator());
-        Set<String> named = new TreeSet<>();
-        for (Event.Entry entry : told.entries()) {
-            named.add(entry.server());
+        Coordinator coordinator = coordinator(sent.coordinator());
+        Set<String> listedIds = new TreeSet<>();
+        for (Event.Entry entry : sent.entries()) {
+            listedIds.add(entry.server());
             Server server = coordinator.servers.computeIfAbsent(entry.server(), s -> new Server());
             if (entry.listed() == Event.Listed.READY) {
                 if (!server.listed || entry.startedNs() != server.startedNs) {
-                    server.startToldAt = told.at();
+                    server.startListedAt = sent.at();
                 }
                 server.ready = server.listed = true;
                 server.unavailableSince = 0;
                 server.startedNs = entry.startedNs();
             } else if (!config.keepGoneServers || entry.listed() == Event.Listed.DRAINING) {
-                markUnavailable(server, told.at());
+                markUnavailable(server, sent.at());
             }
         }
-        if (told.kind() != Event.ListKind.PATCH) {
+        if (sent.kind() != Event.ListKind.PATCH) {
             coordinator.servers.forEach((id, server) -> {
-                if (!named.contains(id) && !config.keepGoneServers) {
-                    markUnavailable(server, told.at());
+                if (!listedIds.contains(id) && !config.keepGoneServers) {
+                    markUnavailable(server, sent.at());
                 }
             });
         }
@@ -359,7 +370,7 @@
                         .anyMatch(s -> s.ready && (s.startedNs == 0 || at - s.startedNs >= config.warmNs));
     }
 
-    /** Takes account of an interval that the proxy had no backend for the slice. */
+    /** Records an interval in which the proxy had no backend for the slice. */
     private void endBare(int number, int slice, long since, long until) {
         longestBareNs = Math.max(longestBareNs, until - since);
         if (until - since > config.noBackendLimitNs) {
@@ -383,29 +394,29 @@
     // ---- Rule VOICE.
 
     /** Checks that the term belongs to one coordinator and that the proxy does not return to an older one. */
-    private void checkTerm(Observation.TermApplied took) {
+    private void checkTerm(Observation.TermApplied applied) {
         Integer known = coordinatorByTerm
-                .computeIfAbsent(took.slice(), s -> new HashMap<>())
-                .putIfAbsent(took.term(), took.coordinator());
-        if (known != null && known != took.coordinator()) {
+                .computeIfAbsent(applied.slice(), s -> new HashMap<>())
+                .putIfAbsent(applied.term(), applied.coordinator());
+        if (known != null && known != applied.coordinator()) {
             report(
                     Rule.VOICE,
-                    took.at(),
-                    "two " + took.slice() + " " + took.term(),
-                    "orders for slice " + took.slice() + " under term " + took.term() + " from coordinators " + known
-                            + " and " + took.coordinator());
+                    applied.at(),
+                    "two " + applied.slice() + " " + applied.term(),
+                    "orders for slice " + applied.slice() + " under term " + applied.term() + " from coordinators "
+                            + known + " and " + applied.coordinator());
         }
-        Map<Integer, Long> latest = proxy(took.proxy()).latestTerms;
-        long before = latest.getOrDefault(took.slice(), 0L);
-        if (took.term() < before) {
+        Map<Integer, Long> latest = proxy(applied.proxy()).latestTerms;
+        long before = latest.getOrDefault(applied.slice(), 0L);
+        if (applied.term() < before) {
             report(
                     Rule.VOICE,
-                    took.at(),
-                    "back " + took.proxy() + " " + took.slice(),
-                    "proxy " + took.proxy() + " applied orders " + "for slice " + took.slice() + " under term "
-                            + took.term() + " after " + before);
+                    applied.at(),
+                    "back " + applied.proxy() + " " + applied.slice(),
+                    "proxy " + applied.proxy() + " applied orders " + "for slice " + applied.slice() + " under term "
+                            + applied.term() + " after " + before);
         }
-        latest.merge(took.slice(), took.term(), Math::max);
+        latest.merge(applied.slice(), applied.term(), Math::max);
     }
 
     // ---- State of the proxies.
@@ -444,27 +455,27 @@
 
     // ---- Rule QUEUE.
 
-    private void countQueuedLines(Observation.OrdersReceived arrived) {
+    private void countQueuedLines(Observation.OrdersReceived received) {
         ordersFrames++;
-        LineQueue queue = queues.computeIfAbsent(arrived.coordinator(), c -> new LineQueue());
-        queue.changes.add(new QueueChange(arrived.orderedAtNs(), config.messageOverheadLines + arrived.lines()));
+        LineQueue queue = queues.computeIfAbsent(received.coordinator(), c -> new LineQueue());
+        queue.changes.add(new QueueChange(received.orderedAtNs(), config.messageOverheadLines + received.lines()));
         queue.changes.add(new QueueChange(
-                Math.max(arrived.at(), arrived.orderedAtNs()), -config.messageOverheadLines - arrived.lines()));
-        applyChanges(arrived.coordinator(), queue, arrived.at() - MAX_TRANSIT_NS);
+                Math.max(received.at(), received.orderedAtNs()), -config.messageOverheadLines - received.lines()));
+        applyChanges(received.coordinator(), queue, received.at() - MAX_TRANSIT_NS);
         ArrayDeque<Long> times =
-                proxy(arrived.proxy()).messageTimes.computeIfAbsent(arrived.coordinator(), c -> new ArrayDeque<>());
-        times.addLast(arrived.orderedAtNs());
+                proxy(received.proxy()).messageTimes.computeIfAbsent(received.coordinator(), c -> new ArrayDeque<>());
+        times.addLast(received.orderedAtNs());
         while (times.peekLast() - times.peekFirst() > config.messagesSpanNs) {
             times.pollFirst();
         }
-        mostMessages = Math.max(mostMessages, times.size());
+        maxMessagesInSpan = Math.max(maxMessagesInSpan, times.size());
         if (config.maxMessages > 0 && times.size() > config.maxMessages) {
             report(
                     Rule.QUEUE,
-                    arrived.at(),
-                    "messages " + arrived.coordinator() + "/" + arrived.proxy(),
-                    "coordinator " + arrived.coordinator() + " wrote " + times.size() + " messages to proxy "
-                            + arrived.proxy() + " within " + config.messagesSpanNs / 1e9 + " s, " + config.maxMessages
+                    received.at(),
+                    "messages " + received.coordinator() + "/" + received.proxy(),
+                    "coordinator " + received.coordinator() + " wrote " + times.size() + " messages to proxy "
+                            + received.proxy() + " within " + config.messagesSpanNs / 1e9 + " s, " + config.maxMessages
                             + " allowed");
         }
     }
@@ -477,7 +488,7 @@
         while (!queue.changes.isEmpty() && queue.changes.peek().at() <= until) {
             QueueChange change = queue.changes.poll();
             queue.waitingLines += change.lines();
-            mostQueued = Math.max(mostQueued, queue.waitingLines);
+            maxQueuedLines = Math.max(maxQueuedLines, queue.waitingLines);
             if (queue.waitingLines > config.queueLines) {
                 report(
                         Rule.QUEUE,
@@ -507,7 +518,7 @@
         Long inCharge = coordinator == null ? null : coordinator.inChargeSince.get(sent.slice());
         if (server != null && joined != null && inCharge != null && !server.ready && server.unavailableSince > 0) {
             long from = Math.max(server.unavailableSince, Math.max(joined, inCharge));
-            latestDrainNs = Math.max(latestDrainNs, sent.at() - from);
+            longestDrainNs = Math.max(longestDrainNs, sent.at() - from);
             if (sent.at() - from > config.graceNs) {
                 report(
                         Rule.DRAIN,
@@ -526,8 +537,8 @@
                 && joined != null
                 && cold != null
                 && server.startedNs == cold.start.at()
-                && (proxy.lastOrderedAt.getOrDefault(sent.coordinator(), Long.MIN_VALUE) > server.startToldAt
-                        || sent.at() - server.startToldAt > config.graceNs);
+                && (proxy.lastOrderedAt.getOrDefault(sent.coordinator(), Long.MIN_VALUE) > server.startListedAt
+                        || sent.at() - server.startListedAt > config.graceNs);
         checkColdLoad(sent, cold, informed);
     }
 
@@ -548,7 +559,7 @@
         }
         double budget = config.fallMultiple * capacity(server.start, sent.at()) * config.overloadNs;
         if (server.informedWorkNs >= server.workNs * 2 / 3) {
-            mostColdPart = Math.max(mostColdPart, server.workNs / budget);
+            maxColdLoad = Math.max(maxColdLoad, server.workNs / budget);
             // Ten percent of tolerance, since the random work of flows is uneven over a second.
             if (server.workNs > 1.1 * budget) {
                 report(
@@ -571,40 +582,41 @@
 
     // ---- Rule TWICE.
 
-    private void checkRun(Observation.WorkChanged ran) {
-        if (ran.begins()) {
-            runsByFlow.computeIfAbsent(ran.flow(), f -> new ArrayList<>(1)).add(ran);
+    private void checkRun(Observation.WorkChanged change) {
+        if (change.begins()) {
+            runsByFlow.computeIfAbsent(change.flow(), f -> new ArrayList<>(1)).add(change);
         }
-        boolean write = config.groups.get(ran.group()).retrySafety() != CoordinatorConfig.RetrySafety.RETRIABLE;
+        boolean write = config.groups.get(change.group()).retrySafety() != CoordinatorConfig.RetrySafety.RETRIABLE;
         if (!config.soleOwner || !write) {
             return;
         }
-        Map<Long, String> active = activeWrites.computeIfAbsent(ran.slice(), s -> new HashMap<>());
-        if (!ran.begins()) {
-            active.remove(ran.flow());
+        Map<Long, String> active = activeWrites.computeIfAbsent(change.slice(), s -> new HashMap<>());
+        if (!change.begins()) {
+            active.remove(change.flow());
             return;
         }
         active.values().stream()
-                .filter(s -> !s.equals(ran.server()))
+                .filter(s -> !s.equals(change.server()))
                 .findFirst()
                 .ifPresent(other -> report(
                         Rule.TWICE,
-                        ran.at(),
-                        "owners " + ran.slice(),
-                        "writes of slice " + ran.slice() + " at " + ran.server() + " and " + other
+                        change.at(),
+                        "owners " + change.slice(),
+                        "writes of slice " + change.slice() + " at " + change.server() + " and " + other
                                 + " at the same time"));
-        active.put(ran.flow(), ran.server());
-        String last = lastWriter.put(ran.slice(), ran.server());
-        OwnerOrder ordered = latestOwner.get(ran.slice());
+        active.put(change.flow(), change.server());
+        String last = lastWriter.put(change.slice(), change.server());
+        OwnerOrder ordered = latestOwner.get(change.slice());
         if (last != null
-                && !last.equals(ran.server())
+                && !last.equals(change.server())
                 && ordered != null
-                && !ordered.server().equals(ran.server())) {
+                && !ordered.server().equals(change.server())) {
             report(
                     Rule.TWICE,
-                    ran.at(),
-                    "former " + ran.slice(),
-                    "a write of slice " + ran.slice() + " at " + ran.server() + " after " + last + " had taken over");
+                    change.at(),
+                    "former " + change.slice(),
+                    "a write of slice " + change.slice() + " at " + change.server() + " after " + last
+                            + " had taken over");
         }
     }
 
@@ -613,9 +625,9 @@
         while (!firstAttempts.isEmpty() && (firstAttempts.peekFirst().at() < before || before == Long.MAX_VALUE)) {
             long flow = firstAttempts.pollFirst().flow();
             checkRetries(attemptsByFlow.remove(flow));
-            List<Observation.WorkChanged> ran = runsByFlow.remove(flow);
-            if (ran != null) {
-                checkEffects(ran);
+            List<Observation.WorkChanged> runs = runsByFlow.remove(flow);
+            if (runs != null) {
+                checkEffects(runs);
             }
         }
     }
--- a/src/main/java/puffinbarrow/audit/Observation.java
+++ b/src/main/java/puffinbarrow/audit/Observation.java
@@ -22,7 +22,7 @@
     record StreamChanged(long at, int proxy, int coordinator, boolean up) implements Observation {}
 
     /**
-     * A proxy received a frame with orders, which take effect later ({@link Applied}).
+     * A proxy received a frame with orders, which take effect later ({@link OrdersApplied}).
      *
      * @param orderedAtNs when the coordinator decided them
      * @param lines number of orders
@@ -62,7 +62,12 @@
             int coordinator)
             implements Observation {}
 
-    /** An attempt ended for its proxy; {@code good}: with a good answer, {@code proof}: proven never to have run. */
+    /**
+     * An attempt ended for its proxy.
+     *
+     * @param good it ended with a good answer
+     * @param provenNotRun it is proven never to have run
+     */
     record AttemptEnded(long at, int proxy, long flow, int attempt, boolean good, boolean provenNotRun)
             implements Observation {}
 
--- a/src/main/java/puffinbarrow/audit/Recorder.java
+++ b/src/main/java/puffinbarrow/audit/Recorder.java
@@ -21,9 +21,9 @@
     }
 
     /** Adds an event, or drops it if the recorder is full. */
-    public void add(Observation seen) {
+    public void add(Observation observation) {
         if (count.incrementAndGet() <= capacity) {
-            queue.add(seen);
+            queue.add(observation);
         }
     }
 
--- a/src/main/java/puffinbarrow/config/CoordinatorConfig.java
+++ b/src/main/java/puffinbarrow/config/CoordinatorConfig.java
@@ -13,7 +13,8 @@
 /**
  * The settings of one coordinator, decoded once at start; docs/settings.md lists the keywords. A field that the file
  * does not set keeps its initial value as the default. Commands, tests and the emulator may change fields before the
- * coordinator starts; after that only {@link #adopt} does, when the settings are reloaded. Times are nanoseconds.
+ * coordinator starts; after that only {@link #applyReloadable} does, when the settings are reloaded. Times are
+ * nanoseconds.
  */
 public final class CoordinatorConfig {
     /**
@@ -34,7 +35,7 @@
      * @param budgetNs latency budget, at most {@code expiryNs}
      * @param expiryNs time after which the answer is of no use
      * @param dedupScope where servers recognise duplicates of a deduped flow: {@code all}, {@code zone} or {@code cell}
-     * @param windowNs how long servers recognise duplicates of a deduped flow; 0 for other groups
+     * @param dedupWindowNs how long servers recognise duplicates of a deduped flow; 0 for other groups
      */
     public record Group(
             String name,
@@ -45,7 +46,7 @@
             String dedupScope,
             long dedupWindowNs) {}
 
-    /** Number of this coordinator, from 0 to {@link #of} - 1. */
+    /** Number of this coordinator, from 0 to {@link #coordinatorCount} - 1. */
     public int number;
     /** Number of coordinators. */
     public int coordinatorCount = 1;
@@ -97,7 +98,7 @@
     public long warmNs = 17_000_000_000L;
     /** Part of its full capacity that a backend has right after its start, 0 to 1. */
     public double coldShare = 0.15;
-    /** A cold backend that gets more than this multiple of its present capacity for {@link #fallNs} crashes. */
+    /** A cold backend that gets more than this multiple of its present capacity for {@link #overloadNs} crashes. */
     public double fallMultiple = 4;
 
     public long overloadNs = 1_500_000_000L;
@@ -198,15 +199,15 @@
 
     /** Reads the file and its includes; all mistakes are added to {@code problems}, and none stops the reading. */
     public static CoordinatorConfig read(Path file, List<Problem> problems) {
-        return coordinatorCount(StatementReader.read(file, problems), file.toString(), problems);
+        return fromStatements(StatementReader.read(file, problems), file.toString(), problems);
     }
 
     /** Parses the text as {@link #read} does a file; {@code name} stands for the file in problems. */
     public static CoordinatorConfig parse(String name, String text, List<Problem> problems) {
-        return coordinatorCount(StatementReader.parse(name, text, problems), name, problems);
+        return fromStatements(StatementReader.parse(name, text, problems), name, problems);
     }
 
-    private static CoordinatorConfig coordinatorCount(List<Statement> statements, String name, List<Problem> problems) {
+    private static CoordinatorConfig fromStatements(List<Statement> statements, String name, List<Problem> problems) {
         CoordinatorConfig config = new CoordinatorConfig();
         config.statements = statements;
         for (Statement statement : statements) {
@@ -218,7 +219,7 @@
     }
 
     /** Returns a configuration with the given decision settings and default sockets, for replaying a recording. */
-    public static CoordinatorConfig coordinatorCount(Settings from, long seed) {
+    public static CoordinatorConfig fromSettings(Settings from, long seed) {
         CoordinatorConfig config = new CoordinatorConfig();
         // Decisions do not see the number; the largest leaves all others to the peers in the recording.
         config.number = 999;
@@ -269,116 +270,117 @@
                     keyword + ": given twice, expected once (first at " + before.file() + ":" + before.line() + ")"));
             return;
         }
-        ArgumentReader words = new ArgumentReader(statement, problems);
+        ArgumentReader arguments = new ArgumentReader(statement, problems);
         switch (keyword) {
             case "coordinator" -> {
-                number = (int) words.integer("its number", 0, 999);
-                words.expect("of");
-                coordinatorCount = (int) words.integer("how many coordinators there are", 1, 1000);
+                number = (int) arguments.integer("its number", 0, 999);
+                arguments.expect("of");
+                coordinatorCount = (int) arguments.integer("how many coordinators there are", 1, 1000);
             }
-            case "zone" -> zone = words.text("a zone");
-            case "zones" -> zones = names(words);
-            case "listen" -> listen = words.address("where to listen for proxies and peers");
-            case "admin" -> admin = words.address("where to listen for status requests");
+            case "zone" -> zone = arguments.text("a zone");
+            case "zones" -> zones = names(arguments);
+            case "listen" -> listen = arguments.address("where to listen for proxies and peers");
+            case "admin" -> admin = arguments.address("where to listen for status requests");
             case "registry" -> {
-                registry = words.address("the registry");
-                listOnRequest = words.oneOf("push", "ask").equals("ask");
+                registry = arguments.address("the registry");
+                listOnRequest = arguments.oneOf("push", "ask").equals("ask");
             }
-            case "store" -> store = words.address("the table store");
+            case "store" -> store = arguments.address("the table store");
             case "peer" -> {
-                int peer = (int) words.integer("the peer's number", 0, 999);
-                if (peers.put(peer, words.address("the peer")) != null) {
-                    words.reportMistake("peer " + peer + " again", "each peer once");
+                int peer = (int) arguments.integer("the peer's number", 0, 999);
+                if (peers.put(peer, arguments.address("the peer")) != null) {
+                    arguments.reportMistake("peer " + peer + " again", "each peer once");
                 }
             }
-            case "seed" -> seed = words.integer("a seed", 0, Long.MAX_VALUE);
-            case "group" -> group(words);
+            case "seed" -> seed = arguments.integer("a seed", 0, Long.MAX_VALUE);
+            case "group" -> group(arguments);
             case "slices" -> {
-                slices = (int) words.integer("how many slices keys fall into", 0, 65_534);
-                soleOwner = words.takeIfNext("sole-owner");
+                slices = (int) arguments.integer("how many slices keys fall into", 0, 65_534);
+                soleOwner = arguments.takeIfNext("sole-owner");
             }
-            case "levels" -> levels = words.oneOf("share", "rate", "off");
-            case "queue" -> queueLines = words.number("lines that may wait in the channel", 1, 1e9);
-            case "pace" -> linesPerS = words.number("lines per second", 1, 1e9);
-            case "head" -> messageOverheadLines = words.number("overhead lines of a message", 0, 1e6);
+            case "levels" -> levels = arguments.oneOf("share", "rate", "off");
+            case "queue" -> queueLines = arguments.number("lines that may wait in the channel", 1, 1e9);
+            case "pace" -> linesPerS = arguments.number("lines per second", 1, 1e9);
+            case "head" -> messageOverheadLines = arguments.number("overhead lines of a message", 0, 1e6);
             case "messages" -> {
-                maxMessages = (int) words.integer("messages to one proxy (0: no limit)", 0, 1_000_000);
-                words.expect("per");
-                messagesSpanNs = words.durationNs("the span they are counted over");
+                maxMessages = (int) arguments.integer("messages to one proxy (0: no limit)", 0, 1_000_000);
+                arguments.expect("per");
+                messagesSpanNs = arguments.durationNs("the span they are counted over");
             }
-            case "round" -> roundNs = words.durationNs("the time between reports of a proxy");
-            case "intake" -> reportLinesPerS = words.number("report lines per second", 1, 1e9);
-            case "grace" -> graceNs = words.durationNs("the grace period for drains");
-            case "bare" -> noBackendLimitNs = words.durationNs("how long a proxy may lack a backend");
-            case "warm" -> warmNs = words.durationNs("when a backend is warm at the latest");
-            case "cold-share" -> coldShare = words.share("the part of its work a cold backend can do");
+            case "round" -> roundNs = arguments.durationNs("the time between reports of a proxy");
+            case "intake" -> reportLinesPerS = arguments.number("report lines per second", 1, 1e9);
+            case "grace" -> graceNs = arguments.durationNs("the grace period for drains");
+            case "bare" -> noBackendLimitNs = arguments.durationNs("how long a proxy may lack a backend");
+            case "warm" -> warmNs = arguments.durationNs("when a backend is warm at the latest");
+            case "cold-share" -> coldShare = arguments.share("the part of its work a cold backend can do");
             case "fall-multiple" -> {
-                fallMultiple = words.number("a multiple of present capacity", 1, 1000);
-                words.expect("for");
-                overloadNs = words.durationNs("how long a backend withstands the overload");
+                fallMultiple = arguments.number("a multiple of present capacity", 1, 1000);
+                arguments.expect("for");
+                overloadNs = arguments.durationNs("how long a backend withstands the overload");
             }
-            case "probes" -> probes = words.onOff();
-            case "gone" -> keepGoneServers = words.oneOf("binds", "stays").equals("stays");
-            case "tick" -> tickNs = words.durationNs("the time between batches");
-            case "inbox" -> inboxFrames = (int) words.integer("frames that may wait for a decision", 16, 100_000_000);
-            case "outbound" -> maxOutboundBytes = words.sizeBytes("bytes that may wait for one stream");
-            case "frame" -> maxFrameBytes = (int) Math.min(1 << 28, words.sizeBytes("the longest frame"));
-            case "hello" -> helloTimeoutNs = words.durationNs("how long a stream may take to say hello");
-            case "idle" -> idleTimeoutNs = words.durationNs("how long a stream may be silent");
+            case "probes" -> probes = arguments.onOff();
+            case "gone" -> keepGoneServers = arguments.oneOf("binds", "stays").equals("stays");
+            case "tick" -> tickNs = arguments.durationNs("the time between batches");
+            case "inbox" -> inboxFrames =
+                    (int) arguments.integer("frames that may wait for a decision", 16, 100_000_000);
+            case "outbound" -> maxOutboundBytes = arguments.sizeBytes("bytes that may wait for one stream");
+            case "frame" -> maxFrameBytes = (int) Math.min(1 << 28, arguments.sizeBytes("the longest frame"));
+            case "hello" -> helloTimeoutNs = arguments.durationNs("how long a stream may take to say hello");
+            case "idle" -> idleTimeoutNs = arguments.durationNs("how long a stream may be silent");
             case "log" -> {
-                logJson = words.oneOf("text", "json").equals("json");
-                logLevel = words.oneOf("info", "error", "warn", "debug", "trace");
+                logJson = arguments.oneOf("text", "json").equals("json");
+                logLevel = arguments.oneOf("info", "error", "warn", "debug", "trace");
             }
-            case "port-file" -> portFile = Path.of(words.text("a path"));
-            case "failed-batches" -> failedBatches = Path.of(words.text("a folder"));
+            case "port-file" -> portFile = Path.of(arguments.text("a path"));
+            case "failed-batches" -> failedBatches = Path.of(arguments.text("a folder"));
             case "proxy-lease" -> proxyLeaseNs =
-                    words.durationNs("how long a disconnected proxy goes on sending writes");
-            case "lease" -> leaseNs = words.durationNs("how long a coordinator's lease lasts");
+                    arguments.durationNs("how long a disconnected proxy goes on sending writes");
+            case "lease" -> leaseNs = arguments.durationNs("how long a coordinator's lease lasts");
             case "memory" -> {
-                memory = Path.of(words.text("a folder"));
-                if (words.takeIfNext("at-most")) {
-                    memoryBytes = words.sizeBytes("the most bytes of disk it may take");
+                memory = Path.of(arguments.text("a folder"));
+                if (arguments.takeIfNext("at-most")) {
+                    memoryBytes = arguments.sizeBytes("the most bytes of disk it may take");
                 }
             }
             default -> throw new IllegalStateException(keyword);
         }
-        words.expectEnd();
+        arguments.expectEnd();
     }
 
-    private static List<String> names(ArgumentReader words) {
+    private static List<String> names(ArgumentReader arguments) {
         List<String> names = new ArrayList<>();
         do {
-            names.add(words.text("a zone's name"));
-        } while (words.hasMore());
+            names.add(arguments.text("a zone's name"));
+        } while (arguments.hasMore());
         return names;
     }
 
-    private void group(ArgumentReader words) {
-        String name = words.text("the group's name");
-        words.expect("utility");
-        double utility = words.number("its utility", 0, 1e9);
-        words.expect("budget");
-        long budget = words.durationNs("its latency budget");
-        words.expect("expiry");
-        long expiry = words.durationNs("its expiry");
-        String repeatWord = words.oneOf("retriable", "deduped", "non-retriable");
+    private void group(ArgumentReader arguments) {
+        String name = arguments.text("the group's name");
+        arguments.expect("utility");
+        double utility = arguments.number("its utility", 0, 1e9);
+        arguments.expect("budget");
+        long budget = arguments.durationNs("its latency budget");
+        arguments.expect("expiry");
+        long expiry = arguments.durationNs("its expiry");
+        String retryWord = arguments.oneOf("retriable", "deduped", "non-retriable");
         String scope = "all";
         long window = 0;
-        RetrySafety repeats = RetrySafety.RETRIABLE;
-        if (repeatWord.equals("deduped")) {
-            repeats = RetrySafety.DEDUPED;
-            scope = words.oneOf("all", "zone", "cell");
-            window = words.durationNs("how long servers drop duplicates");
-        } else if (repeatWord.equals("non-retriable")) {
-            repeats = RetrySafety.NON_RETRIABLE;
+        RetrySafety retrySafety = RetrySafety.RETRIABLE;
+        if (retryWord.equals("deduped")) {
+            retrySafety = RetrySafety.DEDUPED;
+            scope = arguments.oneOf("all", "zone", "cell");
+            window = arguments.durationNs("how long servers drop duplicates");
+        } else if (retryWord.equals("non-retriable")) {
+            retrySafety = RetrySafety.NON_RETRIABLE;
         }
-        if (words.valid() && budget > expiry) {
-            words.reportMistake("a budget over its expiry", "a budget of at most " + expiry / 1e9 + "s");
+        if (arguments.valid() && budget > expiry) {
+            arguments.reportMistake("a budget over its expiry", "a budget of at most " + expiry / 1e9 + "s");
         }
-        if (words.valid() && groups.stream().anyMatch(g -> g.name().equals(name))) {
-            words.reportMistake("group " + name + " again", "each group once");
+        if (arguments.valid() && groups.stream().anyMatch(g -> g.name().equals(name))) {
+            arguments.reportMistake("group " + name + " again", "each group once");
         }
-        groups.add(new Group(name, utility, budget, expiry, repeats, scope, window));
+        groups.add(new Group(name, utility, budget, expiry, retrySafety, scope, window));
     }
 
     /** Checks what depends on several lines, or on lines that are missing. */
--- a/src/main/java/puffinbarrow/config/StatementReader.java
+++ b/src/main/java/puffinbarrow/config/StatementReader.java
@@ -29,16 +29,16 @@
 
     /** Returns the statements of the file and its includes, in order; mistakes are added to {@code problems}. */
     public static List<Statement> read(Path file, List<Problem> problems) {
-        StatementReader lines = new StatementReader(problems);
-        lines.readFile(file, new LinkedHashSet<>(), null);
-        return lines.statements;
+        StatementReader reader = new StatementReader(problems);
+        reader.readFile(file, new LinkedHashSet<>(), null);
+        return reader.statements;
     }
 
     /** Returns the statements of the text, for which {@code name} stands as the file in problems. */
     public static List<Statement> parse(String name, String text, List<Problem> problems) {
-        StatementReader lines = new StatementReader(problems);
-        lines.parseText(name, null, text, new LinkedHashSet<>());
-        return lines.statements;
+        StatementReader reader = new StatementReader(problems);
+        reader.parseText(name, null, text, new LinkedHashSet<>());
+        return reader.statements;
     }
 
     /** @param include the statement that includes the file; null for the first file */
--- a/src/main/java/puffinbarrow/lease/Lease.java
+++ b/src/main/java/puffinbarrow/lease/Lease.java
@@ -273,18 +273,21 @@
     }
 
     /** A slice's current owner record in the store. */
-    public List<Step> sliceOwnerRecord(long now, int slice, long revision, SliceOwner voice) {
+    public List<Step> sliceOwnerRecord(long now, int slice, long revision, SliceOwner record) {
         SliceView view = slices[slice];
         if (revision <= view.revision) {
             return takeSteps();
         }
         view.revision = revision;
-        view.record = voice;
+        view.record = record;
         applyRecord(slice, now);
         return tick(now);
     }
 
-    /** The answer to a write. The resulting record is passed to {@link #member} or {@link #voice} before. */
+    /**
+     * The answer to a write. The resulting record is passed to {@link #memberRecord} or {@link #sliceOwnerRecord}
+     * before.
+     */
     public List<Step> writeAnswered(long now, long id, boolean applied) {
         if (id == heartbeatWrite) {
             if (applied) {
@@ -313,7 +316,7 @@
         return takeSteps();
     }
 
-    /** Starts to hand over all slices; {@link Step.Left} follows once none is held. */
+    /** Starts to hand over all slices; {@link Step.AllHandedOver} follows once none is held. */
     public List<Step> leave(long now) {
         leaving = true;
         nextHeartbeatAtNs = now;
@@ -470,8 +473,8 @@
 
     // ---- Slices.
 
-    private boolean namesSelf(SliceOwner voice) {
-        return voice.owner() == settings.memberNumber && voice.incarnation() == incarnation;
+    private boolean namesSelf(SliceOwner record) {
+        return record.owner() == settings.memberNumber && record.incarnation() == incarnation;
     }
 
     /** Turns the slice's record into an input of the transition table. */
@@ -495,21 +498,21 @@
     }
 
     /** Whether the owner that the record names may still act as owner, as far as this member can tell. */
-    private boolean ownerMayBeActive(SliceOwner voice, long now) {
-        if (voice.owner() < 0) {
+    private boolean ownerMayBeActive(SliceOwner record, long now) {
+        if (record.owner() < 0) {
             return false;
         }
-        if (ownPreviousIncarnations.contains(voice.incarnation())) {
+        if (ownPreviousIncarnations.contains(record.incarnation())) {
             return false;
         }
-        MemberView view = members.get(voice.owner());
+        MemberView view = members.get(record.owner());
         if (view == null || view.member == null) {
             return now - syncedAtNs < observedLeaseNs();
         }
-        if (view.member.incarnation() == voice.incarnation()) {
+        if (view.member.incarnation() == record.incarnation()) {
             return disabledGuards.contains(Guard.CLOSE_BEFORE_TAKEOVER) ? isLive(view, now) : !view.member.dead();
         }
-        Long replacedAtNs = view.previousIncarnations.get(voice.incarnation());
+        Long replacedAtNs = view.previousIncarnations.get(record.incarnation());
         return now - (replacedAtNs == null ? syncedAtNs : replacedAtNs) < observedLeaseNs();
     }
 
--- a/src/main/java/puffinbarrow/lease/Member.java
+++ b/src/main/java/puffinbarrow/lease/Member.java
@@ -5,7 +5,7 @@
  *
  * @param number the member number
  * @param incarnation changes with each restart of the process and each expiry of its lease
- * @param beat the number of the heartbeat within this incarnation, from 1
+ * @param heartbeat the number of the heartbeat within this incarnation, from 1
  * @param settled whether the member has been up long enough to be assigned slices
  * @param leaving whether the member is handing over its slices before it ends
  * @param flaps the number of short incarnations in a row; each doubles the wait before the member counts as settled
--- a/src/main/java/puffinbarrow/lease/OwnerChangePause.java
+++ b/src/main/java/puffinbarrow/lease/OwnerChangePause.java
@@ -168,7 +168,7 @@
         return due;
     }
 
-    /** When {@link #due} may next return a line without further input, or {@code Long.MAX_VALUE}. */
+    /** When {@link #dueLines} may next return a line without further input, or {@code Long.MAX_VALUE}. */
     public long nextAtNs() {
         long next = Long.MAX_VALUE;
         for (SliceView view : slices.values()) {
--- a/src/main/java/puffinbarrow/lease/Simulation.java
+++ b/src/main/java/puffinbarrow/lease/Simulation.java
@@ -73,14 +73,14 @@
     /**
      * Result of a run.
      *
-     * @param broken the first violation found, or null
+     * @param violation the first violation found, or null
      * @param steps the number of simulated events
-     * @param silentMs how long slices had no owner between two owners, in milliseconds
+     * @param ownerlessMs how long slices had no owner between two owners, in milliseconds
      * @param writes the number of writes that reached the store
-     * @param moves the number of times a member became the owner of a slice
+     * @param ownerChanges the number of times a member became the owner of a slice
      * @param refused the number of orders that proxies refused for an old term
-     * @param doubled the number of repeated or late orders of the current term that proxies ignored
-     * @param unevenness the difference between the most and the fewest slices held by a running member at the end
+     * @param duplicatesIgnored the number of repeated or late orders of the current term that proxies ignored
+     * @param imbalance the difference between the most and the fewest slices held by a running member at the end
      */
     public record Outcome(
             String violation,
@@ -132,10 +132,10 @@
     private boolean storeDown;
     private double storeDelayFactor = 1;
     private long writes;
-    private long moves;
+    private long ownerChanges;
     private long refused;
-    private long doubled;
-    private String broken;
+    private long duplicatesIgnored;
+    private String violation;
 
     private Simulation(Plan plan, Set<Lease.Guard> disabledGuards, boolean fencing) {
         this.plan = plan;
@@ -230,24 +230,24 @@
         }
         long end = plan.lengthNs + RECOVERY_LEASES * plan.leaseNs;
         long steps = 0;
-        while (!queue.isEmpty() && broken == null && queue.peek().atNs <= end) {
+        while (!queue.isEmpty() && violation == null && queue.peek().atNs <= end) {
             ScheduledEvent event = queue.poll();
             now = event.atNs;
             steps++;
             event.action.run();
         }
-        int unevenness = broken == null ? checkFinalState() : 0;
-        return new Outcome(broken, steps, ownerlessMs, writes, moves, refused, doubled, unevenness);
+        int imbalance = violation == null ? checkFinalState() : 0;
+        return new Outcome(violation, steps, ownerlessMs, writes, ownerChanges, refused, duplicatesIgnored, imbalance);
     }
 
     /** Records the first violation; the run ends with it. */
     private void fail(String text) {
-        if (broken == null) {
-            broken = String.format(Locale.ROOT, "at %.3f s: %s", now / 1e9, text);
+        if (violation == null) {
+            violation = String.format(Locale.ROOT, "at %.3f s: %s", now / 1e9, text);
         }
     }
 
-    /** Checks that each slice has its assigned owner among the running members; returns the unevenness. */
+    /** Checks that each slice has its assigned owner among the running members; returns the imbalance. */
     private int checkFinalState() {
         List<Integer> running = new ArrayList<>();
         for (Host host : hosts) {
@@ -541,7 +541,7 @@
         if (owners[begin.slice()] < 0 && ownerlessSinceNs[begin.slice()] > 0) {
             ownerlessMs.recordValue(Math.min(3_600_000, (now - ownerlessSinceNs[begin.slice()]) / MS));
         }
-        moves++;
+        ownerChanges++;
         owners[begin.slice()] = host.number;
     }
 
@@ -567,22 +567,22 @@
         StoredRecord record = store.getOrDefault(key, new StoredRecord(0, null));
         boolean applied = write.expected() == record.revision || write.expected() < 0;
         if (applied) {
-            if (value instanceof SliceOwner voice
+            if (value instanceof SliceOwner ownership
                     && record.value instanceof SliceOwner before
-                    && voice.term() <= before.term()
+                    && ownership.term() <= before.term()
                     && fencing) {
-                fail("slice " + key + ": the store receives term " + voice.term() + " after " + before.term());
+                fail("slice " + key + ": the store receives term " + ownership.term() + " after " + before.term());
             }
             StoredRecord next = new StoredRecord(++lastRevision, value);
             store.put(key, next);
             for (Host host : hosts) {
                 host.deliver(host.streamNumber, () -> host.perform(host.applyRecord(key, next)));
             }
-            if (value instanceof SliceOwner voice) {
+            if (value instanceof SliceOwner ownership) {
                 for (Proxy proxy : proxies) {
                     after(
                             (5 + 200 * random.nextDouble()) * MS,
-                            () -> proxy.learnTerm(Integer.parseInt(key.substring(1)), voice.term()));
+                            () -> proxy.learnTerm(Integer.parseInt(key.substring(1)), ownership.term()));
                 }
             }
         }
@@ -634,7 +634,7 @@
                 fail("a proxy takes an order of term " + order.term + " for slice " + order.slice + " after " + before);
             }
             if (order.term == before && order.sequence <= lastSequence.getOrDefault(order.slice, -1L)) {
-                doubled++;
+                duplicatesIgnored++;
                 return;
             }
             lastTerm.put(order.slice, order.term);
--- a/src/main/java/puffinbarrow/memory/Codec.java
+++ b/src/main/java/puffinbarrow/memory/Codec.java
@@ -100,10 +100,10 @@
         count++;
         if (fact instanceof Facts.ServerFact f) {
             byte[] id = f.id().getBytes(StandardCharsets.UTF_8);
-            byte[] standing = f.state().getBytes(StandardCharsets.UTF_8);
+            byte[] state = f.state().getBytes(StandardCharsets.UTF_8);
             ensureCapacity(64
                     + id.length
-                    + standing.length
+                    + state.length
                     + 8 * (f.starts().size() + f.falls().size() + f.returns().size())
                     + 24);
             buffer.put((byte) SERVER);
@@ -112,7 +112,7 @@
             putTimes(f.starts());
             putTimes(f.falls());
             putTimes(f.returns());
-            putText(standing);
+            putText(state);
             buffer.putLong(f.holdNs())
                     .putDouble(f.latencyNs())
                     .putDouble(f.size())
@@ -263,13 +263,13 @@
                 List<Long> starts = getTimes(in);
                 List<Long> falls = getTimes(in);
                 List<Long> returns = getTimes(in);
-                String standing = getText(in);
+                String state = getText(in);
                 long holdNs = in.getLong();
-                double tookNs = in.getDouble();
+                double latencyNs = in.getDouble();
                 double size = version >= 2 ? in.getDouble() : 1;
                 double load = version >= 2 ? in.getDouble() : Double.NaN;
                 Facts.Fact fact = new Facts.ServerFact(
-                        id, atNs, drainingSinceNs, starts, falls, returns, standing, holdNs, size, tookNs, load);
+                        id, atNs, drainingSinceNs, starts, falls, returns, state, holdNs, size, latencyNs, load);
                 deferred.accept(() -> visitor.fact(fact));
             }
             case SLICE -> {
@@ -287,23 +287,31 @@
             }
             case SELF -> {
                 long atNs = in.getLong();
-                long runNs = in.getLong();
+                long monotonicNs = in.getLong();
                 long incarnation = in.getLong();
-                boolean cleanEnd = in.get() != 0;
+                boolean cleanShutdown = in.get() != 0;
                 double calmLoad = in.getDouble();
                 double shed = in.getDouble();
-                boolean strained = in.get() != 0;
+                boolean overloaded = in.get() != 0;
                 int count = in.getInt();
                 if (count < 0 || count > in.remaining() / 4) {
                     throw new CorruptException("invalid number of slices: " + count);
                 }
-                List<Integer> charges = new ArrayList<>(count);
+                List<Integer> heldSlices = new ArrayList<>(count);
                 for (int i = 0; i < count; i++) {
-                    charges.add(in.getInt());
+                    heldSlices.add(in.getInt());
                 }
                 double calmWhole = version >= 2 ? in.getDouble() : 0;
                 Facts.Fact fact = new Facts.CoordinatorFact(
-                        atNs, runNs, incarnation, cleanEnd, charges, calmLoad, calmWhole, shed, strained);
+                        atNs,
+                        monotonicNs,
+                        incarnation,
+                        cleanShutdown,
+                        heldSlices,
+                        calmLoad,
+                        calmWhole,
+                        shed,
+                        overloaded);
                 deferred.accept(() -> visitor.fact(fact));
             }
             case REMOVED -> {
--- a/src/main/java/puffinbarrow/memory/CrashRecoveryCheck.java
+++ b/src/main/java/puffinbarrow/memory/CrashRecoveryCheck.java
@@ -97,7 +97,7 @@
             if (violation != null) {
                 wrong++;
                 evidence.add("round " + round + ": " + violation + "; " + contents.messages());
-            } else if (contents.whole()) {
+            } else if (contents.complete()) {
                 whole++;
             } else {
                 ignored++;
--- a/src/main/java/puffinbarrow/memory/FactCollector.java
+++ b/src/main/java/puffinbarrow/memory/FactCollector.java
@@ -17,28 +17,28 @@
  * in simulated time; an event costs a few map operations. Does no I/O; the wall time is passed in, in nanoseconds.
  */
 public final class FactCollector {
-    /** What is known of a server; see {@link Facts.OfServer} for the fields. */
-    private static final class ServerNotes {
+    /** What is known of a server; see {@link Facts.ServerFact} for the fields. */
+    private static final class ServerState {
         boolean listed;
         long drainingSinceNs;
         final List<Long> starts = new ArrayList<>();
         final List<Long> falls = new ArrayList<>();
         final List<Long> returns = new ArrayList<>();
         double size = 1;
-        double tookNs;
+        double latencyNs;
         double load = Double.NaN;
         double holdNs;
     }
 
-    private static final class SliceNotes {
+    private static final class SliceState {
         final TreeMap<String, Double> lines = new TreeMap<>();
         double demand;
         long version;
     }
 
-    private final Map<String, ServerNotes> servers = new HashMap<>();
-    private final Map<Integer, SliceNotes> slices = new HashMap<>();
-    private final TreeSet<Integer> charges = new TreeSet<>();
+    private final Map<String, ServerState> servers = new HashMap<>();
+    private final Map<Integer, SliceState> slices = new HashMap<>();
+    private final TreeSet<Integer> heldSlices = new TreeSet<>();
     private final Set<String> dirtyServers = new HashSet<>();
     private final Set<Integer> dirtySlices = new HashSet<>();
     private final long incarnation;
@@ -52,7 +52,7 @@
     public void resume(Facts.Image image) {
         for (Facts.Fact fact : image.all()) {
             if (fact instanceof Facts.ServerFact f) {
-                ServerNotes server = new ServerNotes();
+                ServerState server = new ServerState();
                 server.listed = !f.starts().isEmpty();
                 server.starts.addAll(f.starts());
                 server.falls.addAll(f.falls());
@@ -63,25 +63,25 @@
         }
     }
 
-    /** Takes note of events that the coordinator received. */
+    /** Updates the collected state from events that the coordinator received. */
     public void recordEvents(long wallNs, Collection<Event> events) {
         for (Event event : events) {
             if (event instanceof Event.ServerList e && e.kind() != Event.ListKind.BROKEN) {
                 applyList(wallNs, e);
             } else if (event instanceof Event.ServerSums e) {
-                ServerNotes server = servers.get(e.server());
+                ServerState server = servers.get(e.server());
                 if (server != null) {
-                    server.tookNs = e.tookNs();
+                    server.latencyNs = e.tookNs();
                     server.load = e.report().getOrDefault(Event.Measure.BUSY, server.load);
                     dirtyServers.add(e.server());
                 }
             } else if (event instanceof Event.SliceDemand e) {
-                notesOf(e.slice()).demand = e.flows();
+                sliceState(e.slice()).demand = e.flows();
             } else if (event instanceof Event.SliceCharge e) {
-                boolean changed = e.given() ? charges.add(e.slice()) : charges.remove(e.slice());
-                notesOf(e.slice()).lines.clear();
+                boolean changed = e.given() ? heldSlices.add(e.slice()) : heldSlices.remove(e.slice());
+                sliceState(e.slice()).lines.clear();
             } else if (event instanceof Event.StoredLine e) {
-                notesOf(e.slice()).lines.put(e.server(), e.weight());
+                sliceState(e.slice()).lines.put(e.server(), e.weight());
             }
         }
     }
@@ -90,7 +90,7 @@
         Set<String> listedIds = new HashSet<>();
         for (Event.Entry entry : list.entries()) {
             listedIds.add(entry.server());
-            ServerNotes server = servers.computeIfAbsent(entry.server(), s -> new ServerNotes());
+            ServerState server = servers.computeIfAbsent(entry.server(), s -> new ServerState());
             dirtyServers.add(entry.server());
             if (entry.listed() == Event.Listed.READY) {
                 boolean newStart =
@@ -124,7 +124,7 @@
         }
     }
 
-    private static void recordDeparture(long wallNs, ServerNotes server) {
+    private static void recordDeparture(long wallNs, ServerState server) {
         if (server.listed) {
             addTime(server.falls, wallNs);
         }
@@ -139,15 +139,15 @@
         }
     }
 
-    private SliceNotes notesOf(int number) {
-        return slices.computeIfAbsent(number, n -> new SliceNotes());
+    private SliceState sliceState(int number) {
+        return slices.computeIfAbsent(number, n -> new SliceState());
     }
 
-    /** Takes note of lines that the coordinator ordered. */
+    /** Updates the tables of slices from lines that the coordinator ordered. */
     public void recordOrders(Collection<Order> orders) {
         for (Order order : orders) {
             if (order instanceof Order.SetLine o) {
-                SliceNotes slice = notesOf(o.table());
+                SliceState slice = sliceState(o.table());
                 slice.lines.compute(o.server(), (s, was) -> o.weight() > 0 ? o.weight() : null);
                 slice.version++;
                 dirtySlices.add(o.table());
@@ -159,11 +159,12 @@
      * Returns the facts changed since the last call, and the coordinator's own fact.
      *
      * @param wallNs the wall time
-     * @param runNs the same moment on the coordinator's monotonic clock
-     * @param cleanEnd whether the coordinator is shutting down in order
+     * @param monotonicNs the same moment on the coordinator's monotonic clock
+     * @param cleanShutdown whether the coordinator is shutting down in order
      * @param known the values that the decision logic wants remembered
      */
-    public List<Facts.Fact> takeChangedFacts(long wallNs, long runNs, boolean cleanEnd, List<Event.Recalled> known) {
+    public List<Facts.Fact> takeChangedFacts(
+            long wallNs, long monotonicNs, boolean cleanShutdown, List<Event.Recalled> known) {
         double[] fleetValues = new double[Event.Recall.values().length];
         Map<String, Double> holdNsByServer = new HashMap<>();
         for (Event.Recalled recalled : known) {
@@ -182,7 +183,7 @@
         });
         List<Facts.Fact> facts = new ArrayList<>(dirtyServers.size() + dirtySlices.size() + 1);
         for (String id : dirtyServers) {
-            ServerNotes server = servers.get(id);
+            ServerState server = servers.get(id);
             facts.add(new Facts.ServerFact(
                     id,
                     wallNs,
@@ -195,11 +196,11 @@
                             : !server.listed ? "gone" : server.holdNs > 0 ? "held" : "well",
                     (long) server.holdNs,
                     server.size,
-                    server.tookNs,
+                    server.latencyNs,
                     server.load));
         }
         for (int number : dirtySlices) {
-            SliceNotes slice = slices.get(number);
+            SliceState slice = slices.get(number);
             List<Facts.Line> lines = new ArrayList<>(slice.lines.size());
             slice.lines.forEach((server, weight) -> lines.add(new Facts.Line(server, weight)));
             facts.add(new Facts.SliceFact(number, wallNs, lines, slice.demand, slice.version));
@@ -208,10 +209,10 @@
         dirtySlices.clear();
         facts.add(new Facts.CoordinatorFact(
                 wallNs,
-                runNs,
+                monotonicNs,
                 incarnation,
-                cleanEnd,
-                List.copyOf(charges),
+                cleanShutdown,
+                List.copyOf(heldSlices),
                 fleetValues[Event.Recall.CALM_LOAD.ordinal()],
                 fleetValues[Event.Recall.CALM_WHOLE.ordinal()],
                 fleetValues[Event.Recall.SHED.ordinal()],
--- a/src/main/java/puffinbarrow/memory/FactWriter.java
+++ b/src/main/java/puffinbarrow/memory/FactWriter.java
@@ -69,16 +69,16 @@
      * @param maxPendingKeys the most facts that may wait for the disk
      */
     public static FactWriter open(Path folder, long maxBytes, int maxPendingKeys) {
-        FactWriter keeper = new FactWriter(folder, maxBytes, maxPendingKeys);
-        keeper.tryOpen();
-        if (keeper.store != null) {
+        FactWriter factWriter = new FactWriter(folder, maxBytes, maxPendingKeys);
+        factWriter.tryOpen();
+        if (factWriter.store != null) {
             // A copy, because the store changes its own image.
             Facts.Image copy = new Facts.Image();
-            keeper.store.image().all().forEach(copy::put);
-            keeper.remembered = copy;
+            factWriter.store.image().all().forEach(copy::put);
+            factWriter.remembered = copy;
         }
-        keeper.writer.start();
-        return keeper;
+        factWriter.writer.start();
+        return factWriter;
     }
 
     /** Returns the facts read at start, from the previous run of the coordinator. */
--- a/src/main/java/puffinbarrow/memory/Facts.java
+++ b/src/main/java/puffinbarrow/memory/Facts.java
@@ -27,11 +27,11 @@
      * @param starts the start times that the discovery list stated, on that list's clock, newest last
      * @param falls when the server left the list or was found restarted, newest last
      * @param returns when it came back, newest last
-     * @param standing one of {@code well}, {@code held}, {@code draining}, {@code gone}
+     * @param state one of {@code well}, {@code held}, {@code draining}, {@code gone}
      * @param holdNs length of the latest hold, during which a failed server gets no traffic, or 0; doubles while
      *     trials fail
      * @param size the server's capacity weight as listed
-     * @param tookNs the mean latency in the latest report, in nanoseconds
+     * @param latencyNs the mean latency in the latest report, in nanoseconds
      * @param load the latest reported value of {@code Measure.BUSY}, or NaN if unknown
      */
     public record ServerFact(
@@ -79,14 +79,14 @@
      * The coordinator itself.
      *
      * @param atNs when the fact was recorded
-     * @param runNs the same moment on the coordinator's monotonic clock, which reveals jumps of the wall clock
+     * @param monotonicNs the same moment on the coordinator's monotonic clock, which reveals jumps of the wall clock
      * @param incarnation the coordinator's incarnation
-     * @param cleanEnd whether this was written by an orderly shutdown
-     * @param charges the slices that the coordinator held
+     * @param cleanShutdown whether this was written by an orderly shutdown
+     * @param heldSlices the slices that the coordinator held
      * @param calmLoad the highest demand per unit of available capacity that the fleet has handled without overload
      * @param calmWhole the same per unit of the whole fleet's capacity
      * @param shed the amount of traffic being shed, in traffic groups, with fractions
-     * @param strained whether the fleet was overloaded
+     * @param overloaded whether the fleet was overloaded
      */
     public record CoordinatorFact(
             long atNs,
--- a/src/main/java/puffinbarrow/memory/FolderInspector.java
+++ b/src/main/java/puffinbarrow/memory/FolderInspector.java
@@ -17,10 +17,10 @@
     /**
      * Contents of a folder.
      *
-     * @param whole whether a complete snapshot was found
+     * @param complete whether a complete snapshot was found
      * @param commit the number of the last commit in the image
      * @param image the facts found
-     * @param words one line for each file that was used or rejected
+     * @param messages one line for each file that was used or rejected
      */
     public record Found(boolean complete, long commit, Facts.Image image, List<String> messages) {}
 
@@ -32,7 +32,7 @@
             throw new IOException("no folder " + folder);
         }
         Store.Contents contents = Store.read(new RealDisk(folder));
-        return new Found(contents.whole(), contents.sequence(), contents.image(), contents.messages());
+        return new Found(contents.complete(), contents.sequence(), contents.image(), contents.messages());
     }
 
     /** Replaces the files by one snapshot of the valid contents; fails if a coordinator is using the folder. */
--- a/src/main/java/puffinbarrow/memory/Store.java
+++ b/src/main/java/puffinbarrow/memory/Store.java
@@ -11,7 +11,7 @@
  * Durable storage of facts in one directory: in each generation a snapshot, and a journal of the commits after it. A
  * batch is committed by one write and a force; a new generation by the rename of its snapshot, which is complete and
  * forced before. At any moment the newest complete snapshot plus the valid prefix of its journal is a consistent state
- * no older than the last acknowledged commit. Not thread-safe; {@link Keeper} uses it on its writer thread.
+ * no older than the last acknowledged commit. Not thread-safe; {@link FactWriter} uses it on its writer thread.
  */
 final class Store implements AutoCloseable {
     /**
@@ -19,10 +19,10 @@
      *
      * @param image the facts found
      * @param sequence the number of the last commit in the image, or 0
-     * @param whole whether a complete snapshot was found
+     * @param complete whether a complete snapshot was found
      * @param messages one line for each file that was used or rejected
      */
-    record Contents(Facts.Image image, long sequence, boolean whole, List<String> messages) {}
+    record Contents(Facts.Image image, long sequence, boolean complete, List<String> messages) {}
 
     private static final String SNAPSHOT = "snapshot-";
     private static final String JOURNAL = "journal-";
--- a/src/main/java/puffinbarrow/replay/CoordinatorAdapter.java
+++ b/src/main/java/puffinbarrow/replay/CoordinatorAdapter.java
@@ -145,7 +145,7 @@
         registryListener = net.listen(any, 64 << 20, channel -> accept(true));
         storeListener = net.listen(any, 64 << 20, channel -> accept(false));
         backendsListener = net.listen(any, 1 << 20, channel -> new ProbeReceiver());
-        CoordinatorConfig config = CoordinatorConfig.coordinatorCount(settings, seed);
+        CoordinatorConfig config = CoordinatorConfig.fromSettings(settings, seed);
         config.registry = registryListener.address();
         config.store = settings.slices() > 0 ? storeListener.address() : null;
         // Each batch is a turn; no tick and no idle time-out may come between.
--- a/src/main/java/puffinbarrow/standin/Backend.java
+++ b/src/main/java/puffinbarrow/standin/Backend.java
@@ -68,7 +68,7 @@
     private final Recorder recorder;
     private final UniformRandomProvider random;
     /** A cold backend that gets more than {@link #fallMultiple} times its present capacity for so long crashes. */
-    private final long fallNs;
+    private final long overloadNs;
 
     private final double fallMultiple;
     private final InetSocketAddress address;
@@ -80,7 +80,7 @@
     private final Map<String, Long> cachedKeys = new LinkedHashMap<>(64, 0.75f, true);
     /** When each flow that it still remembers finished, oldest first. */
     private final Map<Long, Long> finishedAt = new LinkedHashMap<>();
-    /** Time and work of each flow received during the last {@link #fallNs} of the cold phase. */
+    /** Time and work of each flow received during the last {@link #overloadNs} of the cold phase. */
     private final ArrayDeque<long[]> recentWork = new ArrayDeque<>();
 
     private double recentWorkNs;
@@ -124,17 +124,17 @@
      * Listens at once.
      *
      * @param fallMultiple multiple of its present capacity that a cold backend withstands
-     * @param fallNs time for which the overload must last to crash it
+     * @param overloadNs time for which the overload must last to crash it
      */
     public Backend(
-            Net net, Shape shape, Recorder recorder, UniformRandomProvider random, double fallMultiple, long fallNs)
+            Net net, Shape shape, Recorder recorder, UniformRandomProvider random, double fallMultiple, long overloadNs)
             throws IOException {
         this.net = net;
         this.shape = shape;
         this.recorder = recorder;
         this.random = random;
         this.fallMultiple = fallMultiple;
-        this.fallNs = fallNs;
+        this.overloadNs = overloadNs;
         this.listener = net.listen(new InetSocketAddress("127.0.0.1", 0), 1 << 20, channel -> new Stream());
         this.address = listener.address();
         this.id = "127.0.0.1:" + address.getPort();
@@ -369,16 +369,16 @@
 
     /** Counts the work of a flow, and returns whether the backend, being cold, crashes under its recent work. */
     private boolean isOverloaded(long now, long workNs) {
-        if (startedAt == 0 || now - startedAt > shape.coldNs + fallNs) {
+        if (startedAt == 0 || now - startedAt > shape.coldNs + overloadNs) {
             return false;
         }
         recentWork.addLast(new long[] {now, workNs});
         recentWorkNs += workNs;
-        while (now - recentWork.peekFirst()[0] > fallNs) {
+        while (now - recentWork.peekFirst()[0] > overloadNs) {
             recentWorkNs -= recentWork.pollFirst()[1];
         }
         // The same tolerance of ten percent as the audit.
-        if (recentWorkNs > 1.1 * fallMultiple * shape.cores * shape.speed * warmth(now) * fallNs) {
+        if (recentWorkNs > 1.1 * fallMultiple * shape.cores * shape.speed * warmth(now) * overloadNs) {
             crashedUnderLoad = true;
         }
         return crashedUnderLoad;
--- a/src/main/java/puffinbarrow/standin/DelayedServer.java
+++ b/src/main/java/puffinbarrow/standin/DelayedServer.java
@@ -83,7 +83,7 @@
         answerStyle = how;
     }
 
-    /** Answers nothing for that long from now; answers that fall dueAt meanwhile are sent at its end. */
+    /** Answers nothing for that long from now; answers that fall due meanwhile are sent at its end. */
     public void stall(long ns) {
         stalledFrom = System.nanoTime();
         stalledUntil = stalledFrom + ns;
@@ -102,7 +102,7 @@
     private final class Stream implements Link.Receiver {
         private final HttpParser parser = new HttpParser(true, 1 << 20, this::onRequest);
         private Link link;
-        /** The answer was sent already, with {@link Manner#EARLY}. */
+        /** The answer was sent already, with {@link AnswerStyle#EARLY}. */
         private boolean early;
 
         @Override
--- a/src/main/java/puffinbarrow/standin/PooledHttpClient.java
+++ b/src/main/java/puffinbarrow/standin/PooledHttpClient.java
@@ -33,8 +33,8 @@
             return outcome == Outcome.ANSWERED && answer.first().equals("200");
         }
 
-        /** Returns whether the work is proven never to have run: it was refused, or no connection was made. */
-        boolean proof() {
+        /** Returns whether the attempt provably never ran: it was refused, or no connection was made. */
+        boolean provenNotRun() {
             return outcome == Outcome.CONNECT_FAILED
                     || outcome == Outcome.ANSWERED && answer.first().equals("503");
         }
--- a/src/main/java/puffinbarrow/standin/Registry.java
+++ b/src/main/java/puffinbarrow/standin/Registry.java
@@ -53,12 +53,12 @@
         return listener.address();
     }
 
-    /** Adds, changes or removes an entry; coordinators are told after their delay. */
+    /** Adds, changes or removes an entry; coordinators are notified after their delay. */
     public void update(Event.Entry entry) {
         update(List.of(entry));
     }
 
-    /** Adds, changes or removes entries; coordinators are told of all of them together. */
+    /** Adds, changes or removes entries; coordinators are notified of all of them together. */
     public synchronized void update(List<Event.Entry> changed) {
         version++;
         for (Event.Entry entry : changed) {
--- a/src/main/java/puffinbarrow/standin/StandInProxy.java
+++ b/src/main/java/puffinbarrow/standin/StandInProxy.java
@@ -38,7 +38,7 @@
  */
 public final class StandInProxy implements AutoCloseable {
     /**
-     * How the proxy behaves.
+     * Simulated delays of the proxy, and when it avoids a server or times out an attempt.
      *
      * @param transitNs mean transit time of orders
      * @param applyNsPerLine time in which one line of orders takes effect
@@ -82,7 +82,7 @@
         long tries;
         long dropped;
         /** Total time of the successful attempts. */
-        long tookNs;
+        long latencyNs;
         /** The latest load report of the server. */
         Map<Event.Measure, Double> report = Map.of();
     }
@@ -107,7 +107,7 @@
         /** Flows and failures by slice and group ({@code slice << 8 | group}), since the latest report. */
         Map<Long, long[]> demand = new TreeMap<>();
         /** Where to send to; null while the stream is down. */
-        FrameSink outlet;
+        FrameSink sink;
         /** The first of the pending orders is scheduled. */
         boolean applying;
         /** Whether a stream to this coordinator has been up since the proxy's start. */
@@ -131,7 +131,7 @@
     private final int number;
     private final int zone;
     private final CoordinatorConfig config;
-    private final Timings habits;
+    private final Timings timings;
     private final Recorder recorder;
     private final UniformRandomProvider random;
     private final PooledHttpClient httpClient;
@@ -151,7 +151,7 @@
 
     private Dialer store;
     /** Where to send to the store; null while the stream is down. */
-    private FrameSink storeOutlet;
+    private FrameSink storeSink;
     /** When the stream to the store broke last. */
     private long storeLostAt = System.nanoTime();
     /** Number of the latest report. */
@@ -172,7 +172,7 @@
             int number,
             int zone,
             CoordinatorConfig config,
-            Timings habits,
+            Timings timings,
             Recorder recorder,
             UniformRandomProvider random)
             throws IOException {
@@ -180,7 +180,7 @@
         this.number = number;
         this.zone = zone;
         this.config = config;
-        this.habits = habits;
+        this.timings = timings;
         this.recorder = recorder;
         this.random = random;
         this.httpClient = new PooledHttpClient(net);
@@ -276,8 +276,8 @@
                 recorder.add(new Observation.OrdersApplied(
                         System.nanoTime(), number, session.number, System.nanoTime(), lifted));
             }
-            session.lostAt = up == null && session.outlet != null ? System.nanoTime() : session.lostAt;
-            session.outlet = up;
+            session.lostAt = up == null && session.sink != null ? System.nanoTime() : session.lostAt;
+            session.sink = up;
             session.joinedBefore |= up != null;
             // Orders in transit are lost with the stream; applied ones stay.
             session.pending.clear();
@@ -301,9 +301,9 @@
                     orders.orders().size()));
             synchronized (this) {
                 // Transit takes 0.5 to 1.5 times the mean, but keeps the order; the time of the lines is added.
-                long transit = (long) (habits.transitNs * (0.5 + random.nextDouble()));
+                long transit = (long) (timings.transitNs * (0.5 + random.nextDouble()));
                 long dueNs = Math.max(session.lastDueNs, System.nanoTime() + transit)
-                        + orders.orders().size() * habits.applyNsPerLine;
+                        + orders.orders().size() * timings.applyNsPerLine;
                 session.lastDueNs = dueNs;
                 session.pending.addLast(new PendingOrders(orders, dueNs));
             }
@@ -380,7 +380,7 @@
             }
             recorder.add(new Observation.OrdersApplied(
                     System.nanoTime(), number, session.number, orders.orderedAtNs(), applied));
-            to = session.outlet;
+            to = session.sink;
         }
         if (to != null) {
             refusals.forEach(refusal -> to.send(FrameWriter.encode(refusal)));
@@ -418,8 +418,8 @@
 
     private void onStoreStreamChange(FrameSink up) {
         synchronized (this) {
-            storeLostAt = up == null && storeOutlet != null ? System.nanoTime() : storeLostAt;
-            storeOutlet = up;
+            storeLostAt = up == null && storeSink != null ? System.nanoTime() : storeLostAt;
+            storeSink = up;
         }
         readStore(-1);
     }
@@ -428,7 +428,7 @@
     private void readStore(int slice) {
         FrameSink to;
         synchronized (this) {
-            to = storeOutlet;
+            to = storeSink;
         }
         if (to != null) {
             to.send(FrameWriter.encode(new Frame.ReadSlice(slice)));
@@ -549,7 +549,7 @@
                 }
             }
             if (server == null) {
-                if (attempt == 0 && now - receivedAt < habits.holdNs) {
+                if (attempt == 0 && now - receivedAt < timings.holdNs) {
                     net.schedule(HOLD_CHECK_MS, this::send);
                 } else {
                     block();
@@ -563,7 +563,7 @@
             boolean retryMayFollow = (retry == Order.Retry.ONCE || retry == Order.Retry.TWICE) && mayRetry(retry);
             if (retryMayFollow) {
                 timeout = Math.min(timeout, (long)
-                        (habits.attemptBudgets * config.groups.get(group).budgetNs()));
+                        (timings.attemptBudgets * config.groups.get(group).budgetNs()));
             }
             String text = "POST /flow HTTP/1.1\r\nhost: " + server + "\r\nx-flow: " + id + "\r\nx-slice: " + slice
                     + "\r\nx-group: " + group + "\r\nx-key: " + request.header("x-key") + "\r\nx-work-ns: " + workNs
@@ -596,8 +596,8 @@
         private boolean mayWrite(CoordinatorSession session, long now) {
             return config.groups.get(group).retrySafety() == CoordinatorConfig.RetrySafety.RETRIABLE
                     || session != null
-                            && (session.outlet != null || now - session.lostAt < config.proxyLeaseNs)
-                            && (storeOutlet != null || now - storeLostAt < config.proxyLeaseNs);
+                            && (session.sink != null || now - session.lostAt < config.proxyLeaseNs)
+                            && (storeSink != null || now - storeLostAt < config.proxyLeaseNs);
         }
 
         /** Returns a random server by weight that was not tried yet; null if there is none. */
@@ -638,14 +638,14 @@
             boolean again;
             synchronized (StandInProxy.this) {
                 recorder.add(new Observation.AttemptEnded(
-                        now, number, id, attemptNumber - 1, result.good(), result.proof()));
+                        now, number, id, attemptNumber - 1, result.good(), result.provenNotRun()));
                 recordOutcome(server, sentAt, now, result);
                 Order.Retry retry = retry();
                 again = !result.good()
                         && now < expiresAt - MIN_TIME_FOR_RETRY_NS
                         && switch (retry) {
                             case NEVER -> false;
-                            case ON_PROOF -> result.proof() && attempt < 2;
+                            case ON_PROOF -> result.provenNotRun() && attempt < 2;
                             case ONCE, TWICE -> mayRetry(retry);
                         }
                         && tables.getOrDefault(slice, new TreeMap<>()).size() > 1;
@@ -656,7 +656,7 @@
             } else if (again) {
                 send();
             } else {
-                answer(502, "Bad Gateway", result.proof() ? "x-proof: 1\r\n" : "");
+                answer(502, "Bad Gateway", result.provenNotRun() ? "x-proof: 1\r\n" : "");
             }
         }
 
@@ -667,7 +667,7 @@
                 ServerTotals totals = session.totals.computeIfAbsent(server, s -> new ServerTotals());
                 totals.tries++;
                 if (result.good()) {
-                    totals.tookNs += now - sentAt;
+                    totals.latencyNs += now - sentAt;
                 } else {
                     totals.dropped++;
                     session.demand.computeIfAbsent((long) slice << 8 | group, k -> new long[2])[1]++;
@@ -679,9 +679,9 @@
             }
             AvoidedServer state = avoided.computeIfAbsent(server, s -> new AvoidedServer());
             state.failures = result.good() ? 0 : state.failures + 1;
-            if (habits.failuresToAvoid > 0 && state.failures >= habits.failuresToAvoid) {
+            if (timings.failuresToAvoid > 0 && state.failures >= timings.failuresToAvoid) {
                 state.failures = 0;
-                state.until = now + habits.avoidNs;
+                state.until = now + timings.avoidNs;
             }
         }
 
@@ -708,7 +708,7 @@
 
     // ---- Reports.
 
-    /** Sends totals and demand of the past round to each coordinator, after the delay of {@link Habits}. */
+    /** Sends totals and demand of the past round to each coordinator, after the delay of {@link Timings}. */
     private void report() {
         if (closed) {
             return;
@@ -720,7 +720,7 @@
             for (CoordinatorSession session : sessions.values()) {
                 List<Frame.Met> met = new ArrayList<>();
                 session.totals.forEach((server, totals) ->
-                        met.add(new Frame.Met(server, totals.tries, totals.dropped, totals.tookNs, totals.report)));
+                        met.add(new Frame.Met(server, totals.tries, totals.dropped, totals.latencyNs, totals.report)));
                 List<Frame.Came> came = new ArrayList<>();
                 session.demand.forEach((key, counts) -> {
                     if (counts[0] > 0) {
@@ -730,7 +730,7 @@
                 });
                 session.totals = new TreeMap<>();
                 session.demand = new TreeMap<>();
-                FrameSink to = session.outlet;
+                FrameSink to = session.sink;
                 if (to != null && !closed) {
                     Frame sums = new Frame.Sums(zone, round, config.roundNs, met);
                     Frame demand = new Frame.Demand(round, config.roundNs, came);
@@ -741,7 +741,7 @@
                 }
             }
         }
-        sends.forEach(send -> net.schedule(habits.reportDelayNs / 1_000_000, send));
+        sends.forEach(send -> net.schedule(timings.reportDelayNs / 1_000_000, send));
         net.timer().schedule(this::report, config.roundNs, TimeUnit.NANOSECONDS);
     }
 
--- a/src/main/java/puffinbarrow/standin/Store.java
+++ b/src/main/java/puffinbarrow/standin/Store.java
@@ -59,7 +59,7 @@
     /** The latest revision of any record. */
     private long revisions;
 
-    private boolean setUnavailable;
+    private boolean unavailable;
     /** Coordinators that cannot reach the store. */
     private final Set<Integer> cut = new HashSet<>();
     /** Share of answers to writes that are lost, 0 to 1. */
@@ -110,11 +110,11 @@
         return refusedWrites;
     }
 
-    /** While away, all streams are closed and new ones refused; the records stay. */
+    /** While unavailable, all streams are closed and new ones refused; the records stay. */
     public void setUnavailable(boolean on) {
         List<Stream> open = new ArrayList<>();
         synchronized (this) {
-            setUnavailable = on;
+            unavailable = on;
             if (on) {
                 open.addAll(coordinatorStreams.values());
                 open.addAll(readers);
@@ -300,7 +300,7 @@
 
         private void onFrame(Frame frame) {
             synchronized (Store.this) {
-                if (setUnavailable
+                if (unavailable
                         || frame instanceof Frame.Hello h
                                 && h.role() == Frame.Role.COORDINATOR
                                 && cut.contains(h.number())) {
--- a/src/test/java/puffinbarrow/audit/AuditTest.java
+++ b/src/test/java/puffinbarrow/audit/AuditTest.java
@@ -14,7 +14,7 @@
 
 /** The audit of handwritten recordings in which each rule is just kept or just broken. Times are milliseconds. */
 class AuditTest {
-    private final List<Observation> seen = new ArrayList<>();
+    private final List<Observation> observations = new ArrayList<>();
     private long flow;
 
     private static CoordinatorConfig config(String slicesLine) {
@@ -32,38 +32,39 @@
         return ms * 1_000_000;
     }
 
-    private void listTold(long at, Event.Listed listed, long started, String... servers) {
+    private void listSent(long at, Event.Listed listed, long started, String... servers) {
         List<Event.Entry> entries = new ArrayList<>();
         for (String server : servers) {
             entries.add(new Event.Entry(server, 0, 0, 0, listed, 1, started));
         }
-        seen.add(new Observation.ListSent(ms(at), 0, Event.ListKind.PATCH, entries));
+        observations.add(new Observation.ListSent(ms(at), 0, Event.ListKind.PATCH, entries));
     }
 
     private void applied(long at, Order... orders) {
-        seen.add(new Observation.OrdersApplied(ms(at), 0, 0, ms(at), List.of(orders)));
+        observations.add(new Observation.OrdersApplied(ms(at), 0, 0, ms(at), List.of(orders)));
     }
 
     private Observation.AttemptSent sent(long at, String server, int group, long workMs) {
         Observation.AttemptSent sent =
                 new Observation.AttemptSent(ms(at), 0, server, 1, group, flow++, 0, ms(workMs), 0);
-        seen.add(sent);
+        observations.add(sent);
         return sent;
     }
 
     /** The first attempt ends without an answer, and the flow is sent again to server b. */
-    private void sendAgain(Observation.AttemptSent first, long at, boolean proof) {
-        seen.add(new Observation.AttemptEnded(ms(at), 0, first.flow(), 0, false, proof));
-        seen.add(new Observation.AttemptSent(ms(at), 0, "b", 1, first.group(), first.flow(), 1, first.workNs(), 0));
+    private void sendAgain(Observation.AttemptSent first, long at, boolean provenNotRun) {
+        observations.add(new Observation.AttemptEnded(ms(at), 0, first.flow(), 0, false, provenNotRun));
+        observations.add(
+                new Observation.AttemptSent(ms(at), 0, "b", 1, first.group(), first.flow(), 1, first.workNs(), 0));
     }
 
-    private void ran(long at, String server, int zone, int group, long flow) {
-        seen.add(new Observation.WorkChanged(ms(at), server, zone, 0, 1, group, flow, true));
+    private void workBegan(long at, String server, int zone, int group, long flow) {
+        observations.add(new Observation.WorkChanged(ms(at), server, zone, 0, 1, group, flow, true));
     }
 
     private TreeSet<Rule> broken(String slicesLine) {
         TreeSet<Rule> rules = new TreeSet<>();
-        Audit.judge(config(slicesLine), seen, 0).findings().forEach(f -> rules.add(f.rule()));
+        Audit.judge(config(slicesLine), observations, 0).findings().forEach(f -> rules.add(f.rule()));
         return rules;
     }
 
@@ -73,11 +74,11 @@
 
     @BeforeEach
     void setUpProxyWithTwoServersForSliceOne() {
-        listTold(0, Event.Listed.READY, 0, "a", "b", "c");
-        seen.add(new Observation.ChargeSent(ms(0), 0, 1, true));
-        seen.add(new Observation.StreamChanged(ms(0), 0, 0, true));
-        seen.add(new Observation.OwnerRead(ms(0), 0, 1, 0));
-        seen.add(new Observation.TableRead(
+        listSent(0, Event.Listed.READY, 0, "a", "b", "c");
+        observations.add(new Observation.ChargeSent(ms(0), 0, 1, true));
+        observations.add(new Observation.StreamChanged(ms(0), 0, 0, true));
+        observations.add(new Observation.OwnerRead(ms(0), 0, 1, 0));
+        observations.add(new Observation.TableRead(
                 ms(0), 0, 1, List.of(new Order.SetLine(1, "a", 1), new Order.SetLine(1, "b", 1))));
     }
 
@@ -93,16 +94,16 @@
 
     @Test
     void bareWithoutAWarmServerOnTheListIsNoBreach() {
-        listTold(900, Event.Listed.GONE, 0, "a", "b", "c");
-        listTold(900, Event.Listed.READY, ms(800), "d");
+        listSent(900, Event.Listed.GONE, 0, "a", "b", "c");
+        listSent(900, Event.Listed.READY, ms(800), "d");
         applied(1000, new Order.Mask("a", true), new Order.Mask("b", true));
-        listTold(9000, Event.Listed.READY, ms(800), "d");
+        listSent(9000, Event.Listed.READY, ms(800), "d");
         assertBroken();
     }
 
     @Test
     void sendingAfterTheGracePeriodIsABreach() {
-        listTold(1000, Event.Listed.DRAINING, 0, "a");
+        listSent(1000, Event.Listed.DRAINING, 0, "a");
         sent(1900, "a", 0, 1);
         assertBroken();
         sent(2100, "a", 0, 1);
@@ -111,18 +112,18 @@
 
     @Test
     void gracePeriodStartsWhenAProxyJoinsLater() {
-        listTold(1000, Event.Listed.DRAINING, 0, "a");
-        seen.add(new Observation.StreamChanged(ms(1200), 0, 0, false));
+        listSent(1000, Event.Listed.DRAINING, 0, "a");
+        observations.add(new Observation.StreamChanged(ms(1200), 0, 0, false));
         sent(2500, "a", 0, 1);
-        seen.add(new Observation.StreamChanged(ms(2600), 0, 0, true));
+        observations.add(new Observation.StreamChanged(ms(2600), 0, 0, true));
         sent(3500, "a", 0, 1);
         assertBroken();
     }
 
     @Test
     void serverThatReturnedMayBeUsed() {
-        listTold(1000, Event.Listed.GONE, 0, "a");
-        listTold(3000, Event.Listed.READY, ms(2900), "a");
+        listSent(1000, Event.Listed.GONE, 0, "a");
+        listSent(3000, Event.Listed.READY, ms(2900), "a");
         sent(5000, "a", 0, 1);
         assertBroken();
     }
@@ -131,8 +132,8 @@
     void flowsMayRepeatOnlyOnProofOrInScope() {
         sendAgain(sent(100, "a", 0, 1), 200, false);
         sendAgain(sent(100, "a", 2, 1), 200, true);
-        ran(100, "a", 0, 1, 50);
-        ran(500, "b", 0, 1, 50);
+        workBegan(100, "a", 0, 1, 50);
+        workBegan(500, "b", 0, 1, 50);
         assertBroken();
         sendAgain(sent(300, "a", 2, 1), 400, false);
         assertBroken(Rule.TWICE);
@@ -140,26 +141,26 @@
 
     @Test
     void dedupedEffectInAnotherZoneOrAfterItsWindowIsABreach() {
-        ran(100, "a", 0, 1, 50);
-        ran(200, "b", 1, 1, 50);
+        workBegan(100, "a", 0, 1, 50);
+        workBegan(200, "b", 1, 1, 50);
         assertBroken(Rule.TWICE);
-        seen.remove(seen.size() - 1);
-        ran(700, "b", 0, 1, 50);
+        observations.remove(observations.size() - 1);
+        workBegan(700, "b", 0, 1, 50);
         assertBroken(Rule.TWICE);
     }
 
     @Test
     void withSingleOwnersConcurrentWritesAtTwoServersAreABreach() {
-        ran(100, "a", 0, 2, 50);
-        ran(200, "b", 0, 2, 51);
+        workBegan(100, "a", 0, 2, 50);
+        workBegan(200, "b", 0, 2, 51);
         assertBroken();
         assertEquals(new TreeSet<>(List.of(Rule.TWICE)), broken("slices 4 sole-owner\n"));
     }
 
     @Test
     void overloadingAColdServerIsABreach() {
-        seen.add(new Observation.ServerStarted(ms(1000), "c", 1, 1, 0.25, ms(10_000)));
-        listTold(1100, Event.Listed.READY, ms(1000), "c");
+        observations.add(new Observation.ServerStarted(ms(1000), "c", 1, 1, 0.25, ms(10_000)));
+        listSent(1100, Event.Listed.READY, ms(1000), "c");
         applied(1200, new Order.SetLine(1, "c", 1));
         for (int i = 0; i < 9; i++) {
             sent(2000 + i, "c", 0, 70);
@@ -174,12 +175,12 @@
     @Test
     void waitingLinesAreCountedFromDecisionToArrival() {
         for (int i = 0; i < 3; i++) {
-            seen.add(new Observation.OrdersReceived(ms(3000 + i), 0, 0, i, ms(1000 + 900 * i), 40));
+            observations.add(new Observation.OrdersReceived(ms(3000 + i), 0, 0, i, ms(1000 + 900 * i), 40));
         }
         assertBroken(Rule.QUEUE);
-        seen.removeIf(s -> s instanceof Observation.OrdersReceived);
+        observations.removeIf(s -> s instanceof Observation.OrdersReceived);
         for (int i = 0; i < 3; i++) {
-            seen.add(new Observation.OrdersReceived(ms(1500 + 900 * i), 0, 0, i, ms(1000 + 900 * i), 40));
+            observations.add(new Observation.OrdersReceived(ms(1500 + 900 * i), 0, 0, i, ms(1000 + 900 * i), 40));
         }
         assertBroken();
     }
@@ -187,10 +188,10 @@
     @Test
     void messagesToOneProxyAreCountedWithinTheSpan() {
         for (int i = 0; i < 4; i++) {
-            seen.add(new Observation.OrdersReceived(ms(1000 + 400 * i), 0, 0, i, ms(1000 + 400 * i), 1));
+            observations.add(new Observation.OrdersReceived(ms(1000 + 400 * i), 0, 0, i, ms(1000 + 400 * i), 1));
         }
         assertBroken();
-        seen.add(new Observation.OrdersReceived(ms(2250), 0, 0, 9, ms(2250), 1));
+        observations.add(new Observation.OrdersReceived(ms(2250), 0, 0, 9, ms(2250), 1));
         assertBroken(Rule.QUEUE);
     }
 }
--- a/src/test/java/puffinbarrow/lease/PauseTest.java
+++ b/src/test/java/puffinbarrow/lease/OwnerChangePauseTest.java
@@ -8,7 +8,7 @@
 import puffinbarrow.control.Order;
 
 /** Tests which proxies and writes must have stopped before a slice's new single owner is announced. */
-class PauseTest {
+class OwnerChangePauseTest {
     private static final long PROXY_LEASE = 1500;
     private static final long MAX_WRITE = 200;
     private static final Order TO_B = new Order.SetLine(3, "b", 1);
--- a/src/test/java/puffinbarrow/memory/RecallTest.java
+++ b/src/test/java/puffinbarrow/memory/RecallFilterTest.java
@@ -10,16 +10,16 @@
 import puffinbarrow.control.Event.Recall;
 import puffinbarrow.control.Order;
 
-/** Tests which remembered facts still count, and the facts that {@link Notes} derives. */
-class RecallTest {
+/** Tests which remembered facts still count, and the facts that {@link FactCollector} derives. */
+class RecallFilterTest {
     private static final long SECOND = 1_000_000_000L;
     private static final long MINUTE = 60 * SECOND;
     private static final long NOW = 1_000_000 * SECOND;
     private final Facts.Image image = new Facts.Image();
     private final List<String> messages = new ArrayList<>();
 
-    private void putSelf(long ago, double calm, double shed, boolean strained) {
-        image.put(new Facts.CoordinatorFact(NOW - ago, 0, 1, false, List.of(), calm, calm, shed, strained));
+    private void putSelf(long ago, double calm, double shed, boolean overloaded) {
+        image.put(new Facts.CoordinatorFact(NOW - ago, 0, 1, false, List.of(), calm, calm, shed, overloaded));
     }
 
     private void putServer(String id, long ago, long started, long holdNs, long... fellAgo) {
@@ -35,7 +35,7 @@
     }
 
     private double confidence(Recall kind, String server, Event.Entry... list) {
-        return puffinbarrow.memory.RecallFilter.recalledEvents(image, List.of(list), NOW, messages).stream()
+        return RecallFilter.recalledEvents(image, List.of(list), NOW, messages).stream()
                 .filter(e -> e.kind() == kind && e.server().equals(server))
                 .mapToDouble(Event.Recalled::confidence)
                 .findFirst()
@@ -76,35 +76,29 @@
     @Test
     void oldFutureAndEmptyMemoryAreIgnored() {
         putServer("a", SECOND, 5, 12 * SECOND, MINUTE, MINUTE);
-        assertEquals(
-                List.of(),
-                puffinbarrow.memory.RecallFilter.recalledEvents(image, List.of(listed("a", 5)), NOW, messages));
+        assertEquals(List.of(), RecallFilter.recalledEvents(image, List.of(listed("a", 5)), NOW, messages));
         putSelf(8 * 24 * 60 * MINUTE, 3, 1, true);
-        assertEquals(
-                List.of(),
-                puffinbarrow.memory.RecallFilter.recalledEvents(image, List.of(listed("a", 5)), NOW, messages));
+        assertEquals(List.of(), RecallFilter.recalledEvents(image, List.of(listed("a", 5)), NOW, messages));
         assertTrue(messages.toString().contains("8 days old"));
         putSelf(-3600 * SECOND, 3, 1, true);
-        assertEquals(
-                List.of(),
-                puffinbarrow.memory.RecallFilter.recalledEvents(image, List.of(listed("a", 5)), NOW, messages));
+        assertEquals(List.of(), RecallFilter.recalledEvents(image, List.of(listed("a", 5)), NOW, messages));
         assertTrue(messages.toString().contains("3600 s ahead"));
     }
 
     @Test
-    void notesDeriveFactsFromEventsAndContinueAfterARestart() {
-        FactCollector notes = new FactCollector(1);
-        notes.recordEvents(
+    void collectorDerivesFactsFromEventsAndContinuesAfterARestart() {
+        FactCollector collector = new FactCollector(1);
+        collector.recordEvents(
                 NOW,
                 List.of(
                         new Event.ServerList(Event.ListKind.WHOLE, List.of(listed("a", 5), listed("b", 5))),
                         new Event.SliceCharge(3, true)));
-        notes.recordEvents(
+        collector.recordEvents(
                 NOW + 1,
                 List.of(new Event.ServerList(
                         Event.ListKind.PATCH, List.of(new Event.Entry("a", 0, 0, 0, Event.Listed.GONE, 1, 5)))));
-        notes.recordOrders(List.of(new Order.SetLine(3, "b", 1), new Order.SetLine(3, "a", 0)));
-        notes.takeChangedFacts(NOW + 2, 0, false, List.of()).forEach(image::put);
+        collector.recordOrders(List.of(new Order.SetLine(3, "b", 1), new Order.SetLine(3, "a", 0)));
+        collector.takeChangedFacts(NOW + 2, 0, false, List.of()).forEach(image::put);
         FactCollector later = new FactCollector(2);
         later.resume(image);
         later.recordEvents(
--- a/src/test/java/puffinbarrow/memory/StoreTest.java
+++ b/src/test/java/puffinbarrow/memory/StoreTest.java
@@ -19,7 +19,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Tests {@link Store}, {@link Codec} and {@link Keeper}: power cuts, corrupt files, limits, and a killed process. */
+/**
+ * Tests {@link Store}, {@link Codec} and {@link FactWriter}: power cuts, corrupt files, limits, and a killed process.
+ */
 class StoreTest {
     private static final long MAX_BYTES = 1 << 20;
 
@@ -65,9 +67,9 @@
     void powerCutAtAnyStepLeavesConsistentStateNoOlderThanLastCommit() throws IOException {
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(5);
         // Counts the steps of an uninterrupted run.
-        SimDisk whole = new SimDisk();
-        openAndCommit(whole, new long[1]);
-        long steps = whole.steps;
+        SimDisk uninterrupted = new SimDisk();
+        openAndCommit(uninterrupted, new long[1]);
+        long steps = uninterrupted.steps;
         int cuts = 0;
         // Every one of the first 3000 steps, then every 53rd; a prime, so that cuts fall at varying offsets of the
         // batches.
@@ -99,8 +101,8 @@
             cuts++;
         }
         assertTrue(
-                cuts > 3000 && whole.list().stream().anyMatch(n -> n.equals("snapshot-4")),
-                whole.list().toString());
+                cuts > 3000 && uninterrupted.list().stream().anyMatch(n -> n.equals("snapshot-4")),
+                uninterrupted.list().toString());
     }
 
     private static void openAndCommit(SimDisk disk, long[] acknowledged) throws IOException {
@@ -178,8 +180,8 @@
             file.put(Codec.header(version, 1, 1)).put(batch);
             disk.put("snapshot-1", file.array());
             Store.Contents found = Store.read(disk);
-            assertEquals(version == 1 || version == 2, found.whole(), "version " + version);
-            assertTrue(found.whole()
+            assertEquals(version == 1 || version == 2, found.complete(), "version " + version);
+            assertTrue(found.complete()
                     || found.messages().toString().contains("version " + version + ", supported are 1 to 2"));
         }
     }
@@ -245,21 +247,21 @@
     @Test
     void writingStopsWhenTheFolderIsRemovedAndResumesWhenItCanBeCreated(@TempDir Path parent) throws Exception {
         Path folder = parent.resolve("memory");
-        FactWriter keeper = FactWriter.open(folder, MAX_BYTES, 100);
-        keeper.offer(factsOfCommit(1));
-        await(() -> keeper.commits() == 1);
+        FactWriter factWriter = FactWriter.open(folder, MAX_BYTES, 100);
+        factWriter.offer(factsOfCommit(1));
+        await(() -> factWriter.commits() == 1);
         for (String name : new RealDisk(folder).list()) {
             Files.delete(folder.resolve(name));
         }
         Files.delete(folder);
         Files.writeString(folder, "in the way");
-        keeper.offer(factsOfCommit(2));
-        await(() -> !keeper.healthy());
-        keeper.offer(factsOfCommit(3));
+        factWriter.offer(factsOfCommit(2));
+        await(() -> !factWriter.healthy());
+        factWriter.offer(factsOfCommit(3));
         Files.delete(folder);
-        await(keeper::healthy);
-        await(() -> keeper.commits() == 2);
-        keeper.close();
+        await(factWriter::healthy);
+        await(() -> factWriter.commits() == 2);
+        factWriter.close();
         assertEquals(40, FolderInspector.read(folder).image().size());
         assertTrue(FolderInspector.read(folder).image().all().stream().allMatch(f -> f.atNs() == 3));
     }
@@ -267,12 +269,12 @@
     @Test
     void newKeysAboveTheLimitAreDroppedAndCounted(@TempDir Path parent) throws Exception {
         Path blocked = Files.writeString(parent.resolve("file"), "no folder");
-        FactWriter keeper = FactWriter.open(blocked, MAX_BYTES, 40);
-        keeper.offer(factsOfCommit(1));
-        keeper.offer(factsOfCommit(2));
-        keeper.offer(List.of(server("one too many", 1)));
-        assertTrue(keeper.skipped() >= 1 && !keeper.healthy() && keeper.failures() >= 1);
-        keeper.kill();
+        FactWriter factWriter = FactWriter.open(blocked, MAX_BYTES, 40);
+        factWriter.offer(factsOfCommit(1));
+        factWriter.offer(factsOfCommit(2));
+        factWriter.offer(List.of(server("one too many", 1)));
+        assertTrue(factWriter.skipped() >= 1 && !factWriter.healthy() && factWriter.failures() >= 1);
+        factWriter.kill();
     }
 
     private static void await(BooleanSupplier condition) throws InterruptedException {
