--- a/src/main/java/puffinbarrow/audit/Audit.java
+++ b/src/main/java/puffinbarrow/audit/Audit.java
@@ -19,7 +19,7 @@
 
 /**
  * Checks the rules from traffic recorded at the sockets: rebuilds each proxy's tables, masks and owners from the frames
- * it received, and tracks what each coordinator was told and when. It queries no coordinator, so its result depends on
+ * it received, and tracks what each coordinator was sent and when. It queries no coordinator, so its result depends on
  * the recording and the settings alone. Not thread-safe: scripted days run it after the recording ends, the emulator
  * feeds it from its only thread.
  */
@@ -79,16 +79,16 @@
         boolean listed;
 
         boolean ready;
-        /** When the coordinator was told that it drains or is gone; 0 while it is not. */
+        /** When the coordinator was sent a list on which it drains or is gone; 0 while it is not. */
         long unavailableSince;
 
         /** When its process started, as listed. */
         long startedNs;
-        /** When the coordinator was told of the present start. */
+        /** When the coordinator was first sent a list with the current start. */
         long startListedAt;
     }
 
-    /** What a coordinator has been told. */
+    /** What a coordinator has been sent by the registry and the store. */
     private static final class Coordinator {
         final TreeMap<String, Server> servers = new TreeMap<>();
         /** Since when it is in charge of each of its slices. */
@@ -531,7 +531,7 @@
             }
         }
         ColdServer cold = coldServers.get(sent.server());
-        // Informed of this start: what a proxy was told of an earlier process does not hold for the present one.
+        // Informed of this start: what a proxy knows of an earlier process does not hold for the current one.
         boolean informed = server != null
                 && server.ready
                 && joined != null
--- a/src/main/java/puffinbarrow/replay/CoordinatorAdapter.java
+++ b/src/main/java/puffinbarrow/replay/CoordinatorAdapter.java
@@ -44,9 +44,9 @@
     private final Net.Listener registryListener;
     private final Net.Listener storeListener;
     private final Net.Listener backendsListener;
-    /** Our ends of the streams that we dialled as proxies, by proxy. */
+    /** Streams that the adapter opened as a proxy, by proxy. */
     private final Map<Integer, StreamEnd> proxies = new TreeMap<>();
-    /** Our ends of the streams that we dialled as peers, by coordinator. */
+    /** Streams that the adapter opened as a peer, by coordinator. */
     private final Map<Integer, StreamEnd> peers = new TreeMap<>();
     /** Streams of probes that wait for their answer, by server; guards itself and {@link #probed}. */
     private final Map<String, ArrayDeque<Link>> openProbes = new HashMap<>();
@@ -54,7 +54,7 @@
     private final List<Order> registryRequests = new ArrayList<>();
     /** Servers probed since the last batch. */
     private final List<String> probed = new ArrayList<>();
-    /** Messages with orders that arrived at our ends. */
+    /** Messages with orders that the adapter received. */
     private final AtomicLong messagesReceived = new AtomicLong();
 
     private volatile StreamEnd registry;
@@ -66,7 +66,7 @@
     /** Probes that arrived in former batches. */
     private long probesBefore;
 
-    /** Our end of a stream between the coordinator and a party that we stand for. */
+    /** The adapter's end of a stream to the coordinator, as registry, store, proxy or peer. */
     private final class StreamEnd implements Link.Receiver {
         private final FrameReader reader = new FrameReader(16 << 20, this::onFrame);
         private final FrameWriter writer = new FrameWriter();
@@ -122,7 +122,7 @@
         }
 
         void send(Frame frame) {
-            // A writer encodes one frame at a time; both our thread and those of the network send.
+            // A writer encodes one frame at a time; both the calling thread and those of the network send.
             synchronized (writer) {
                 link.send(writer.encodeCopy(frame));
             }
@@ -132,7 +132,7 @@
         public void ended(Link from, Link.Cause cause, String detail) {}
     }
 
-    /** Returns our end of a stream that the coordinator dials. */
+    /** Returns the adapter's end of a stream that the coordinator dials. */
     private StreamEnd accept(boolean isRegistry) {
         StreamEnd end = new StreamEnd(null);
         end.isRegistry = isRegistry;
@@ -293,7 +293,7 @@
         return proxies.values().iterator().next();
     }
 
-    /** Returns our end of the stream as that peer, which it dials at first use. */
+    /** Returns the stream to the coordinator as that peer, which is dialled at first use. */
     private StreamEnd peer(int number) {
         return peers.computeIfAbsent(number, n -> {
             StreamEnd end =
--- a/src/main/java/puffinbarrow/replay/Replay.java
+++ b/src/main/java/puffinbarrow/replay/Replay.java
@@ -43,7 +43,7 @@
     }
 
     /** Orders that a coordinator carries out itself. */
-    private static final Set<String> INSIDE = Set.of("After", "WriteLog");
+    private static final Set<String> INTERNAL_ORDERS = Set.of("After", "WriteLog");
     /** Destination by name of order; all others go to proxies. */
     private static final Map<String, String> DESTINATIONS =
             Map.of("Follow", "registry", "Fetch", "registry", "Share", "peers", "SoundOut", "backends");
@@ -170,24 +170,24 @@
                 }
                 in.nextToken();
                 while (in.nextToken() == JsonToken.START_ARRAY) {
-                    List<String> words = new ArrayList<>();
+                    List<String> fields = new ArrayList<>();
                     while (in.nextToken() != JsonToken.END_ARRAY) {
-                        words.add(
+                        fields.add(
                                 in.currentToken().isNumeric() && in.currentToken() == JsonToken.VALUE_NUMBER_FLOAT
                                         ? Double.toString(in.getDoubleValue())
                                         : in.getText());
                     }
-                    String name = words.get(0);
-                    if (INSIDE.contains(name)) {
+                    String name = fields.get(0);
+                    if (INTERNAL_ORDERS.contains(name)) {
                         inside += count ? 1 : 0;
                     } else if (name.equals("InternalError")) {
-                        split.computeIfAbsent("failure", k -> new ArrayList<>()).add(String.join(" ", words));
+                        split.computeIfAbsent("failure", k -> new ArrayList<>()).add(String.join(" ", fields));
                     } else {
                         orders += count ? 1 : 0;
                         split.computeIfAbsent(
-                                        DESTINATIONS.getOrDefault(name, "proxies") + " of instance " + words.get(1),
+                                        DESTINATIONS.getOrDefault(name, "proxies") + " of instance " + fields.get(1),
                                         k -> new ArrayList<>())
-                                .add(String.join(" ", words));
+                                .add(String.join(" ", fields));
                     }
                 }
             }
--- a/src/main/java/puffinbarrow/standin/Backend.java
+++ b/src/main/java/puffinbarrow/standin/Backend.java
@@ -393,10 +393,10 @@
             cachedKeys.remove(cachedKeys.keySet().iterator().next());
         }
         double work = job.workNs * (warm ? 1 - shape.warmKeyGain : 1);
-        long took = (long) (work * slowFactor / (shape.speed * warmth(now)));
-        busyNs += took;
+        long durationNs = (long) (work * slowFactor / (shape.speed * warmth(now)));
+        busyNs += durationNs;
         long wait = Math.max(0, pausedUntil - now);
-        net.timer().schedule(() -> finish(job), took + wait, TimeUnit.NANOSECONDS);
+        net.timer().schedule(() -> finish(job), durationNs + wait, TimeUnit.NANOSECONDS);
     }
 
     private void finish(Job job) {
--- a/src/main/java/puffinbarrow/standin/StandInProxy.java
+++ b/src/main/java/puffinbarrow/standin/StandInProxy.java
@@ -79,7 +79,7 @@
 
     /** Attempts at a server since the latest report. */
     private static final class ServerTotals {
-        long tries;
+        long attempts;
         long dropped;
         /** Total time of the successful attempts. */
         long latencyNs;
@@ -665,7 +665,7 @@
             CoordinatorSession session = session();
             if (session != null) {
                 ServerTotals totals = session.totals.computeIfAbsent(server, s -> new ServerTotals());
-                totals.tries++;
+                totals.attempts++;
                 if (result.good()) {
                     totals.latencyNs += now - sentAt;
                 } else {
@@ -719,8 +719,8 @@
             round = System.nanoTime() / config.roundNs;
             for (CoordinatorSession session : sessions.values()) {
                 List<Frame.Met> met = new ArrayList<>();
-                session.totals.forEach((server, totals) ->
-                        met.add(new Frame.Met(server, totals.tries, totals.dropped, totals.latencyNs, totals.report)));
+                session.totals.forEach((server, totals) -> met.add(
+                        new Frame.Met(server, totals.attempts, totals.dropped, totals.latencyNs, totals.report)));
                 List<Frame.Came> came = new ArrayList<>();
                 session.demand.forEach((key, counts) -> {
                     if (counts[0] > 0) {
--- a/src/main/java/puffinbarrow/standin/Store.java
+++ b/src/main/java/puffinbarrow/standin/Store.java
@@ -181,10 +181,10 @@
         if (coordinatorStreams.isEmpty() || leases) {
             return;
         }
-        List<Integer> present = new ArrayList<>(coordinatorStreams.keySet());
+        List<Integer> connected = new ArrayList<>(coordinatorStreams.keySet());
         for (int slice = 0; slice < slices; slice++) {
             int preferred = slice % coordinators;
-            int to = coordinatorStreams.containsKey(preferred) ? preferred : present.get(slice % present.size());
+            int to = coordinatorStreams.containsKey(preferred) ? preferred : connected.get(slice % connected.size());
             if (owner[slice] == to) {
                 continue;
             }
@@ -222,7 +222,10 @@
         reader.send(stored(slice));
     }
 
-    /** Writes a record if its revision is the expected one and tells all who watch; else sends the present one. */
+    /**
+     * Writes a record if its revision is the expected one and sends it to all watching coordinators; else sends the
+     * current one to the writer.
+     */
     private void compareAndSet(
             Stream from, long id, boolean revisionMatches, Frame before, LongFunction<Frame> update) {
         if (revisionMatches) {
@@ -379,7 +382,7 @@
             assignSlices();
         }
 
-        /** Sends the frame after the present delay, which is the same for all and so keeps their order. */
+        /** Sends the frame after the current delay, which is the same for all and so keeps their order. */
         private void sendDelayed(Frame frame) {
             if (delayMs > 0) {
                 net.schedule(delayMs, () -> send(frame));
