--- a/src/bench/java/puffinbarrow/memory/MemoryBench.java
+++ b/src/bench/java/puffinbarrow/memory/MemoryBench.java
@@ -87,8 +87,8 @@
 
     /** Measures rounds of reports at 80 servers and 300 slices, a tenth of the slices moved in each. */
     private static void benchHandOff(Path folder) {
-        FactWriter keeper = FactWriter.open(folder, 64 << 20, 200_000);
-        FactCollector notes = new FactCollector(1);
+        FactWriter factWriter = FactWriter.open(folder, 64 << 20, 200_000);
+        FactCollector factCollector = new FactCollector(1);
         List<Event.Entry> entries = new ArrayList<>();
         List<Event> round = new ArrayList<>();
         for (int i = 0; i < 80; i++) {
@@ -96,7 +96,7 @@
             entries.add(new Event.Entry(id, 0, 0, 0, Event.Listed.READY, 1, 5));
             round.add(new Event.ServerSums(id, 0, SECOND, 1, 0, 9, Map.of(Event.Measure.BUSY, 0.5)));
         }
-        notes.recordEvents(1, List.of(new Event.ServerList(Event.ListKind.WHOLE, entries)));
+        factCollector.recordEvents(1, List.of(new Event.ServerList(Event.ListKind.WHOLE, entries)));
         for (int i = 0; i < 300; i++) {
             round.add(new Event.SliceDemand(i, 0, 9, 0, SECOND));
         }
@@ -108,9 +108,9 @@
                 orders.add(new Order.SetLine((n * 30 + i) % 300, "10.0.0." + (n + i) % 80 + ":8080", 1));
             }
             long before = System.nanoTime();
-            notes.recordEvents(n, round);
-            notes.recordOrders(orders);
-            keeper.offer(notes.takeChangedFacts(n, n, false, List.of()));
+            factCollector.recordEvents(n, round);
+            factCollector.recordOrders(orders);
+            factWriter.offer(factCollector.takeChangedFacts(n, n, false, List.of()));
             if (n >= 200) {
                 spentNs += System.nanoTime() - before;
                 measured++;
@@ -122,17 +122,18 @@
                 "hand-off of a round at 80 servers and 300 slices, 30 of them moved: %.0f us on the "
                         + "decision thread, %d of 400 rounds committed together%n",
                 spentNs / 1e3 / measured,
-                400 - keeper.commits());
+                400 - factWriter.commits());
         // Bytes written at one round a second, when each round is a commit of its own.
-        long bytes = keeper.bytes();
+        long bytes = factWriter.bytes();
         for (int n = 0; n < 10; n++) {
-            notes.recordEvents(n, round);
-            notes.recordOrders(List.of(new Order.SetLine(n, "10.0.0." + n + ":8080", 0.5)));
-            keeper.offer(notes.takeChangedFacts(n, n, false, List.of()));
+            factCollector.recordEvents(n, round);
+            factCollector.recordOrders(List.of(new Order.SetLine(n, "10.0.0." + n + ":8080", 0.5)));
+            factWriter.offer(factCollector.takeChangedFacts(n, n, false, List.of()));
             pause(1000);
         }
-        System.out.printf(Locale.ROOT, "at a round a second: %.0f bytes a second%n", (keeper.bytes() - bytes) / 10.0);
-        keeper.close();
+        System.out.printf(
+                Locale.ROOT, "at a round a second: %.0f bytes a second%n", (factWriter.bytes() - bytes) / 10.0);
+        factWriter.close();
     }
 
     private static void pause(long ms) {
--- a/src/main/java/puffinbarrow/cli/BenchCommands.java
+++ b/src/main/java/puffinbarrow/cli/BenchCommands.java
@@ -95,7 +95,7 @@
         @Option(names = "--seeds", paramLabel = "N", description = "days of each kind (${DEFAULT-VALUE})")
         private int seeds = 10;
 
-        @Option(names = "--at-once", paramLabel = "N", description = "days played in parallel (${DEFAULT-VALUE})")
+        @Option(names = "--at-once", paramLabel = "N", description = "days run in parallel (${DEFAULT-VALUE})")
         private int atOnce = 4;
 
         /** The fleet, and a restart of its only coordinator. */
@@ -139,7 +139,7 @@
                 for (int i = 0; i < seeds; i++) {
                     long seed = 100 + i;
                     pairs.add(runs.submit(() ->
-                            new Run[] {playDay(kind.getValue(), seed, false), playDay(kind.getValue(), seed, true)}));
+                            new Run[] {runDay(kind.getValue(), seed, false), runDay(kind.getValue(), seed, true)}));
                 }
                 List<Double> gains = new ArrayList<>();
                 double[] sums = new double[6];
@@ -185,10 +185,10 @@
             return allKept ? Commands.OK : Commands.RULE_BROKEN;
         }
 
-        /** Plays one day. */
-        private static Run playDay(String troubles, long seed, boolean memory) throws Exception {
+        /** Runs one day. */
+        private static Run runDay(String faults, long seed, boolean memory) throws Exception {
             List<Problem> problems = new ArrayList<>();
-            Script script = Script.parse("memory.day", FLEET + troubles + (memory ? "memory on\n" : ""), problems);
+            Script script = Script.parse("memory.day", FLEET + faults + (memory ? "memory on\n" : ""), problems);
             if (!problems.isEmpty()) {
                 throw new IllegalStateException(problems.toString());
             }
--- a/src/main/java/puffinbarrow/cli/ChaosCommands.java
+++ b/src/main/java/puffinbarrow/cli/ChaosCommands.java
@@ -69,7 +69,9 @@
                     new Day(script, System.out, new Day.Overrides(Logic::new, List.of()), BenchCommands.self())) {
                 DayReport report = day.run();
                 System.out.print(report.text());
-                return !report.verdict().kept() ? Commands.RULE_BROKEN : report.sound() ? Commands.OK : Commands.FAILED;
+                return !report.verdict().kept()
+                        ? Commands.RULE_BROKEN
+                        : report.passed() ? Commands.OK : Commands.FAILED;
             }
         }
     }
--- a/src/main/java/puffinbarrow/cli/Commands.java
+++ b/src/main/java/puffinbarrow/cli/Commands.java
@@ -40,7 +40,7 @@
             Commands.RunCoordinator.class,
             Commands.CheckConfig.class,
             Commands.Status.class,
-            Commands.PlayDay.class,
+            Commands.RunDay.class,
             Commands.ReplayRecording.class,
             MemoryCommands.class,
             BenchCommands.class,
@@ -198,8 +198,8 @@
     @Command(
             name = "day",
             mixinStandardHelpOptions = true,
-            description = "Plays a scripted day on loopback with real coordinators and checks the five rules.")
-    static final class PlayDay implements Callable<Integer> {
+            description = "Runs a scripted day on loopback with real coordinators and checks the five rules.")
+    static final class RunDay implements Callable<Integer> {
         @Parameters(
                 arity = "0..1",
                 paramLabel = "FILE",
@@ -241,7 +241,7 @@
                     report.html(out);
                     System.out.println("written to " + out);
                 }
-                return !report.verdict().kept() ? RULE_BROKEN : report.sound() ? OK : FAILED;
+                return !report.verdict().kept() ? RULE_BROKEN : report.passed() ? OK : FAILED;
             }
         }
     }
--- a/src/main/java/puffinbarrow/cli/EmulateCommands.java
+++ b/src/main/java/puffinbarrow/cli/EmulateCommands.java
@@ -25,11 +25,11 @@
 import puffinbarrow.emulator.ResultTable;
 import puffinbarrow.emulator.Search;
 
-/** Commands that play days in the emulator, in simulated time. */
+/** Commands that run days in the emulator, in simulated time. */
 @Command(
         name = "emulate",
         mixinStandardHelpOptions = true,
-        description = "Plays days in simulated time, with the same decision logic at sizes that sockets do not reach.",
+        description = "Runs days in simulated time, with the same decision logic at sizes that sockets do not reach.",
         subcommands = {
             EmulateCommands.RunDay.class,
             EmulateCommands.RunExperiment.class,
@@ -86,7 +86,7 @@
         }
     }
 
-    @Command(name = "run", mixinStandardHelpOptions = true, description = "Plays one day and checks the rules.")
+    @Command(name = "run", mixinStandardHelpOptions = true, description = "Runs one day and checks the rules.")
     static final class RunDay implements Callable<Integer> {
         @Parameters(
                 arity = "0..1",
@@ -117,22 +117,22 @@
                 names = "--most-events",
                 paramLabel = "N",
                 description = "fails the run beyond this number of events (${DEFAULT-VALUE})")
-        private long mostEvents = 2_000_000_000L;
+        private long maxEvents = 2_000_000_000L;
 
         @Override
         public Integer call() throws IOException {
             List<Problem> problems = new ArrayList<>();
-            EmulatedDay setup = null;
+            EmulatedDay emulatedDay = null;
             if (token != null) {
                 String text = DayToken.text(token);
                 if (text == null) {
                     problems.add(new Problem("--token", 0, "invalid token, expected one as printed by a search"));
                 } else {
-                    setup = EmulatedDay.parse("token", text, problems);
+                    emulatedDay = EmulatedDay.parse("token", text, problems);
                 }
             } else {
                 String builtIn = Files.exists(file) ? null : builtIn(file.toString());
-                setup = builtIn == null
+                emulatedDay = builtIn == null
                         ? EmulatedDay.read(file, problems)
                         : EmulatedDay.parse(file + ".day", builtIn, problems);
             }
@@ -141,9 +141,9 @@
                 return Commands.USAGE;
             }
             LogSetup.configure(false, "off");
-            setup.script().seed = seed == null ? setup.script().seed : seed;
+            emulatedDay.script().seed = seed == null ? emulatedDay.script().seed : seed;
             long began = System.nanoTime();
-            Outcome outcome = new Fleet(setup, decisions, new QuaternaryHeap(), mostEvents).run();
+            Outcome outcome = new Fleet(emulatedDay, decisions, new QuaternaryHeap(), maxEvents).run();
             double took = (System.nanoTime() - began) / 1e9;
             System.out.print(outcome.text());
             System.out.printf(
@@ -168,7 +168,8 @@
     @Command(
             name = "experiment",
             mixinStandardHelpOptions = true,
-            description = "Plays an experiment's runs in parallel; resumes where an earlier attempt was interrupted.")
+            description =
+                    "Executes an experiment's runs in parallel; resumes where an earlier attempt was interrupted.")
     static final class RunExperiment implements Callable<Integer> {
         @Parameters(paramLabel = "FILE", description = "the experiment file")
         private Path file;
@@ -234,7 +235,7 @@
         @Parameters(paramLabel = "FILE", description = "the experiment file; its levels are ignored")
         private Path file;
 
-        @Option(names = "--days", paramLabel = "N", description = "days played before the reduction (${DEFAULT-VALUE})")
+        @Option(names = "--days", paramLabel = "N", description = "days run before the reduction (${DEFAULT-VALUE})")
         private int days = 100;
 
         @Option(names = "--seed", paramLabel = "N", description = "seed of the search (${DEFAULT-VALUE})")
@@ -273,19 +274,19 @@
                 return Commands.USAGE;
             }
             LogSetup.configure(false, "off");
-            Search.Result find = new Search(
+            Search.Result result = new Search(
                             experiment, decisions, baseline, seed, Math.max(1, threads), EmulateCommands::progress)
                     .run(days);
-            if (find == null) {
+            if (result == null) {
                 System.out.println("none of " + days + " days breaks a rule or loses anything");
                 return Commands.OK;
             }
-            System.out.println(find.describe() + "\n\n" + find.text());
-            System.out.println("emulate run --policy " + policy + " --token " + DayToken.of(find.text()));
+            System.out.println(result.describe() + "\n\n" + result.text());
+            System.out.println("emulate run --policy " + policy + " --token " + DayToken.of(result.text()));
             if (out != null) {
-                Files.writeString(out, find.text());
+                Files.writeString(out, result.text());
             }
-            return find.broken().isEmpty() ? Commands.OK : Commands.RULE_BROKEN;
+            return result.broken().isEmpty() ? Commands.OK : Commands.RULE_BROKEN;
         }
     }
 }
--- a/src/main/java/puffinbarrow/cli/EmulatorBench.java
+++ b/src/main/java/puffinbarrow/cli/EmulatorBench.java
@@ -100,7 +100,7 @@
 
     // ---- Queues: at a constant size, the first event is taken and one added, repeatedly ("hold model")
 
-    /** An agenda on the library's binary heap, for comparison. */
+    /** An event queue on the library's binary heap, for comparison. */
     private static final class LibraryHeap implements EventQueue {
         private record Entry(long at, long number, Runnable work) implements Comparable<Entry> {
             @Override
@@ -159,18 +159,18 @@
     }
 
     /** Returns millions of events per second. */
-    private static double hold(EventQueue agenda, int waiting, boolean mixed, long seed) {
+    private static double hold(EventQueue queue, int waiting, boolean mixed, long seed) {
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         Runnable nothing = () -> {};
         for (int i = 0; i < waiting; i++) {
-            agenda.add(gap(random, mixed), nothing);
+            queue.add(gap(random, mixed), nothing);
         }
         int events = 2_000_000;
         long began = System.nanoTime();
         for (int i = 0; i < events; i++) {
-            long now = agenda.nextTimeNs();
-            agenda.removeNext().run();
-            agenda.add(now + gap(random, mixed), nothing);
+            long now = queue.nextTimeNs();
+            queue.removeNext().run();
+            queue.add(now + gap(random, mixed), nothing);
         }
         return events * 1e3 / (System.nanoTime() - began);
     }
@@ -182,7 +182,7 @@
 
     // ---- Calibration
 
-    /** Plays days on sockets and in the emulator and returns whether their means agree. */
+    /** Runs days on sockets and in the emulator and returns whether their means agree. */
     private boolean calibration() throws IOException, InterruptedException {
         String text = Commands.builtIn(day);
         double[][] sum = new double[2][6];
@@ -211,9 +211,9 @@
                 report.result().all.latency.getValueAtPercentile(99) / 1e3
             };
             printRow(seed, "sockets", sockets, report.verdict().kept());
-            EmulatedDay setup = EmulatedDay.parse(day, text, problems);
-            setup.script().seed = seed;
-            Outcome outcome = new Fleet(setup, Policy.byName("ours"), new QuaternaryHeap(), Long.MAX_VALUE).run();
+            EmulatedDay emulatedDay = EmulatedDay.parse(day, text, problems);
+            emulatedDay.script().seed = seed;
+            Outcome outcome = new Fleet(emulatedDay, Policy.byName("ours"), new QuaternaryHeap(), Long.MAX_VALUE).run();
             double[] emulated = {
                 outcome.service,
                 (outcome.blocked + outcome.dropped) / (double) outcome.intended,
--- a/src/main/java/puffinbarrow/cli/LeaseBench.java
+++ b/src/main/java/puffinbarrow/cli/LeaseBench.java
@@ -32,7 +32,7 @@
         long stepsDone = 0;
         long runs = 0;
         long refused = 0;
-        long doubled = 0;
+        long duplicatesIgnored = 0;
         for (long runSeed = seed; stepsDone < steps; runSeed++, runs++) {
             // Clocks jump in every fourth run.
             Simulation.Plan plan = Simulation.plan(
@@ -40,7 +40,7 @@
             Simulation.Outcome outcome = Simulation.run(plan);
             stepsDone += outcome.steps();
             refused += outcome.refused();
-            doubled += outcome.duplicatesIgnored();
+            duplicatesIgnored += outcome.duplicatesIgnored();
             if (outcome.violation() != null) {
                 System.out.println("BROKEN, seed " + runSeed + ": " + outcome.violation());
                 Simulation.shrink(plan).faults().forEach(f -> System.out.println("  needed: " + f));
@@ -48,7 +48,7 @@
             }
         }
         System.out.println(runs + " runs, " + stepsDone + " steps, nothing broken; " + refused
-                + " old orders refused by proxies, " + doubled + " repeated ones passed over");
+                + " old orders refused by proxies, " + duplicatesIgnored + " repeated ones passed over");
         measureTakeover(5, 300);
         measureTakeover(5, 10_000);
         return Commands.OK;
@@ -57,10 +57,10 @@
     /** Kills one member, which returns much later, and prints how long its slices have no owner and what it costs. */
     private void measureTakeover(int members, int slices) {
         Histogram withoutOwnerMs = new Histogram(3_600_000, 3);
-        long moves = 0;
+        long ownerChanges = 0;
         long fewestMoves = 0;
         double writesPerSecond = 0;
-        int unevenness = 0;
+        int imbalance = 0;
         int runs = slices > 1000 ? 2 : 20;
         for (int i = 0; i < runs; i++) {
             long length = 60 * LEASE_NS;
@@ -76,11 +76,11 @@
                     List.of(new Simulation.Fault(Simulation.Kind.KILL, 30 * LEASE_NS, 20 * LEASE_NS, i % members)));
             Simulation.Outcome outcome = Simulation.run(plan);
             withoutOwnerMs.add(outcome.ownerlessMs());
-            moves += outcome.ownerChanges();
+            ownerChanges += outcome.ownerChanges();
             // Each slice is assigned once, and the killed member's share moves away and back.
             fewestMoves += slices + 2L * slices / members;
             writesPerSecond += outcome.writes() / ((length + 46 * LEASE_NS) / 1e9);
-            unevenness = Math.max(unevenness, outcome.imbalance());
+            imbalance = Math.max(imbalance, outcome.imbalance());
         }
         System.out.printf(
                 Locale.ROOT,
@@ -94,8 +94,8 @@
                 (double) withoutOwnerMs.getValueAtPercentile(99),
                 (double) withoutOwnerMs.getMaxValue(),
                 LEASE_NS / 1e6,
-                (double) moves / fewestMoves,
+                (double) ownerChanges / fewestMoves,
                 writesPerSecond / runs,
-                unevenness);
+                imbalance);
     }
 }
--- a/src/main/java/puffinbarrow/cli/LoadBenches.java
+++ b/src/main/java/puffinbarrow/cli/LoadBenches.java
@@ -253,7 +253,7 @@
                         }
                     }
                     double seconds = (System.nanoTime() - began) / 1e9;
-                    boolean whole = count + flows.malformed() == flows.lines() && flows.lines() == lines && ordered;
+                    boolean complete = count + flows.malformed() == flows.lines() && flows.lines() == lines && ordered;
                     System.out.printf(
                             Locale.ROOT,
                             "%d lines (%.0f MB): %d flows, %d malformed, %d later than could be put in "
@@ -266,7 +266,7 @@
                             ordered ? "in order" : "NOT IN ORDER",
                             mostHeap / 1e6,
                             lines / seconds);
-                    return whole ? Commands.OK : Commands.FAILED;
+                    return complete ? Commands.OK : Commands.FAILED;
                 }
             } finally {
                 Files.delete(file);
--- a/src/main/java/puffinbarrow/cli/LoadCommands.java
+++ b/src/main/java/puffinbarrow/cli/LoadCommands.java
@@ -36,7 +36,7 @@
         subcommands = {
             LoadCommands.Run.class,
             LoadCommands.Shape.class,
-            LoadCommands.FromTrace.class,
+            LoadCommands.TraceToScenario.class,
             LoadCommands.CompareResults.class
         })
 final class LoadCommands implements Callable<Integer> {
@@ -181,7 +181,7 @@
             mixinStandardHelpOptions = true,
             description = "Reads a recorded trace and writes a scenario that sends it;"
                     + " exit 1 if too many lines are malformed.")
-    static final class FromTrace implements Callable<Integer> {
+    static final class TraceToScenario implements Callable<Integer> {
         /** The most frequent path prefixes become traffic groups of their own, at most this many. */
         private static final int MAX_GROUPS = 5;
 
@@ -214,13 +214,13 @@
 
         @Override
         public Integer call() throws IOException {
-            Scenario.TraceSettings plan = new Scenario.TraceSettings();
-            plan.file = file;
-            plan.malformedShare = maxMalformed;
-            plan.columns.putAll(columns);
+            Scenario.TraceSettings settings = new Scenario.TraceSettings();
+            settings.file = file;
+            settings.malformedShare = maxMalformed;
+            settings.columns.putAll(columns);
             if (format != null) {
                 try {
-                    plan.format = Trace.Format.valueOf(format.toUpperCase(Locale.ROOT));
+                    settings.format = Trace.Format.valueOf(format.toUpperCase(Locale.ROOT));
                 } catch (IllegalArgumentException e) {
                     System.err.println("--format: '" + format + "', expected one of clf, csv, json, har");
                     return Commands.USAGE;
@@ -231,7 +231,7 @@
             long first = Long.MAX_VALUE;
             long last = Long.MIN_VALUE;
             int exit = Commands.OK;
-            try (Trace trace = new Trace(plan)) {
+            try (Trace trace = new Trace(settings)) {
                 try {
                     for (Trace.Entry entry = trace.next(); entry != null; entry = trace.next()) {
                         count++;
--- a/src/main/java/puffinbarrow/day/BackendControl.java
+++ b/src/main/java/puffinbarrow/day/BackendControl.java
@@ -1,7 +1,7 @@
 package puffinbarrow.day;
 
 /**
- * A backend of a day, on sockets or in the emulator, with the faults that {@link Strikes} can apply to it. Called on
+ * A backend of a day, on sockets or in the emulator, with the faults that {@link FaultInjector} can apply to it. Called on
  * the thread that applies faults.
  */
 public interface BackendControl {
--- a/src/main/java/puffinbarrow/day/Day.java
+++ b/src/main/java/puffinbarrow/day/Day.java
@@ -35,7 +35,7 @@
 import puffinbarrow.standin.Store;
 
 /**
- * Plays a scripted day on loopback: real coordinators between stand-in backends, proxies, clients, registry and store,
+ * Runs a scripted day on loopback: real coordinators between stand-in backends, proxies, clients, registry and store,
  * all on one clock. Coordinators run in this process or as child processes, everything else in this process. What the
  * sockets carried is recorded and audited at the end.
  *
@@ -126,7 +126,7 @@
     private final List<StandInProxy> proxies = new ArrayList<>();
 
     /**
-     * By id, in the order of creation and not of their ports, so that the same seed strikes the same backends in every
+     * By id, in the order of creation and not of their ports, so that the same seed selects the same backends in every
      * run.
      */
     private final Map<String, Backend> backends = new LinkedHashMap<>();
@@ -134,7 +134,7 @@
     /** Memory folders of coordinators; null if the script keeps no memory. */
     private final Path memoryFolder;
 
-    private final FaultInjector strikes;
+    private final FaultInjector faultInjector;
 
     /** What was done to the fleet, one line for each step. */
     private final List<String> log = Collections.synchronizedList(new ArrayList<>());
@@ -142,19 +142,19 @@
     private final Plan plan;
 
     /** Flows that ended, in the order of their ends. */
-    private final List<FlowEnd> ended = Collections.synchronizedList(new ArrayList<>());
+    private final List<FlowEnd> endedFlows = Collections.synchronizedList(new ArrayList<>());
 
     /** Each proxy's weight in the traffic. */
     private final List<Double> weights = new ArrayList<>();
 
-    /** The load generator, which plays all clients; null until the fleet is ready. */
+    /** The load generator, which stands in for all clients; null until the fleet is ready. */
     private Engine clients;
 
     /** Number of backends created so far. */
     private int backendsCreated;
 
     /** When the day began, in ns of {@link System#nanoTime}. */
-    private long beganAt;
+    private long dayStartNs;
 
     /** Prepares a day whose coordinators run in this process. */
     public Day(Script script, PrintStream out, Overrides overrides) throws IOException {
@@ -175,7 +175,7 @@
         this.out = out;
         this.overrides = overrides;
         this.plan = new Plan(script);
-        this.strikes = new FaultInjector(new SocketFleet(), plan.random());
+        this.faultInjector = new FaultInjector(new SocketFleet(), plan.random());
         this.memoryFolder = script.keepsMemory ? Files.createTempDirectory("puffinbarrow-day") : null;
         this.net = new Net("fleet", 4);
         this.config = plan.configWithoutAddresses(0, List.of());
@@ -262,7 +262,7 @@
     }
 
     /**
-     * Starts the fleet, plays the script to its end and returns the report. Blocks for the length of the day and until
+     * Starts the fleet, runs the script to its end and returns the report. Blocks for the length of the day and until
      * all flows have ended.
      */
     public DayReport run() throws IOException, InterruptedException {
@@ -283,7 +283,7 @@
                 coordinator.connectPeer(other, address);
             }
         }));
-        StandInProxy.Timings proxyHabits = new StandInProxy.Timings(
+        StandInProxy.Timings proxyTimings = new StandInProxy.Timings(
                 script.transitNs,
                 APPLY_NS_PER_LINE,
                 script.sumsLateNs,
@@ -293,7 +293,13 @@
                 TRY_BUDGETS);
         for (int i = 0; i < script.proxies; i++) {
             StandInProxy proxy = new StandInProxy(
-                    net, i, i % script.zones, config, proxyHabits, recorder, plan.randomSource(FIRST_PROXY_STREAM + i));
+                    net,
+                    i,
+                    i % script.zones,
+                    config,
+                    proxyTimings,
+                    recorder,
+                    plan.randomSource(FIRST_PROXY_STREAM + i));
             proxies.add(proxy);
             proxy.start(store.address(), addresses);
             weights.add(plan.drawTrafficWeight());
@@ -301,15 +307,15 @@
         awaitReady();
         Scenario scenario =
                 plan.traffic(config, proxies.stream().map(StandInProxy::address).toList(), weights);
-        clients = new Engine(scenario, new Arrivals(scenario), ended::add);
+        clients = new Engine(scenario, new Arrivals(scenario), endedFlows::add);
         clients.prepare();
-        beganAt = System.nanoTime();
+        dayStartNs = System.nanoTime();
         Result[] result = new Result[1];
-        Thread clientThread = new Thread(() -> result[0] = clients.run(null, beganAt), "day-clients");
+        Thread clientThread = new Thread(() -> result[0] = clients.run(null, dayStartNs), "day-clients");
         clientThread.setDaemon(true);
         clientThread.start();
         for (Script.Fault fault : script.faults) {
-            net.timer().schedule(() -> strikes.inject(fault), fault.atNs(), TimeUnit.NANOSECONDS);
+            net.timer().schedule(() -> faultInjector.inject(fault), fault.atNs(), TimeUnit.NANOSECONDS);
         }
         printProgress();
         // The load generator times each flow out by its expiry.
@@ -320,9 +326,9 @@
         }
         Map<Integer, Map<String, Double>> metrics = new TreeMap<>();
         coordinators.forEach((number, c) -> metrics.put(number, c.metrics()));
-        List<Observation> seen = recorder.sorted();
-        List<FlowEnd> flows = List.copyOf(ended);
-        Audit.Verdict verdict = Audit.judge(plan.auditConfig(), seen, beganAt);
+        List<Observation> observations = recorder.sorted();
+        List<FlowEnd> flows = List.copyOf(endedFlows);
+        Audit.Verdict verdict = Audit.judge(plan.auditConfig(), observations, dayStartNs);
         return new DayReport(
                 script,
                 config,
@@ -330,12 +336,12 @@
                 flows,
                 scenario,
                 result[0],
-                beganAt,
+                dayStartNs,
                 recorder.droppedCount(),
                 metrics,
                 List.copyOf(log),
-                FaultEffects.summary(script, seen, flows, beganAt),
-                script.leaseNs > 0 ? TakeoverTimes.summary(script, seen, beganAt) : "",
+                FaultEffects.summary(script, observations, flows, dayStartNs),
+                script.leaseNs > 0 ? TakeoverTimes.summary(script, observations, dayStartNs) : "",
                 store.ownerChanges(),
                 store.serversAdded(),
                 store.refusedWrites(),
@@ -344,21 +350,21 @@
                         .filter(Backend::crashedUnderLoad)
                         .map(Backend::id)
                         .toList(),
-                attemptsAtUnstable(seen));
+                attemptsAtUnstable(observations));
     }
 
     /** Counts attempts at servers that were made to flap or drain, in the 10 s after each coordinator's restart. */
-    private long attemptsAtUnstable(List<Observation> seen) {
+    private long attemptsAtUnstable(List<Observation> observations) {
         long count = 0;
         for (Script.Fault fault : script.faults) {
-            long from = beganAt + fault.atNs() + fault.durationNs();
+            long from = dayStartNs + fault.atNs() + fault.durationNs();
             count += fault.kind() != Script.Kind.KILL
                     ? 0
-                    : seen.stream()
+                    : observations.stream()
                             .filter(s -> s instanceof Observation.AttemptSent sent
                                     && sent.at() >= from
                                     && sent.at() < from + 10 * SECOND
-                                    && strikes.unstable().contains(sent.server()))
+                                    && faultInjector.unstable().contains(sent.server()))
                             .count();
         }
         return count;
@@ -388,20 +394,20 @@
 
     /** Prints a line every five seconds until the day's end. */
     private void printProgress() throws InterruptedException {
-        long next = beganAt;
+        long next = dayStartNs;
         int printed = 0;
-        while (System.nanoTime() - beganAt < script.lengthNs) {
+        while (System.nanoTime() - dayStartNs < script.lengthNs) {
             Thread.sleep(50);
             if (System.nanoTime() >= next + 5 * SECOND) {
                 next += 5 * SECOND;
-                List<FlowEnd> flows = List.copyOf(ended);
+                List<FlowEnd> flows = List.copyOf(endedFlows);
                 long inBudget = flows.subList(printed, flows.size()).stream()
                         .filter(f -> f.outcome() == Result.Outcome.IN_BUDGET)
                         .count();
                 out.printf(
                         Locale.ROOT,
                         "%4.0f s  %5d flows ended, %5.1f%% delivered in budget, %d open%n",
-                        (next - beganAt) / 1e9,
+                        (next - dayStartNs) / 1e9,
                         flows.size() - printed,
                         flows.size() == printed ? 100 : 100.0 * inBudget / (flows.size() - printed),
                         clients.openFlows());
@@ -414,7 +420,7 @@
 
     /** Adds a line to the day's log and prints it. */
     private void note(String text) {
-        String line = String.format(Locale.ROOT, "%6.2f s  %s", (System.nanoTime() - beganAt) / 1e9, text);
+        String line = String.format(Locale.ROOT, "%6.2f s  %s", (System.nanoTime() - dayStartNs) / 1e9, text);
         log.add(line);
         out.println(line);
     }
--- a/src/main/java/puffinbarrow/day/DayReport.java
+++ b/src/main/java/puffinbarrow/day/DayReport.java
@@ -20,7 +20,7 @@
  *
  * @param config the settings that the rules are judged by
  * @param flows all flows that ended, in the order of their ends
- * @param beganAt when the day began, in ns of {@link System#nanoTime}
+ * @param dayStartNs when the day began, in ns of {@link System#nanoTime}
  * @param recordsLost records that did not fit the recorder; above 0 the verdict is incomplete
  * @param coordinators the last metrics of each coordinator, by its number
  * @param faultLog what was done to the fleet, one line for each step
@@ -40,7 +40,7 @@
         List<FlowEnd> flows,
         Scenario scenario,
         Result result,
-        long beganAt,
+        long dayStartNs,
         long recordsLost,
         Map<Integer, Map<String, Double>> coordinators,
         List<String> faultLog,
@@ -94,12 +94,12 @@
     /** Returns flows that began within this part of the day, in ns from its beginning. */
     private List<FlowEnd> between(long from, long to) {
         return flows.stream()
-                .filter(f -> f.startNs() - beganAt >= from && f.startNs() - beganAt < to)
+                .filter(f -> f.startNs() - dayStartNs >= from && f.startNs() - dayStartNs < to)
                 .toList();
     }
 
     /** Returns whether every flow has exactly one end, no record was lost, and all rules are kept. */
-    public boolean sound() {
+    public boolean passed() {
         return verdict.kept() && recordsLost == 0 && result.isComplete() && result.intended == flows.size();
     }
 
@@ -264,14 +264,16 @@
     /**
      * Returns a percentile of the latency of answered flows from their intended start, in ms.
      *
-     * @param part 0 to 1
+     * @param quantile 0 to 1
      */
-    private static double percentileMs(List<FlowEnd> some, double part) {
-        long[] took = some.stream()
+    private static double percentileMs(List<FlowEnd> some, double quantile) {
+        long[] latencies = some.stream()
                 .filter(FlowEnd::answered)
                 .mapToLong(FlowEnd::latencyNs)
                 .sorted()
                 .toArray();
-        return took.length == 0 ? 0 : took[(int) Math.min(took.length - 1, part * took.length)] / 1e6;
+        return latencies.length == 0
+                ? 0
+                : latencies[(int) Math.min(latencies.length - 1, quantile * latencies.length)] / 1e6;
     }
 }
--- a/src/main/java/puffinbarrow/day/FaultEffects.java
+++ b/src/main/java/puffinbarrow/day/FaultEffects.java
@@ -22,13 +22,13 @@
     private FaultEffects() {}
 
     /** Returns a line for each fault of the script, in its order. */
-    static List<String> summary(Script script, List<Observation> seen, List<FlowEnd> flows, long beganAt) {
+    static List<String> summary(Script script, List<Observation> observations, List<FlowEnd> flows, long dayStartNs) {
         List<String> lines = new ArrayList<>();
         for (Script.Fault fault : script.faults) {
-            long from = beganAt + fault.atNs();
+            long from = dayStartNs + fault.atNs();
             long to = from + durationNs(script, fault) + SYMPTOM_DELAY_NS;
             Map<String, Long> counts = new TreeMap<>();
-            for (Observation event : seen) {
+            for (Observation event : observations) {
                 if (event.at() >= from && event.at() < to) {
                     count(event, counts);
                 }
--- a/src/main/java/puffinbarrow/day/FaultInjector.java
+++ b/src/main/java/puffinbarrow/day/FaultInjector.java
@@ -11,7 +11,7 @@
 import puffinbarrow.control.Event;
 
 /**
- * Applies a script's faults to a fleet and ends each after its time. {@link Day} calls {@link #strike} on its timer
+ * Applies a script's faults to a fleet and ends each after its time. {@link Day} calls {@link #inject} on its timer
  * thread, the emulator on the simulation's thread.
  */
 public final class FaultInjector {
@@ -29,7 +29,7 @@
     /**
      * Makes an injector for one day.
      *
-     * @param random decides which backends are struck
+     * @param random decides which backends a fault applies to
      */
     public FaultInjector(FleetControl fleet, UniformRandomProvider random) {
         this.fleet = fleet;
@@ -158,13 +158,13 @@
                     }
                 }
                 case ADD -> {
-                    List<BackendControl> fresh = new ArrayList<>();
+                    List<BackendControl> added = new ArrayList<>();
                     for (int i = 0; i < fault.pick().count(); i++) {
                         BackendControl backend = fleet.addBackend();
                         fleet.showInServerList(List.of(backend), Event.Listed.READY);
-                        fresh.add(backend);
+                        added.add(backend);
                     }
-                    fleet.note(fault.text() + "  " + shortIds(fresh));
+                    fleet.note(fault.text() + "  " + shortIds(added));
                 }
                 case PREEMPT -> {
                     List<BackendControl> chosen = choose(fault.pick());
--- a/src/main/java/puffinbarrow/day/Plan.java
+++ b/src/main/java/puffinbarrow/day/Plan.java
@@ -33,7 +33,7 @@
         return RandomSource.XO_RO_SHI_RO_128_PP.create(script.seed * 1_000_003 + component);
     }
 
-    /** Returns the stream that speeds, shares of traffic and the backends to strike are drawn from, in this order. */
+    /** Returns the stream that speeds, shares of traffic and the backends of faults are drawn from, in this order. */
     public UniformRandomProvider random() {
         return random;
     }
@@ -139,8 +139,8 @@
     }
 
     /** Returns a backend's entry in the server list, with its nominal size; its real capacity differs by its speed. */
-    public static Event.Entry listEntry(BackendControl machine, Event.Listed listed) {
-        return new Event.Entry(machine.id(), machine.zone(), 0, machine.cell(), listed, 1, machine.startedAtNs());
+    public static Event.Entry listEntry(BackendControl backend, Event.Listed listed) {
+        return new Event.Entry(backend.id(), backend.zone(), 0, backend.cell(), listed, 1, backend.startedAtNs());
     }
 
     /** Returns the longest time for which servers recognize repeats of a deduped flow, in ns. */
@@ -165,9 +165,9 @@
      * traffic become part of the scenario.
      *
      * @param targets the proxies' addresses
-     * @param parts the weight of each target in the traffic, in the same order
+     * @param weights the weight of each target in the traffic, in the same order
      */
-    public Scenario traffic(CoordinatorConfig judged, List<InetSocketAddress> targets, List<Double> parts) {
+    public Scenario traffic(CoordinatorConfig config, List<InetSocketAddress> targets, List<Double> weights) {
         StringBuilder text = new StringBuilder(String.format(
                 Locale.ROOT,
                 "seed %d%nrate %s%nlength %dms%nslices %d uneven 0.4 "
@@ -180,9 +180,9 @@
         for (int i = 0; i < targets.size(); i++) {
             text.append("target ")
                     .append(Net.formatAddress(targets.get(i)))
-                    .append(String.format(Locale.ROOT, " weight %.4f%n", parts.get(i)));
+                    .append(String.format(Locale.ROOT, " weight %.4f%n", weights.get(i)));
         }
-        for (CoordinatorConfig.Group group : judged.groups) {
+        for (CoordinatorConfig.Group group : config.groups) {
             text.append(String.format(
                     Locale.ROOT,
                     "group %s share 1 utility %s budget %dms expiry %dms path /flow method POST " + "work %dus%s%s%n",
--- a/src/main/java/puffinbarrow/day/Script.java
+++ b/src/main/java/puffinbarrow/day/Script.java
@@ -21,8 +21,8 @@
      * {@link Pick#NONE}.
      *
      * @param atNs when it begins, in ns from the day's beginning
-     * @param forNs how long it lasts, in ns; for RELEASE how long a batch drains
-     * @param pick the backends it strikes
+     * @param durationNs how long it lasts, in ns; for RELEASE how long a batch drains
+     * @param pick the backends it applies to
      * @param share 0 to 1: of flows, answers, proxies, traffic or pace; for RELEASE the share of backends in a batch
      * @param factor a multiple of work, time or traffic; for PAUSE and FLAP the length of each outage and for
      *     STORE_SLOW the added delay, in ns
@@ -198,7 +198,7 @@
         return fromStatements(StatementReader.parse(name, text, problems), problems);
     }
 
-    /** Adds a problem for each size beyond what one machine can play on sockets; the emulator takes more. */
+    /** Adds a problem for each size beyond what one machine can run on sockets; the emulator takes more. */
     public void checkSocketLimits(List<Problem> problems) {
         String[] names = {"coordinators", "proxies", "backends", "slices", "rate"};
         double[] wanted = {coordinators, proxies, backends, slices, rate};
@@ -218,9 +218,9 @@
     public static Script fromStatements(List<Statement> statements, List<Problem> problems) {
         Script script = new Script();
         for (Statement statement : statements) {
-            ArgumentReader words = new ArgumentReader(statement, problems);
-            script.readStatement(statement, words);
-            words.expectEnd();
+            ArgumentReader arguments = new ArgumentReader(statement, problems);
+            script.readStatement(statement, arguments);
+            arguments.expectEnd();
         }
         for (Fault fault : script.faults) {
             if (fault.atNs() > script.lengthNs) {
@@ -242,71 +242,71 @@
     }
 
     /** Reads one line of the script into the fields. */
-    private void readStatement(Statement statement, ArgumentReader words) {
+    private void readStatement(Statement statement, ArgumentReader arguments) {
         switch (statement.keyword()) {
-            case "coordinators" -> coordinators = (int) words.integer("how many coordinators", 1, 50);
-            case "proxies" -> proxies = (int) words.integer("how many proxies", 1, 10_000);
+            case "coordinators" -> coordinators = (int) arguments.integer("how many coordinators", 1, 50);
+            case "proxies" -> proxies = (int) arguments.integer("how many proxies", 1, 10_000);
             case "backends" -> {
-                backends = (int) words.integer("how many backends", 1, 10_000);
-                if (words.takeIfNext("cores")) {
-                    cores = (int) words.integer("their cores", 1, 64);
+                backends = (int) arguments.integer("how many backends", 1, 10_000);
+                if (arguments.takeIfNext("cores")) {
+                    cores = (int) arguments.integer("their cores", 1, 64);
                 }
-                if (words.takeIfNext("speed")) {
-                    speedLow = words.number("the slowest's speed", 0.05, 20);
-                    words.expect("to");
-                    speedHigh = words.number("the fastest's speed", speedLow, 20);
+                if (arguments.takeIfNext("speed")) {
+                    speedLow = arguments.number("the slowest's speed", 0.05, 20);
+                    arguments.expect("to");
+                    speedHigh = arguments.number("the fastest's speed", speedLow, 20);
                 }
             }
-            case "zones" -> zones = (int) words.integer("how many zones", 1, 9);
-            case "slices" -> slices = (int) words.integer("how many slices", 1, 65_534);
-            case "rate" -> rate = words.number("flows a second", 0.1, 200_000);
-            case "length" -> lengthNs = words.durationNs("the day's length");
-            case "seed" -> seed = words.integer("a seed", 0, Long.MAX_VALUE);
+            case "zones" -> zones = (int) arguments.integer("how many zones", 1, 9);
+            case "slices" -> slices = (int) arguments.integer("how many slices", 1, 65_534);
+            case "rate" -> rate = arguments.number("flows a second", 0.1, 200_000);
+            case "length" -> lengthNs = arguments.durationNs("the day's length");
+            case "seed" -> seed = arguments.integer("a seed", 0, Long.MAX_VALUE);
             case "work" -> {
-                if (words.oneOf("spread", "exponential").equals("spread")) {
-                    workSpread = words.number("the log-normal spread of flows' work", 0.001, 3);
+                if (arguments.oneOf("spread", "exponential").equals("spread")) {
+                    workSpread = arguments.number("the log-normal spread of flows' work", 0.001, 3);
                 } else {
                     workSpread = 0;
                 }
             }
-            case "retries" -> retries = (int) words.integer("a client's own retries", 0, 5);
+            case "retries" -> retries = (int) arguments.integer("a client's own retries", 0, 5);
             case "cold" -> {
-                coldShare = words.share("the share that a cold backend can do");
-                words.expect("for");
-                coldNs = words.durationNs("until it is warm");
+                coldShare = arguments.share("the share that a cold backend can do");
+                arguments.expect("for");
+                coldNs = arguments.durationNs("until it is warm");
             }
-            case "transit" -> transitNs = words.durationNs("the mean delay of a message");
-            case "sums-late" -> sumsLateNs = words.durationNs("how late sums arrive");
+            case "transit" -> transitNs = arguments.durationNs("the mean delay of a message");
+            case "sums-late" -> sumsLateNs = arguments.durationNs("how late sums arrive");
             case "notice" -> {
-                minListDelayNs = words.durationNs("the shortest delay of the server list");
-                words.expect("to");
-                maxListDelayNs = words.durationNs("the longest delay");
-                if (words.valid() && maxListDelayNs < minListDelayNs) {
-                    words.reportMistake("a longest delay below the shortest", "a longer time");
+                minListDelayNs = arguments.durationNs("the shortest delay of the server list");
+                arguments.expect("to");
+                maxListDelayNs = arguments.durationNs("the longest delay");
+                if (arguments.valid() && maxListDelayNs < minListDelayNs) {
+                    arguments.reportMistake("a longest delay below the shortest", "a longer time");
                 }
             }
             case "takeover" -> {
-                takeoverNs = words.durationNs("until the store reassigns slices");
+                takeoverNs = arguments.durationNs("until the store reassigns slices");
                 leaseNs = 0;
             }
-            case "lease" -> leaseNs = words.durationNs("a coordinator's lease");
-            case "memory" -> keepsMemory = words.onOff();
-            case "list" -> pollsRegistry = words.oneOf("push", "ask").equals("ask");
+            case "lease" -> leaseNs = arguments.durationNs("a coordinator's lease");
+            case "memory" -> keepsMemory = arguments.onOff();
+            case "list" -> pollsRegistry = arguments.oneOf("push", "ask").equals("ask");
             case "set" -> {
                 StringBuilder line = new StringBuilder();
-                while (words.hasMore()) {
-                    line.append(words.text("a setting")).append(' ');
+                while (arguments.hasMore()) {
+                    line.append(arguments.text("a setting")).append(' ');
                 }
                 settings.add(line.toString().trim());
             }
-            case "at" -> readFault(statement, words);
-            default -> words.reportUnknownKeyword(KEYWORDS);
+            case "at" -> readFault(statement, arguments);
+            default -> arguments.reportUnknownKeyword(KEYWORDS);
         }
     }
 
     /** Reads the rest of a line {@code at}. */
-    private void readFault(Statement statement, ArgumentReader words) {
-        long at = words.durationNs("when it begins");
+    private void readFault(Statement statement, ArgumentReader arguments) {
+        long at = arguments.durationNs("when it begins");
         String text = String.join(
                 " ",
                 statement
@@ -314,55 +314,56 @@
                         .subList(
                                 Math.min(2, statement.words().size()),
                                 statement.words().size()));
-        switch (words.oneOf(
+        switch (arguments.oneOf(
                 "traffic", "hot", "heavy", "backends", "release", "list", "coordinator", "cut", "proxies", "store")) {
             case "traffic" -> {
-                Kind kind = words.takeIfNext("peak") ? Kind.PEAK : Kind.TRAFFIC;
-                words.expect("x");
-                double factor = words.number("times the usual", 0, 100);
-                add(kind, at, readDuration(words), Pick.NONE, 0, factor, 0, 0, "", text);
+                Kind kind = arguments.takeIfNext("peak") ? Kind.PEAK : Kind.TRAFFIC;
+                arguments.expect("x");
+                double factor = arguments.number("times the usual", 0, 100);
+                add(kind, at, readDuration(arguments), Pick.NONE, 0, factor, 0, 0, "", text);
             }
             case "hot" -> {
-                int keys = (int) words.integer("how many keys", 1, 100);
-                words.expect("keys");
-                double share = words.share("their share of traffic");
-                add(Kind.HOT, at, readDuration(words), Pick.NONE, share, 0, 0, keys, "", text);
+                int keys = (int) arguments.integer("how many keys", 1, 100);
+                arguments.expect("keys");
+                double share = arguments.share("their share of traffic");
+                add(Kind.HOT, at, readDuration(arguments), Pick.NONE, share, 0, 0, keys, "", text);
             }
             case "heavy" -> {
-                double share = words.share("which share of flows");
-                words.expect("x");
-                double factor = words.number("times the usual work", 1, 1000);
-                add(Kind.HEAVY, at, readDuration(words), Pick.NONE, share, factor, 0, 0, "", text);
+                double share = arguments.share("which share of flows");
+                arguments.expect("x");
+                double factor = arguments.number("times the usual work", 1, 1000);
+                add(Kind.HEAVY, at, readDuration(arguments), Pick.NONE, share, factor, 0, 0, "", text);
             }
             case "release" -> {
-                double share = words.share("which share of backends");
-                words.expect("batch");
-                double batch = words.share("the share in one batch");
-                words.expect("drain");
-                long drain = words.durationNs("a batch's drain");
+                double share = arguments.share("which share of backends");
+                arguments.expect("batch");
+                double batch = arguments.share("the share in one batch");
+                arguments.expect("drain");
+                long drain = arguments.durationNs("a batch's drain");
                 add(Kind.RELEASE, at, drain, new Pick(0, share, -1), batch, 0, 0, 0, "", text);
             }
             case "list" -> {
-                if (words.oneOf("lies", "breaks").equals("breaks")) {
+                if (arguments.oneOf("lies", "breaks").equals("breaks")) {
                     add(Kind.LIST_BREAKS, at, 0, Pick.NONE, 0, 0, 0, 0, "", text);
                 } else {
-                    words.expect("about");
-                    Pick pick = readPick(words);
-                    add(Kind.LIST_LIES, at, readDuration(words), pick, 0, 0, 0, 0, "", text);
+                    arguments.expect("about");
+                    Pick pick = readPick(arguments);
+                    add(Kind.LIST_LIES, at, readDuration(arguments), pick, 0, 0, 0, 0, "", text);
                 }
             }
             case "coordinator" -> {
-                int number = (int) words.integer("its number", 0, 49);
-                switch (words.oneOf("killed", "pace", "stops", "frozen", "leaves")) {
-                    case "frozen" -> add(Kind.FREEZE, at, readDuration(words), Pick.NONE, 0, 0, 0, number, "", text);
-                    case "leaves" -> add(Kind.LEAVE, at, readDuration(words), Pick.NONE, 0, 0, 0, number, "", text);
-                    case "killed" -> add(Kind.KILL, at, readDuration(words), Pick.NONE, 0, 0, 0, number, "", text);
+                int number = (int) arguments.integer("its number", 0, 49);
+                switch (arguments.oneOf("killed", "pace", "stops", "frozen", "leaves")) {
+                    case "frozen" -> add(
+                            Kind.FREEZE, at, readDuration(arguments), Pick.NONE, 0, 0, 0, number, "", text);
+                    case "leaves" -> add(Kind.LEAVE, at, readDuration(arguments), Pick.NONE, 0, 0, 0, number, "", text);
+                    case "killed" -> add(Kind.KILL, at, readDuration(arguments), Pick.NONE, 0, 0, 0, number, "", text);
                     case "pace" -> {
-                        double share = words.share("the part of its pace");
+                        double share = arguments.share("the part of its pace");
                         add(
                                 Kind.PACE,
                                 at,
-                                readDuration(words),
+                                readDuration(arguments),
                                 Pick.NONE,
                                 Math.max(0.01, share),
                                 0,
@@ -371,54 +372,54 @@
                                 "",
                                 text);
                     }
-                    default -> add(Kind.STOP, at, readDuration(words), Pick.NONE, 0, 0, 0, number, "", text);
+                    default -> add(Kind.STOP, at, readDuration(arguments), Pick.NONE, 0, 0, 0, number, "", text);
                 }
             }
             case "cut" -> {
-                words.expect("coordinator");
-                int number = (int) words.integer("its number", 0, 49);
-                words.expect("from");
-                String from = words.oneOf("peers", "store", "registry", "proxies", "all");
-                add(Kind.CUT, at, readDuration(words), Pick.NONE, 0, 0, 0, number, from, text);
+                arguments.expect("coordinator");
+                int number = (int) arguments.integer("its number", 0, 49);
+                arguments.expect("from");
+                String from = arguments.oneOf("peers", "store", "registry", "proxies", "all");
+                add(Kind.CUT, at, readDuration(arguments), Pick.NONE, 0, 0, 0, number, from, text);
             }
             case "store" -> {
-                switch (words.oneOf("away", "slow", "loses")) {
-                    case "away" -> add(Kind.STORE_AWAY, at, readDuration(words), Pick.NONE, 0, 0, 0, 0, "", text);
+                switch (arguments.oneOf("away", "slow", "loses")) {
+                    case "away" -> add(Kind.STORE_AWAY, at, readDuration(arguments), Pick.NONE, 0, 0, 0, 0, "", text);
                     case "slow" -> {
-                        long by = words.durationNs("by how much");
-                        add(Kind.STORE_SLOW, at, readDuration(words), Pick.NONE, 0, by, 0, 0, "", text);
+                        long by = arguments.durationNs("by how much");
+                        add(Kind.STORE_SLOW, at, readDuration(arguments), Pick.NONE, 0, by, 0, 0, "", text);
                     }
                     default -> {
-                        double share = words.share("which share of its answers");
-                        add(Kind.STORE_LOSES, at, readDuration(words), Pick.NONE, share, 0, 0, 0, "", text);
+                        double share = arguments.share("which share of its answers");
+                        add(Kind.STORE_LOSES, at, readDuration(arguments), Pick.NONE, share, 0, 0, 0, "", text);
                     }
                 }
             }
             case "proxies" -> {
-                double share = words.share("which share of proxies");
-                words.expect("unheard");
-                add(Kind.UNHEARD, at, readDuration(words), Pick.NONE, share, 0, 0, 0, "", text);
+                double share = arguments.share("which share of proxies");
+                arguments.expect("unheard");
+                add(Kind.UNHEARD, at, readDuration(arguments), Pick.NONE, share, 0, 0, 0, "", text);
             }
-            default -> readBackendFault(at, words, text);
+            default -> readBackendFault(at, arguments, text);
         }
     }
 
     /** Reads the rest of a line {@code at TIME backends}. */
-    private void readBackendFault(long at, ArgumentReader words, String text) {
-        if (words.takeIfNext("add")) {
-            int count = (int) words.integer("how many", 1, 10_000);
+    private void readBackendFault(long at, ArgumentReader arguments, String text) {
+        if (arguments.takeIfNext("add")) {
+            int count = (int) arguments.integer("how many", 1, 10_000);
             add(Kind.ADD, at, 0, new Pick(count, 0, -1), 0, 0, 0, 0, "", text);
             return;
         }
-        Pick pick = readPick(words);
-        String what = words.oneOf("die", "vanish", "fail", "slow", "pause", "lose", "flap", "age", "preempt");
+        Pick pick = readPick(arguments);
+        String what = arguments.oneOf("die", "vanish", "fail", "slow", "pause", "lose", "flap", "age", "preempt");
         switch (what) {
             case "fail", "lose" -> {
-                double share = words.share("which share of flows");
+                double share = arguments.share("which share of flows");
                 add(
                         what.equals("fail") ? Kind.FAIL : Kind.LOSE,
                         at,
-                        readDuration(words),
+                        readDuration(arguments),
                         pick,
                         share,
                         0,
@@ -428,12 +429,12 @@
                         text);
             }
             case "slow", "age" -> {
-                words.expect("x");
-                double factor = words.number("times slower", 1, 1000);
+                arguments.expect("x");
+                double factor = arguments.number("times slower", 1, 1000);
                 add(
                         what.equals("slow") ? Kind.SLOW : Kind.AGE,
                         at,
-                        readDuration(words),
+                        readDuration(arguments),
                         pick,
                         0,
                         factor,
@@ -443,39 +444,48 @@
                         text);
             }
             case "pause", "flap" -> {
-                long outage = words.durationNs("how long each time");
-                words.expect("every");
-                long every = words.durationNs("how often");
-                long lasts = readDuration(words);
+                long outage = arguments.durationNs("how long each time");
+                arguments.expect("every");
+                long every = arguments.durationNs("how often");
+                long lasts = readDuration(arguments);
                 add(what.equals("pause") ? Kind.PAUSE : Kind.FLAP, at, lasts, pick, 0, outage, every, 0, "", text);
             }
             default -> add(
-                    Kind.valueOf(what.toUpperCase(Locale.ROOT)), at, readDuration(words), pick, 0, 0, 0, 0, "", text);
+                    Kind.valueOf(what.toUpperCase(Locale.ROOT)),
+                    at,
+                    readDuration(arguments),
+                    pick,
+                    0,
+                    0,
+                    0,
+                    0,
+                    "",
+                    text);
         }
     }
 
     /** Reads {@code for TIME}; in ns. */
-    private static long readDuration(ArgumentReader words) {
-        words.expect("for");
-        return words.durationNs("how long it lasts");
+    private static long readDuration(ArgumentReader arguments) {
+        arguments.expect("for");
+        return arguments.durationNs("how long it lasts");
     }
 
-    /** Reads which backends are struck. */
-    private Pick readPick(ArgumentReader words) {
-        if (words.takeIfNext("zone")) {
-            return new Pick(0, 0, (int) words.integer("the zone's number", 0, zones - 1));
+    /** Reads which backends a fault applies to. */
+    private Pick readPick(ArgumentReader arguments) {
+        if (arguments.takeIfNext("zone")) {
+            return new Pick(0, 0, (int) arguments.integer("the zone's number", 0, zones - 1));
         }
-        if (words.takeIfNext("cells")) {
-            return new Pick(0, 0, -1, (int) words.integer("how many cells", 1, 1000));
+        if (arguments.takeIfNext("cells")) {
+            return new Pick(0, 0, -1, (int) arguments.integer("how many cells", 1, 1000));
         }
-        String word = words.text("a count, a share such as 25%, zone NUMBER or cells COUNT");
+        String word = arguments.text("a count, a share such as 25%, zone NUMBER or cells COUNT");
         try {
             if (word.endsWith("%")) {
                 return new Pick(0, Double.parseDouble(word.substring(0, word.length() - 1)) / 100, -1);
             }
             return new Pick(Integer.parseInt(word), 0, -1);
         } catch (NumberFormatException notANumber) {
-            words.reportMistake("'" + word + "'", "a count, a share such as 25%, zone NUMBER or cells COUNT");
+            arguments.reportMistake("'" + word + "'", "a count, a share such as 25%, zone NUMBER or cells COUNT");
             return Pick.NONE;
         }
     }
@@ -483,7 +493,7 @@
     private void add(
             Kind kind,
             long at,
-            long forNs,
+            long durationNs,
             Pick pick,
             double share,
             double factor,
@@ -491,6 +501,6 @@
             int number,
             String from,
             String text) {
-        faults.add(new Fault(kind, at, forNs, pick, share, factor, every, number, from, text));
+        faults.add(new Fault(kind, at, durationNs, pick, share, factor, every, number, from, text));
     }
 }
--- a/src/main/java/puffinbarrow/day/TakeoverTimes.java
+++ b/src/main/java/puffinbarrow/day/TakeoverTimes.java
@@ -14,8 +14,8 @@
 final class TakeoverTimes {
     private TakeoverTimes() {}
 
-    /** @param beganAt when the day began, in ns of {@link System#nanoTime} */
-    static String summary(Script script, List<Observation> seen, long beganAt) {
+    /** @param dayStartNs when the day began, in ns of {@link System#nanoTime} */
+    static String summary(Script script, List<Observation> observations, long dayStartNs) {
         Histogram lost = new Histogram(3);
         Histogram left = new Histogram(3);
         for (Script.Fault fault : script.faults) {
@@ -28,14 +28,14 @@
                 continue;
             }
             Map<Integer, Integer> inCharge = new HashMap<>();
-            for (Observation event : seen) {
+            for (Observation event : observations) {
                 if (!(event instanceof Observation.ChargeSent charge) || !charge.given()) {
                     continue;
                 }
-                if (charge.at() < beganAt + fault.atNs()) {
+                if (charge.at() < dayStartNs + fault.atNs()) {
                     inCharge.put(charge.slice(), charge.coordinator());
                 } else if (inCharge.getOrDefault(charge.slice(), -1) == fault.number()) {
-                    times.recordValue((charge.at() - beganAt - fault.atNs()) / 1_000_000);
+                    times.recordValue((charge.at() - dayStartNs - fault.atNs()) / 1_000_000);
                     inCharge.remove(charge.slice());
                 }
             }
--- a/src/main/java/puffinbarrow/emulator/Clients.java
+++ b/src/main/java/puffinbarrow/emulator/Clients.java
@@ -26,7 +26,7 @@
 
         OpenFlow(Flow flow) {
             this.flow = flow;
-            this.startNs = beganAtNs + flow.startNs();
+            this.startNs = trafficStartNs + flow.startNs();
         }
 
         /** Sends an attempt to the proxy of the flow. */
@@ -121,12 +121,12 @@
     /** Flows by group in order of their start, until they expire; ended flows are removed when they come first. */
     private final List<ArrayDeque<OpenFlow>> expiring = new ArrayList<>();
 
-    private long beganAtNs;
+    private long trafficStartNs;
     long intended;
     long retries;
     long openFlows;
     /** Largest number of flows open at a time. */
-    long mostOpen;
+    long maxOpenFlows;
 
     Clients(Fleet fleet, Scenario scenario) {
         this.fleet = fleet;
@@ -152,7 +152,7 @@
      * length of the day.
      */
     void start() {
-        beganAtNs = simulation.now();
+        trafficStartNs = simulation.now();
         scheduleNext();
         decayWork();
     }
@@ -163,10 +163,10 @@
         if (flow == null) {
             return;
         }
-        simulation.at(beganAtNs + flow.startNs(), () -> {
+        simulation.at(trafficStartNs + flow.startNs(), () -> {
             intended++;
             openFlows++;
-            mostOpen = Math.max(mostOpen, openFlows);
+            maxOpenFlows = Math.max(maxOpenFlows, openFlows);
             OpenFlow openFlow = new OpenFlow(flow);
             offeredUtility[(int) (flow.startNs() / SECOND)] += openFlow.group().utility();
             recentSliceWork[scenario.sliceOf(flow.key())] += flow.workNs();
--- a/src/main/java/puffinbarrow/emulator/CoordinatorModel.java
+++ b/src/main/java/puffinbarrow/emulator/CoordinatorModel.java
@@ -44,11 +44,11 @@
      */
     private final class MemoryModel implements CoordinatorCore.Memory {
         private static final long WRITE_INTERVAL_NS = SECOND / 2;
-        private final FactCollector notes = new FactCollector(incarnation);
+        private final FactCollector factCollector = new FactCollector(incarnation);
         private long nextWriteAtNs = Long.MIN_VALUE;
 
         MemoryModel() {
-            notes.resume(savedFacts);
+            factCollector.resume(savedFacts);
         }
 
         @Override
@@ -60,11 +60,12 @@
 
         @Override
         public void recordTurn(long at, List<Event> events, List<Order> orders, Controller controller) {
-            notes.recordEvents(at, events);
-            notes.recordOrders(orders);
+            factCollector.recordEvents(at, events);
+            factCollector.recordOrders(orders);
             if (at >= nextWriteAtNs) {
                 nextWriteAtNs = at + WRITE_INTERVAL_NS;
-                notes.takeChangedFacts(at, at, false, controller.rememberedState())
+                factCollector
+                        .takeChangedFacts(at, at, false, controller.rememberedState())
                         .forEach(savedFacts::put);
             }
         }
@@ -83,7 +84,7 @@
 
     private CoordinatorConfig config;
     private CoordinatorCore core;
-    private LeaseHolder holder;
+    private LeaseHolder leaseHolder;
     private Meters meters;
     private boolean up;
     private boolean frozen;
@@ -145,9 +146,9 @@
                 fleet.script.keepsMemory ? new MemoryModel() : CoordinatorCore.Memory.NONE,
                 meters,
                 new CoordinatorCore.RateLimits(config.linesPerS, config.reportLinesPerS, config.roundNs));
-        holder = null;
+        leaseHolder = null;
         if (config.leaseNs > 0) {
-            holder = new LeaseHolder(
+            leaseHolder = new LeaseHolder(
                     config,
                     (long) number << 32 | incarnation,
                     this,
@@ -156,9 +157,9 @@
                         return true;
                     },
                     meters);
-            core.setFence(holder);
-            // Timers of an earlier holder have no effect, see after().
-            holder.start();
+            core.setFence(leaseHolder);
+            // Timers of an earlier lease holder have no effect, see after().
+            leaseHolder.start();
         }
         storeRedialPauseNs = registryRedialPauseNs = MIN_REDIAL_PAUSE_NS;
         dialStore(incarnation);
@@ -251,8 +252,8 @@
 
     /** Hands its slices over, if it holds leases. */
     void leave() {
-        if (up && holder != null) {
-            holder.leave();
+        if (up && leaseHolder != null) {
+            leaseHolder.leave();
         }
     }
 
@@ -348,8 +349,8 @@
             return;
         }
         if (frame instanceof Frame.Stale stale) {
-            if (holder != null) {
-                runWhenAwake(() -> holder.stale(stale.slice(), stale.term()));
+            if (leaseHolder != null) {
+                runWhenAwake(() -> leaseHolder.stale(stale.slice(), stale.term()));
             }
         } else {
             runWhenAwake(() -> offer(new Input.FromProxy(stream.number(), stream, frame)));
@@ -364,17 +365,17 @@
             if (expectedIncarnation != incarnation) {
                 return;
             }
-            StoreModel.Stream outlet = fleet.store.connect(this);
-            if (outlet == null) {
+            StoreModel.Stream sink = fleet.store.connect(this);
+            if (sink == null) {
                 runLater(storeRedialPauseNs, () -> dialStore(expectedIncarnation), expectedIncarnation);
                 storeRedialPauseNs = Math.min(MAX_REDIAL_PAUSE_NS, 2 * storeRedialPauseNs);
                 return;
             }
             storeRedialPauseNs = MIN_REDIAL_PAUSE_NS;
             runWhenAwake(() -> {
-                offer(new Input.StoreConnection(outlet));
-                if (holder != null) {
-                    holder.store(outlet::receive);
+                offer(new Input.StoreConnection(sink));
+                if (leaseHolder != null) {
+                    leaseHolder.store(sink::receive);
                 }
             });
         });
@@ -397,8 +398,8 @@
         int expectedIncarnation = incarnation;
         runWhenAwake(() -> {
             offer(new Input.StoreConnection(null));
-            if (holder != null) {
-                holder.store(null);
+            if (leaseHolder != null) {
+                leaseHolder.store(null);
             }
         });
         runLater(storeRedialPauseNs, () -> dialStore(expectedIncarnation), expectedIncarnation);
@@ -410,10 +411,10 @@
             if (expectedIncarnation != incarnation || !up) {
                 return;
             }
-            if (holder == null) {
+            if (leaseHolder == null) {
                 offer(new Input.FromStore(frame));
             } else {
-                holder.frame(frame);
+                leaseHolder.frame(frame);
             }
         });
     }
@@ -430,8 +431,8 @@
                 return;
             }
             registryRedialPauseNs = MIN_REDIAL_PAUSE_NS;
-            FrameSink outlet = fleet.registry.connect(this);
-            runWhenAwake(() -> offer(new Input.RegistryConnection(outlet)));
+            FrameSink sink = fleet.registry.connect(this);
+            runWhenAwake(() -> offer(new Input.RegistryConnection(sink)));
         });
     }
 
--- a/src/main/java/puffinbarrow/emulator/EmulatedDay.java
+++ b/src/main/java/puffinbarrow/emulator/EmulatedDay.java
@@ -28,9 +28,9 @@
         List<Statement> scriptStatements = new ArrayList<>();
         for (Statement statement : statements) {
             if (statement.keyword().equals("model")) {
-                ArgumentReader words = new ArgumentReader(statement, problems);
-                model.readLine(words);
-                words.expectEnd();
+                ArgumentReader arguments = new ArgumentReader(statement, problems);
+                model.readLine(arguments);
+                arguments.expectEnd();
             } else {
                 scriptStatements.add(statement);
             }
--- a/src/main/java/puffinbarrow/emulator/Experiment.java
+++ b/src/main/java/puffinbarrow/emulator/Experiment.java
@@ -87,9 +87,9 @@
             List<Statement> statements, Path file, Function<String, String> builtIn, List<Problem> problems) {
         Experiment experiment = new Experiment();
         for (Statement statement : statements) {
-            ArgumentReader words = new ArgumentReader(statement, problems);
-            experiment.readStatement(statement, words, file, builtIn);
-            words.expectEnd();
+            ArgumentReader arguments = new ArgumentReader(statement, problems);
+            experiment.readStatement(statement, arguments, file, builtIn);
+            arguments.expectEnd();
         }
         if (experiment.policies.isEmpty()) {
             experiment.policies.add("ours");
@@ -101,48 +101,50 @@
     }
 
     /** Reads a line of the file. */
-    private void readStatement(Statement statement, ArgumentReader words, Path file, Function<String, String> builtIn) {
+    private void readStatement(
+            Statement statement, ArgumentReader arguments, Path file, Function<String, String> builtIn) {
         switch (statement.keyword()) {
-            case "name" -> name = words.text("the experiment's name");
+            case "name" -> name = arguments.text("the experiment's name");
             case "day" -> {
-                String day = words.text("the file of a day, or default or monday");
+                String day = arguments.text("the file of a day, or default or monday");
                 Path besideFile = file.toAbsolutePath().resolveSibling(day);
                 try {
                     String dayText = Files.exists(besideFile)
                             ? Files.readString(besideFile, StandardCharsets.UTF_8)
                             : builtIn.apply(day);
                     if (dayText == null) {
-                        words.reportMistake("'" + day + "'", "the file of a day beside this one, or default or monday");
+                        arguments.reportMistake(
+                                "'" + day + "'", "the file of a day beside this one, or default or monday");
                     } else {
                         baseDay = dayText;
                     }
                 } catch (IOException unreadable) {
-                    words.reportMistake("'" + day + "', which cannot be read", "the file of a day");
+                    arguments.reportMistake("'" + day + "', which cannot be read", "the file of a day");
                 }
             }
-            case "line" -> fixedLines.add(restOfLine(words));
+            case "line" -> fixedLines.add(restOfLine(arguments));
             case "level" -> {
-                String factor = words.text("the factor's name");
-                String level = words.text("the level's name");
+                String factor = arguments.text("the factor's name");
+                String level = arguments.text("the level's name");
                 List<String> levelLines = new ArrayList<>();
-                while (words.hasMore()) {
-                    levelLines.add(words.text("a line of a day in quotes"));
+                while (arguments.hasMore()) {
+                    levelLines.add(arguments.text("a line of a day in quotes"));
                 }
                 if (factors.computeIfAbsent(factor, f -> new LinkedHashMap<>()).put(level, levelLines) != null) {
-                    words.reportMistake("level " + level + " of " + factor + " a second time", "each level once");
+                    arguments.reportMistake("level " + level + " of " + factor + " a second time", "each level once");
                 }
             }
-            case "draw" -> drawnLines.add(new Drawn(1, "", restOfLine(words)));
+            case "draw" -> drawnLines.add(new Drawn(1, "", restOfLine(arguments)));
             case "maybe" -> {
-                double share = words.share("the probability that the line is included");
-                String reportName = words.text("the name of the line in reports");
-                drawnLines.add(new Drawn(share, reportName, restOfLine(words)));
+                double share = arguments.share("the probability that the line is included");
+                String reportName = arguments.text("the name of the line in reports");
+                drawnLines.add(new Drawn(share, reportName, restOfLine(arguments)));
             }
             case "policy" -> {
                 do {
-                    String policy = words.text("a policy");
-                    if (words.valid() && Policy.byName(policy) == null) {
-                        words.reportMistake(
+                    String policy = arguments.text("a policy");
+                    if (arguments.valid() && Policy.byName(policy) == null) {
+                        arguments.reportMistake(
                                 "'" + policy + "'",
                                 "one of "
                                         + String.join(
@@ -152,24 +154,25 @@
                                                         .toList()));
                     }
                     policies.add(policy);
-                } while (words.hasMore());
+                } while (arguments.hasMore());
             }
             case "seeds" -> {
-                firstSeed = words.integer("the first seed", 0, Long.MAX_VALUE / 2);
-                words.expect("to");
-                lastSeed = words.integer("the last seed", firstSeed, firstSeed + 1_000_000);
+                firstSeed = arguments.integer("the first seed", 0, Long.MAX_VALUE / 2);
+                arguments.expect("to");
+                lastSeed = arguments.integer("the last seed", firstSeed, firstSeed + 1_000_000);
             }
-            case "most-events" -> maxEvents = words.integer("events after which a run has failed", 1, Long.MAX_VALUE);
-            default -> words.reportUnknownKeyword(KEYWORDS);
+            case "most-events" -> maxEvents =
+                    arguments.integer("events after which a run has failed", 1, Long.MAX_VALUE);
+            default -> arguments.reportUnknownKeyword(KEYWORDS);
         }
     }
 
     /** Returns the remaining words as one line. */
-    private static String restOfLine(ArgumentReader words) {
+    private static String restOfLine(ArgumentReader arguments) {
         StringBuilder line = new StringBuilder();
         do {
-            line.append(line.length() > 0 ? " " : "").append(words.text("a line of a day"));
-        } while (words.hasMore());
+            line.append(line.length() > 0 ? " " : "").append(arguments.text("a line of a day"));
+        } while (arguments.hasMore());
         return line.toString();
     }
 
--- a/src/main/java/puffinbarrow/emulator/ExperimentRunner.java
+++ b/src/main/java/puffinbarrow/emulator/ExperimentRunner.java
@@ -75,12 +75,12 @@
     /** Runs one day; returns an outcome in any case, failed if the day is invalid or the run throws. */
     static Outcome runDay(String text, Policy policy, long maxEvents) {
         List<Problem> problems = new ArrayList<>();
-        EmulatedDay setup = EmulatedDay.parse("run", text, problems);
+        EmulatedDay emulatedDay = EmulatedDay.parse("run", text, problems);
         if (!problems.isEmpty()) {
             return failed("no sound day: " + problems.get(0));
         }
         try {
-            return new Fleet(setup, policy, new QuaternaryHeap(), maxEvents).run();
+            return new Fleet(emulatedDay, policy, new QuaternaryHeap(), maxEvents).run();
         } catch (RuntimeException | OutOfMemoryError thrown) {
             return failed("threw " + thrown);
         }
--- a/src/main/java/puffinbarrow/emulator/Fleet.java
+++ b/src/main/java/puffinbarrow/emulator/Fleet.java
@@ -24,7 +24,7 @@
 
 /**
  * Runs a whole day in simulated time: clients, proxies, servers, coordinators, store and registry, with the audit
- * over all of them. The command line and {@link Runs} make one fleet per run; a fleet uses only the thread that calls
+ * over all of them. The command line and {@link ExperimentRunner} make one fleet per run; a fleet uses only the thread that calls
  * {@link #run}.
  */
 public final class Fleet implements FleetControl {
@@ -55,7 +55,7 @@
     /** Servers by id, in the order of their creation. */
     private final Map<String, Server> servers = new LinkedHashMap<>();
 
-    private final FaultInjector strikes;
+    private final FaultInjector faultInjector;
     private final Audit audit;
     private final List<String> log = new ArrayList<>();
     private final FrameReader reader = new FrameReader(1 << 28, this::keepDecoded);
@@ -66,7 +66,7 @@
     private Scenario scenario;
     private Clients clients;
     /** When traffic began, in simulated time. */
-    private long beganAtNs;
+    private long trafficStartNs;
 
     /** Why the run failed if the policy flooded its channel, else null. */
     private String floodFailure;
@@ -75,16 +75,16 @@
      * Builds the fleet; nothing happens before {@link #run}.
      *
      * @param policy decides for all coordinators
-     * @param agenda holds the events to come; must be empty
+     * @param eventQueue holds the events to come; must be empty
      * @param maxEvents number of events after which the run fails
      */
-    public Fleet(EmulatedDay setup, Policy policy, EventQueue agenda, long maxEvents) {
-        this.script = setup.script();
-        this.model = setup.model();
+    public Fleet(EmulatedDay emulatedDay, Policy policy, EventQueue eventQueue, long maxEvents) {
+        this.script = emulatedDay.script();
+        this.model = emulatedDay.model();
         this.plan = new Plan(script);
         this.config = plan.configWithoutAddresses(0, List.of());
-        this.simulation = new Simulation(agenda, script.seed, maxEvents);
-        this.strikes = new FaultInjector(this, plan.random());
+        this.simulation = new Simulation(eventQueue, script.seed, maxEvents);
+        this.faultInjector = new FaultInjector(this, plan.random());
         this.audit = new Audit(plan.auditConfig(), Simulation.EPOCH_NS);
         this.store = new StoreModel(this);
         this.registry = new RegistryModel(this);
@@ -137,8 +137,8 @@
     }
 
     /** Hands an observation to the audit. */
-    void observe(Observation seen) {
-        audit.add(seen);
+    void observe(Observation observation) {
+        audit.add(observation);
     }
 
     /** Returns the frame in these bytes. One buffer is sent to many proxies, so the last result is cached. */
@@ -166,7 +166,7 @@
         String failed = null;
         try {
             bringUp();
-            simulation.run(beganAtNs + script.lengthNs + Plan.longestExpiry(config) + SECOND);
+            simulation.run(trafficStartNs + script.lengthNs + Plan.longestExpiry(config) + SECOND);
         } catch (Simulation.EventLimitException tooManyEvents) {
             failed = tooManyEvents.getMessage();
         } catch (IllegalStateException startFailure) {
@@ -216,11 +216,11 @@
         simulation.run(simulation.now() + SETTLE_NS);
         scenario = plan.traffic(config, targets, trafficShares);
         clients = new Clients(this, scenario);
-        beganAtNs = simulation.now();
-        audit.setEpoch(beganAtNs);
+        trafficStartNs = simulation.now();
+        audit.setEpoch(trafficStartNs);
         clients.start();
-        for (Script.Fault trouble : script.faults) {
-            simulation.after(trouble.atNs(), () -> strikes.inject(trouble));
+        for (Script.Fault fault : script.faults) {
+            simulation.after(fault.atNs(), () -> faultInjector.inject(fault));
         }
     }
 
@@ -255,7 +255,7 @@
         Outcome outcome = new Outcome();
         outcome.failed = failed;
         outcome.events = simulation.events();
-        outcome.trafficStartNs = beganAtNs - Simulation.EPOCH_NS;
+        outcome.trafficStartNs = trafficStartNs - Simulation.EPOCH_NS;
         outcome.log = List.copyOf(log);
         Audit.Verdict verdict = audit.conclude(simulation.now());
         outcome.verdict = verdict;
@@ -277,8 +277,8 @@
             outcome.proxyRetries += p.retries;
             outcome.staleOrders += p.staleOrders;
         });
-        outcome.fellOver = servers.values().stream()
-                .filter(Server::fellOver)
+        outcome.crashedUnderLoad = servers.values().stream()
+                .filter(Server::crashedUnderLoad)
                 .map(Server::id)
                 .toList();
         if (clients != null) {
@@ -287,7 +287,7 @@
         return outcome;
     }
 
-    // ---- Faults and releases of the script (Stage).
+    // ---- Faults and releases of the script (FleetControl).
 
     @Override
     public void after(long ns, Runnable work) {
@@ -296,7 +296,7 @@
 
     @Override
     public void note(String text) {
-        log.add(String.format(Locale.ROOT, "%6.2f s  %s", (simulation.now() - beganAtNs) / 1e9, text));
+        log.add(String.format(Locale.ROOT, "%6.2f s  %s", (simulation.now() - trafficStartNs) / 1e9, text));
     }
 
     @Override
@@ -312,8 +312,8 @@
     }
 
     @Override
-    public void showInServerList(List<? extends BackendControl> machines, Event.Listed as) {
-        registry.update(machines.stream().map(m -> Plan.listEntry(m, as)).toList());
+    public void showInServerList(List<? extends BackendControl> backends, Event.Listed as) {
+        registry.update(backends.stream().map(m -> Plan.listEntry(m, as)).toList());
     }
 
     @Override
--- a/src/main/java/puffinbarrow/emulator/ModelParameters.java
+++ b/src/main/java/puffinbarrow/emulator/ModelParameters.java
@@ -101,52 +101,53 @@
             "audited");
 
     /** Reads the words after {@code model}. */
-    void readLine(ArgumentReader words) {
-        switch (words.oneOf(KEYS.toArray(String[]::new))) {
-            case "network" -> networkDelayNs = words.durationNs("the network delay in one direction");
-            case "pick" -> pick = Pick.valueOf(constantName(words.oneOf("weighted", "rotate", "two-choices")));
-            case "work" -> sharing = Sharing.valueOf(constantName(words.oneOf("slots", "processor")));
-            case "overdue" -> overdue = Overdue.valueOf(constantName(words.oneOf("dropped", "goes-on", "stops")));
+    void readLine(ArgumentReader arguments) {
+        switch (arguments.oneOf(KEYS.toArray(String[]::new))) {
+            case "network" -> networkDelayNs = arguments.durationNs("the network delay in one direction");
+            case "pick" -> pick = Pick.valueOf(constantName(arguments.oneOf("weighted", "rotate", "two-choices")));
+            case "work" -> sharing = Sharing.valueOf(constantName(arguments.oneOf("slots", "processor")));
+            case "overdue" -> overdue = Overdue.valueOf(constantName(arguments.oneOf("dropped", "goes-on", "stops")));
             case "loss-when-full" -> {
-                lossWhenFull = words.share("the share of its capacity that a full server loses");
-                if (words.valid() && lossWhenFull > 0.95) {
-                    words.reportMistake("a server that does no work when full", "0.95 at most");
+                lossWhenFull = arguments.share("the share of its capacity that a full server loses");
+                if (arguments.valid() && lossWhenFull > 0.95) {
+                    arguments.reportMistake("a server that does no work when full", "0.95 at most");
                 }
             }
-            case "handshake" -> handshakeNs = words.durationNs("the work of a handshake at the server");
+            case "handshake" -> handshakeNs = arguments.durationNs("the work of a handshake at the server");
             case "connections" -> {
-                connectionsPerCore = (int) words.integer("connections accepted per core", 1, 1_000_000);
-                if (words.takeIfNext("kept")) {
-                    idleConnectionNs = words.durationNs("the time for which an idle connection is kept");
+                connectionsPerCore = (int) arguments.integer("connections accepted per core", 1, 1_000_000);
+                if (arguments.takeIfNext("kept")) {
+                    idleConnectionNs = arguments.durationNs("the time for which an idle connection is kept");
                 }
             }
-            case "waiting-room" -> waitingPerCore = (int) words.integer("flows that may wait per core", 0, 1_000_000);
+            case "waiting-room" -> waitingPerCore =
+                    (int) arguments.integer("flows that may wait per core", 0, 1_000_000);
             case "warm-keys" -> {
-                warmKeysPerCore = (int) words.integer("keys remembered per core", 0, 1_000_000);
-                if (words.takeIfNext("gain")) {
-                    warmKeyGain = words.share("the share of the work that a warm key saves");
+                warmKeysPerCore = (int) arguments.integer("keys remembered per core", 0, 1_000_000);
+                if (arguments.takeIfNext("gain")) {
+                    warmKeyGain = arguments.share("the share of the work that a warm key saves");
                 }
             }
             case "reports" -> {
-                words.expect("every");
-                reportIntervalNs = Math.max(1, words.durationNs("the interval between load reports"));
-                if (words.takeIfNext("noise")) {
-                    reportNoise = words.share("the largest relative error of the busy share");
+                arguments.expect("every");
+                reportIntervalNs = Math.max(1, arguments.durationNs("the interval between load reports"));
+                if (arguments.takeIfNext("noise")) {
+                    reportNoise = arguments.share("the largest relative error of the busy share");
                 }
             }
-            case "apply" -> applyNsPerLine = words.durationNs("the time that a proxy takes to apply a line");
+            case "apply" -> applyNsPerLine = arguments.durationNs("the time that a proxy takes to apply a line");
             case "avoid" -> {
                 failuresToAvoid =
-                        (int) words.integer("failures in a row before a proxy avoids a server (0: never)", 0, 1000);
-                if (words.takeIfNext("for")) {
-                    avoidNs = words.durationNs("the time for which the server is avoided");
+                        (int) arguments.integer("failures in a row before a proxy avoids a server (0: never)", 0, 1000);
+                if (arguments.takeIfNext("for")) {
+                    avoidNs = arguments.durationNs("the time for which the server is avoided");
                 }
             }
-            case "hold" -> holdNs = words.durationNs("the time for which a flow without a server is held");
+            case "hold" -> holdNs = arguments.durationNs("the time for which a flow without a server is held");
             case "try" -> attemptBudgets =
-                    words.number("the time-out of an attempt that may be retried, in latency budgets", 0.01, 100);
-            case "cell" -> cellSize = (int) words.integer("backends per cell", 1, 10_000);
-            default -> auditedProxies = (int) words.integer("proxies whose tables are audited", 0, 10_000);
+                    arguments.number("the time-out of an attempt that may be retried, in latency budgets", 0.01, 100);
+            case "cell" -> cellSize = (int) arguments.integer("backends per cell", 1, 10_000);
+            default -> auditedProxies = (int) arguments.integer("proxies whose tables are audited", 0, 10_000);
         }
     }
 
--- a/src/main/java/puffinbarrow/emulator/Outcome.java
+++ b/src/main/java/puffinbarrow/emulator/Outcome.java
@@ -8,7 +8,7 @@
 import puffinbarrow.load.Scenario;
 
 /**
- * The result of a day in the emulator. Everything but the cost of decisions follows from setup, seed and policy
+ * The result of a day in the emulator. Everything but the cost of decisions follows from the day, its seed and the policy
  * alone.
  */
 public final class Outcome {
@@ -66,8 +66,8 @@
     public Audit.Verdict verdict;
     /** Faults and releases of the script with their times. */
     public List<String> log = List.of();
-    /** Servers that fell over during a cold start. */
-    public List<String> fellOver = List.of();
+    /** Servers that crashed by overload during a cold start. */
+    public List<String> crashedUnderLoad = List.of();
     /** Simulated time until the fleet was up and traffic began. */
     public long trafficStartNs;
     /** Names of the traffic groups. */
@@ -89,7 +89,7 @@
     void recordTraffic(Clients clients, Scenario scenario) {
         intended = clients.intended;
         clientRetries = clients.retries;
-        maxOpenFlows = clients.mostOpen;
+        maxOpenFlows = clients.maxOpenFlows;
         inBudget = clients.count(Result.Outcome.IN_BUDGET);
         late = clients.count(Result.Outcome.LATE);
         blocked = clients.count(Result.Outcome.BLOCKED);
@@ -174,8 +174,8 @@
                 staleOrders,
                 cutOffs,
                 recalledFacts));
-        if (!fellOver.isEmpty()) {
-            report.append("fell over cold: ").append(fellOver).append('\n');
+        if (!crashedUnderLoad.isEmpty()) {
+            report.append("fell over cold: ").append(crashedUnderLoad).append('\n');
         }
         report.append("\nthe rules\n");
         for (Audit.Rule rule : Audit.rules()) {
--- a/src/main/java/puffinbarrow/emulator/Proxy.java
+++ b/src/main/java/puffinbarrow/emulator/Proxy.java
@@ -438,8 +438,8 @@
             });
         }
 
-        private void observe(Observation seen) {
-            fleet.observe(seen);
+        private void observe(Observation observation) {
+            fleet.observe(observation);
         }
     }
 
--- a/src/main/java/puffinbarrow/emulator/QueueingChecks.java
+++ b/src/main/java/puffinbarrow/emulator/QueueingChecks.java
@@ -81,11 +81,11 @@
                 5 * WORK_MS,
                 sharing);
         List<Problem> problems = new ArrayList<>();
-        EmulatedDay setup = EmulatedDay.parse("queueing", day, problems);
+        EmulatedDay emulatedDay = EmulatedDay.parse("queueing", day, problems);
         if (!problems.isEmpty()) {
             throw new IllegalStateException(problems.toString());
         }
-        Outcome outcome = new Fleet(setup, Policy.byName("random"), new QuaternaryHeap(), Long.MAX_VALUE).run();
+        Outcome outcome = new Fleet(emulatedDay, Policy.byName("random"), new QuaternaryHeap(), Long.MAX_VALUE).run();
         if (!outcome.complete() || outcome.dropped + outcome.blocked > 0) {
             throw new IllegalStateException("flows without an answer: " + outcome.text());
         }
--- a/src/main/java/puffinbarrow/emulator/Report.java
+++ b/src/main/java/puffinbarrow/emulator/Report.java
@@ -32,13 +32,13 @@
         new Color(0x56, 0xb4, 0xe9)
     };
 
-    private final ResultTable sheet;
+    private final ResultTable results;
     private final Set<String> policies;
 
     /** Creates a report on a table of results. */
-    public Report(ResultTable sheet) {
-        this.sheet = sheet;
-        this.policies = sheet.values("policy");
+    public Report(ResultTable results) {
+        this.results = results;
+        this.policies = results.values("policy");
     }
 
     private static Predicate<ResultTable.Row> hasValue(String column, String value) {
@@ -60,9 +60,9 @@
         List<List<String>> rows = new ArrayList<>();
         for (String levels : levelCombinations()) {
             for (String policy : policies) {
-                List<ResultTable.Row> runs = sheet.select(
+                List<ResultTable.Row> runs = results.select(
                         r -> levelsOf(r).equals(levels) && r.get("policy").equals(policy));
-                long runCount = sheet.rows.stream()
+                long runCount = results.rows.stream()
                         .filter(r ->
                                 levelsOf(r).equals(levels) && r.get("policy").equals(policy))
                         .count();
@@ -80,7 +80,7 @@
                         Long.toString(runCount - runs.size()),
                         policy.equals(firstPolicy)
                                 ? ""
-                                : formatMean(sheet.pairedDifference(firstPolicy, policy, "service", r -> levelsOf(r)
+                                : formatMean(results.pairedDifference(firstPolicy, policy, "service", r -> levelsOf(r)
                                         .equals(levels)))));
             }
         }
@@ -101,16 +101,16 @@
 
     /** Returns the combination of levels of a row as text. */
     private String levelsOf(ResultTable.Row row) {
-        return sheet.factors.isEmpty()
+        return results.factors.isEmpty()
                 ? "all"
                 : String.join(
                         " ",
-                        sheet.factors.stream().map(f -> f + "=" + row.get(f)).toList());
+                        results.factors.stream().map(f -> f + "=" + row.get(f)).toList());
     }
 
     private Set<String> levelCombinations() {
         Set<String> combinations = new LinkedHashSet<>();
-        sheet.rows.forEach(r -> combinations.add(levelsOf(r)));
+        results.rows.forEach(r -> combinations.add(levelsOf(r)));
         return combinations;
     }
 
@@ -134,7 +134,7 @@
      */
     public List<String> ruleBreaks() {
         Map<String, List<String>> seeds = new TreeMap<>();
-        for (ResultTable.Row row : sheet.rows) {
+        for (ResultTable.Row row : results.rows) {
             for (String rule : row.list("broken")) {
                 seeds.computeIfAbsent(rule + ": " + levelsOf(row) + ", " + row.get("policy"), k -> new ArrayList<>())
                         .add(row.get("seed"));
@@ -186,8 +186,8 @@
         model.put("rows", table());
         model.put("broken", ruleBreaks());
         Map<String, String> charts = new LinkedHashMap<>();
-        for (String factor : sheet.factors) {
-            if (sheet.values(factor).size() > 1) {
+        for (String factor : results.factors) {
+            if (results.values(factor).size() > 1) {
                 charts.put(
                         "Service by " + factor + ", with intervals of 95%",
                         Charts.pngDataUri(chartByFactor(factor, "service")));
@@ -195,7 +195,7 @@
             }
         }
         Set<String> troubles = new LinkedHashSet<>();
-        sheet.rows.forEach(r -> troubles.addAll(r.list("troubles")));
+        results.rows.forEach(r -> troubles.addAll(r.list("troubles")));
         if (!troubles.isEmpty()) {
             charts.put("Service on days with each trouble", Charts.pngDataUri(chartByTrouble(troubles)));
         }
@@ -209,7 +209,7 @@
     /** Returns a chart of a measure over the levels of a factor, with a line for each policy. */
     private XYChart chartByFactor(String factor, String measure) {
         XYChart chart = Charts.lineChart(factor, measure);
-        List<String> levels = new ArrayList<>(sheet.values(factor));
+        List<String> levels = new ArrayList<>(results.values(factor));
         boolean numeric = levels.stream().allMatch(l -> l.matches("[0-9.]+"));
         int colour = 0;
         for (String policy : policies) {
@@ -218,7 +218,7 @@
             List<Double> error = new ArrayList<>();
             for (int i = 0; i < levels.size(); i++) {
                 ResultTable.Mean mean = ResultTable.mean(
-                        sheet.select(hasValue(factor, levels.get(i)).and(hasValue("policy", policy))), measure);
+                        results.select(hasValue(factor, levels.get(i)).and(hasValue("policy", policy))), measure);
                 if (mean.runs() > 0) {
                     x.add(numeric ? Double.parseDouble(levels.get(i)) : i);
                     y.add(mean.mean());
@@ -267,7 +267,7 @@
             List<Double> y = new ArrayList<>();
             for (String trouble : names) {
                 double mean = ResultTable.mean(
-                                sheet.select(hasValue("policy", policy)
+                                results.select(hasValue("policy", policy)
                                         .and(r -> r.list("troubles").contains(trouble))),
                                 "service")
                         .mean();
@@ -288,7 +288,7 @@
         XYChart chart = Charts.lineChart("share of days", "service");
         int colour = 0;
         for (String policy : policies) {
-            double[] services = sheet.select(hasValue("policy", policy)).stream()
+            double[] services = results.select(hasValue("policy", policy)).stream()
                     .mapToDouble(r -> r.number("service"))
                     .sorted()
                     .toArray();
--- a/src/main/java/puffinbarrow/emulator/ResultTable.java
+++ b/src/main/java/puffinbarrow/emulator/ResultTable.java
@@ -56,7 +56,7 @@
 
     /** Reads a results.csv. */
     public static ResultTable read(Path results) throws IOException {
-        ResultTable sheet = new ResultTable();
+        ResultTable table = new ResultTable();
         try (CSVParser in = CSVParser.parse(
                 results,
                 StandardCharsets.UTF_8,
@@ -65,10 +65,10 @@
                         .setHeader()
                         .setSkipHeaderRecord(true)
                         .build())) {
-            in.getHeaderNames().stream().takeWhile(n -> !n.equals("policy")).forEach(sheet.factors::add);
-            in.forEach(record -> sheet.rows.add(new Row(new LinkedHashMap<>(record.toMap()))));
+            in.getHeaderNames().stream().takeWhile(n -> !n.equals("policy")).forEach(table.factors::add);
+            in.forEach(record -> table.rows.add(new Row(new LinkedHashMap<>(record.toMap()))));
         }
-        return sheet;
+        return table;
     }
 
     /** Returns the distinct values of a column, in order of appearance. */
--- a/src/main/java/puffinbarrow/emulator/Search.java
+++ b/src/main/java/puffinbarrow/emulator/Search.java
@@ -37,7 +37,7 @@
     }
 
     /** A candidate day: its drawn lines and, once it has been run, its result. */
-    private record Candidate(long seed, List<String> lines, Result find) {}
+    private record Candidate(long seed, List<String> lines, Result result) {}
 
     /** Added to the loss of a day that breaks a rule; more than any loss. */
     private static final int RULE_PENALTY = 10;
@@ -96,17 +96,17 @@
                                     : mutate(worst.get(random.nextInt(worst.size()))));
                 }
                 worst.addAll(runAll(batch));
-                worst.sort(Comparator.comparingDouble((Candidate c) -> -c.find.severity())
-                        .thenComparing(c -> c.find.text));
+                worst.sort(Comparator.comparingDouble((Candidate c) -> -c.result.severity())
+                        .thenComparing(c -> c.result.text));
                 while (worst.size() > POPULATION) {
                     worst.remove(worst.size() - 1);
                 }
                 daysRun += batch.size();
                 progress.accept(daysRun + " of " + days + " days; the worst "
-                        + worst.get(0).find.describe());
+                        + worst.get(0).result.describe());
             }
             Candidate worstDay = worst.get(0);
-            return worstDay.find.severity() <= 0 ? null : reduce(worstDay).find;
+            return worstDay.result.severity() <= 0 ? null : reduce(worstDay).result;
         } finally {
             pool.shutdownNow();
         }
@@ -212,10 +212,10 @@
                 }
             }
             for (Candidate reduced : runAll(reducedDays)) {
-                if (stillAsBad(reduced.find, worstDay.find)) {
+                if (stillAsBad(reduced.result, worstDay.result)) {
                     best = reduced;
                     improved = true;
-                    progress.accept("reduced to " + best.lines.size() + " drawn lines; " + best.find.describe());
+                    progress.accept("reduced to " + best.lines.size() + " drawn lines; " + best.result.describe());
                     break;
                 }
             }
--- a/src/main/java/puffinbarrow/emulator/Server.java
+++ b/src/main/java/puffinbarrow/emulator/Server.java
@@ -65,7 +65,7 @@
         }
     }
 
-    /** Tolerance on the load that a cold server bears before it falls over: slack for uneven draws. */
+    /** Tolerance on the load that a cold server bears before it crashes: slack for uneven draws. */
     private static final double OVERLOAD_TOLERANCE = 1.1;
 
     private final Fleet fleet;
@@ -95,11 +95,11 @@
     private int working;
 
     private int connections;
-    /** Counts deaths; what belongs to an earlier incarnation is ignored. */
+    /** Counts crashes; what belongs to an earlier incarnation is ignored. */
     private int incarnation;
 
     private boolean up = true;
-    private boolean fellOver;
+    private boolean crashedUnderLoad;
     private boolean draining;
     /** When the process started; 0: before the day, fully warm. */
     private long startedAtNs;
@@ -146,17 +146,17 @@
         return spec;
     }
 
-    /** Returns a number that changes with each death. */
+    /** Returns a number that changes with each crash. */
     int incarnation() {
         return incarnation;
     }
 
     /** Returns whether an overload during the cold start ended the server for good. */
-    boolean fellOver() {
-        return fellOver;
+    boolean crashedUnderLoad() {
+        return crashedUnderLoad;
     }
 
-    // ---- Faults and drains of the script (Machine).
+    // ---- Faults and drains of the script (BackendControl).
 
     @Override
     public String id() {
@@ -211,7 +211,7 @@
 
     @Override
     public void startCold() {
-        if (up || fellOver) {
+        if (up || crashedUnderLoad) {
             return;
         }
         up = true;
@@ -376,7 +376,7 @@
     }
 
     /**
-     * Records the work that arrived and returns whether the server falls over: a cold server does if, over the stated
+     * Records the work that arrived and returns whether the server crashes: a cold server does if, over the stated
      * time, it is sent more than the stated multiple of what it can do.
      */
     private boolean recordOverload(long workNs) {
@@ -389,9 +389,9 @@
         while (now - recentRequests.peekFirst()[0] > spec.fallNs) {
             recentWorkNs -= recentRequests.pollFirst()[1];
         }
-        fellOver |= recentWorkNs
+        crashedUnderLoad |= recentWorkNs
                 > OVERLOAD_TOLERANCE * spec.fallMultiple * spec.cores * spec.speed * warmth() * spec.fallNs;
-        return fellOver;
+        return crashedUnderLoad;
     }
 
     /**
--- a/src/main/java/puffinbarrow/emulator/Table.java
+++ b/src/main/java/puffinbarrow/emulator/Table.java
@@ -4,7 +4,7 @@
 
 /**
  * The table of a slice: servers with weights, as an immutable value shared between proxies. An order applied to the
- * same table gives the same new table to all holders, so that a table costs each proxy only a reference: ten thousand
+ * same table gives the same new table to all proxies, so that a table costs each proxy only a reference: ten thousand
  * slices at a thousand proxies stay affordable.
  */
 final class Table {
--- a/src/main/java/puffinbarrow/load/Charts.java
+++ b/src/main/java/puffinbarrow/load/Charts.java
@@ -171,7 +171,7 @@
         for (Result.Outcome outcome : Result.Outcome.values()) {
             if (result.all.count(outcome) > 0) {
                 chart.addSeries(
-                                Report.words(outcome),
+                                Report.readableName(outcome),
                                 x,
                                 intervals.stream()
                                         .map(interval -> interval.count(outcome))
--- a/src/main/java/puffinbarrow/load/FlowEnd.java
+++ b/src/main/java/puffinbarrow/load/FlowEnd.java
@@ -4,8 +4,8 @@
  * The outcome of a flow, handed to the listener of Engine.
  *
  * @param startNs intended start, by System.nanoTime
- * @param tookNs from the intended start to the end
- * @param tries attempts, retries included
+ * @param latencyNs from the intended start to the end
+ * @param attempts number of attempts, retries included
  */
 public record FlowEnd(long startNs, int group, Result.Outcome outcome, long latencyNs, int attempts) {
     /** Whether the flow was answered, within its latency budget or late. */
--- a/src/main/java/puffinbarrow/load/Report.java
+++ b/src/main/java/puffinbarrow/load/Report.java
@@ -41,7 +41,7 @@
             result.targets.forEach((name, stats) -> appendRow(text, name, stats));
         }
         result.neverSent.forEach((reason, count) -> text.append("never sent, ")
-                .append(words(reason))
+                .append(readableName(reason))
                 .append(": ")
                 .append(count)
                 .append('\n'));
@@ -86,7 +86,7 @@
     }
 
     /** Returns a constant's name as words in lower case. */
-    static String words(Enum<?> constant) {
+    static String readableName(Enum<?> constant) {
         return constant.name().toLowerCase(Locale.ROOT).replace('_', ' ');
     }
 
@@ -95,7 +95,7 @@
         for (Result.Outcome outcome : Result.Outcome.values()) {
             if (stats.count(outcome) > 0) {
                 text.append(' ')
-                        .append(words(outcome))
+                        .append(readableName(outcome))
                         .append(' ')
                         .append(stats.count(outcome))
                         .append(';');
--- a/src/main/java/puffinbarrow/load/Scenario.java
+++ b/src/main/java/puffinbarrow/load/Scenario.java
@@ -248,9 +248,9 @@
     private static Scenario build(List<Statement> statements, String name, List<Problem> problems) {
         Scenario scenario = new Scenario();
         for (Statement statement : statements) {
-            ArgumentReader words = new ArgumentReader(statement, problems);
-            scenario.parseStatement(statement, words);
-            words.expectEnd();
+            ArgumentReader arguments = new ArgumentReader(statement, problems);
+            scenario.parseStatement(statement, arguments);
+            arguments.expectEnd();
         }
         if (scenario.trace == null
                 && statements.stream()
@@ -281,116 +281,120 @@
         return scenario;
     }
 
-    private void parseStatement(Statement statement, ArgumentReader words) {
+    private void parseStatement(Statement statement, ArgumentReader arguments) {
         switch (statement.keyword()) {
             case "target" -> {
-                InetSocketAddress target = words.address("a loopback target");
-                if (words.valid() && !target.getAddress().isLoopbackAddress()) {
-                    words.reportMistake("'" + target + "'", "a loopback address, as load is sent to this machine only");
+                InetSocketAddress target = arguments.address("a loopback target");
+                if (arguments.valid() && !target.getAddress().isLoopbackAddress()) {
+                    arguments.reportMistake(
+                            "'" + target + "'", "a loopback address, as load is sent to this machine only");
                 }
                 targets.add(target);
                 targetWeights.add(
-                        words.takeIfNext("weight") ? words.number("its weight among the targets", 0.0001, 1e6) : 1);
+                        arguments.takeIfNext("weight")
+                                ? arguments.number("its weight among the targets", 0.0001, 1e6)
+                                : 1);
             }
-            case "seed" -> seed = words.integer("a seed", 0, Long.MAX_VALUE);
+            case "seed" -> seed = arguments.integer("a seed", 0, Long.MAX_VALUE);
             case "length" -> {
-                lengthNs = words.durationNs("the run's length");
+                lengthNs = arguments.durationNs("the run's length");
                 lengthGiven = true;
             }
-            case "rate" -> rate = words.number("flows a second", 0.001, MAX_RATE);
-            case "arrivals" -> parseArrivals(words);
-            case "shape" -> parseShape(words);
+            case "rate" -> rate = arguments.number("flows a second", 0.001, MAX_RATE);
+            case "arrivals" -> parseArrivals(arguments);
+            case "shape" -> parseShape(arguments);
             case "hot" -> {
-                int count = (int) words.integer("the number of keys", 1, 1000);
-                words.expect("keys");
-                double share = words.share("their share of flows");
-                words.expect("at");
-                long at = words.durationNs("the start time");
-                words.expect("for");
-                hotKeys.add(new HotKeys(count, share, at, words.durationNs("the duration")));
+                int count = (int) arguments.integer("the number of keys", 1, 1000);
+                arguments.expect("keys");
+                double share = arguments.share("their share of flows");
+                arguments.expect("at");
+                long at = arguments.durationNs("the start time");
+                arguments.expect("for");
+                hotKeys.add(new HotKeys(count, share, at, arguments.durationNs("the duration")));
             }
             case "heavy" -> {
-                double share = words.share("the share of flows");
-                words.expect("x");
-                double factor = words.number("the factor on the work", 1, 1000);
-                words.expect("at");
-                long at = words.durationNs("the start time");
-                words.expect("for");
-                heavyWork.add(new HeavyWork(share, factor, at, words.durationNs("the duration")));
+                double share = arguments.share("the share of flows");
+                arguments.expect("x");
+                double factor = arguments.number("the factor on the work", 1, 1000);
+                arguments.expect("at");
+                long at = arguments.durationNs("the start time");
+                arguments.expect("for");
+                heavyWork.add(new HeavyWork(share, factor, at, arguments.durationNs("the duration")));
             }
             case "slices" -> {
-                slices = (int) words.integer("the number of slices", 1, 1_000_000);
-                if (words.takeIfNext("uneven")) {
-                    minSliceWeight = words.number("the smallest slice's weight", 0.0001, 1e6);
-                    words.expect("to");
-                    maxSliceWeight = words.number("the largest slice's weight", minSliceWeight, 1e6);
+                slices = (int) arguments.integer("the number of slices", 1, 1_000_000);
+                if (arguments.takeIfNext("uneven")) {
+                    minSliceWeight = arguments.number("the smallest slice's weight", 0.0001, 1e6);
+                    arguments.expect("to");
+                    maxSliceWeight = arguments.number("the largest slice's weight", minSliceWeight, 1e6);
                 }
-                if (words.takeIfNext("keys")) {
-                    keysPerSlice = (int) words.integer("the keys of each slice", 1, 1_000_000);
+                if (arguments.takeIfNext("keys")) {
+                    keysPerSlice = (int) arguments.integer("the keys of each slice", 1, 1_000_000);
                 }
             }
-            case "senders" -> senders = (int) words.integer("the sending threads", 1, 64);
+            case "senders" -> senders = (int) arguments.integer("the sending threads", 1, 64);
             case "trace",
                     "trace-speed",
                     "trace-rate",
                     "trace-cut",
                     "trace-loop",
                     "trace-malformed",
-                    "column" -> parseTrace(statement.keyword(), words);
-            case "group" -> parseGroup(words);
+                    "column" -> parseTrace(statement.keyword(), arguments);
+            case "group" -> parseGroup(arguments);
             case "keys" -> {
-                keys = (int) words.integer("the number of keys", 1, 100_000_000);
-                if (words.takeIfNext("zipf")) {
-                    zipf = words.number("the exponent", 0, 5);
+                keys = (int) arguments.integer("the number of keys", 1, 100_000_000);
+                if (arguments.takeIfNext("zipf")) {
+                    zipf = arguments.number("the exponent", 0, 5);
                 }
             }
             case "retries" -> {
-                retries = (int) words.integer("the retries of a client", 0, 10);
-                if (words.takeIfNext("wait")) {
-                    retryWaitNs = words.durationNs("the wait before the first retry");
+                retries = (int) arguments.integer("the retries of a client", 0, 10);
+                if (arguments.takeIfNext("wait")) {
+                    retryWaitNs = arguments.durationNs("the wait before the first retry");
                 }
-                obeysRetryAfter = words.takeIfNext("obey");
+                obeysRetryAfter = arguments.takeIfNext("obey");
             }
-            case "connections" -> connections = (int) words.integer("the connections to each target", 1, 60_000);
-            case "in-flight" -> inFlight = (int) words.integer("the flows in flight", 1, 1_000_000);
-            default -> words.reportUnknownKeyword(KEYWORDS);
+            case "connections" -> connections = (int) arguments.integer("the connections to each target", 1, 60_000);
+            case "in-flight" -> inFlight = (int) arguments.integer("the flows in flight", 1, 1_000_000);
+            default -> arguments.reportUnknownKeyword(KEYWORDS);
         }
     }
 
     /** Parses one of the statements about the trace. */
-    private void parseTrace(String keyword, ArgumentReader words) {
+    private void parseTrace(String keyword, ArgumentReader arguments) {
         trace = trace == null ? new TraceSettings() : trace;
         switch (keyword) {
             case "trace" -> {
-                trace.file = Path.of(words.text("the trace's file"));
-                if (words.hasMore()) {
+                trace.file = Path.of(arguments.text("the trace's file"));
+                if (arguments.hasMore()) {
                     trace.format = Trace.Format.valueOf(
-                            words.oneOf("clf", "csv", "json", "har").toUpperCase(Locale.ROOT));
+                            arguments.oneOf("clf", "csv", "json", "har").toUpperCase(Locale.ROOT));
                 }
             }
             case "trace-speed" -> {
-                words.expect("x");
-                trace.speed = words.number("the factor on the speed", 0.001, 1e6);
+                arguments.expect("x");
+                trace.speed = arguments.number("the factor on the speed", 0.001, 1e6);
             }
             case "trace-rate" -> {
-                words.expect("x");
-                trace.rate = words.number("the factor on the number of flows", 0.0001, 1000);
+                arguments.expect("x");
+                trace.rate = arguments.number("the factor on the number of flows", 0.0001, 1000);
             }
             case "trace-cut" -> {
-                trace.cutFromNs = words.durationNs("the start of the cut");
-                words.expect("to");
-                trace.cutToNs = words.durationNs("the end of the cut");
-                if (words.valid() && trace.cutToNs <= trace.cutFromNs) {
-                    words.reportMistake("an end that is not after the start", "a later time");
+                trace.cutFromNs = arguments.durationNs("the start of the cut");
+                arguments.expect("to");
+                trace.cutToNs = arguments.durationNs("the end of the cut");
+                if (arguments.valid() && trace.cutToNs <= trace.cutFromNs) {
+                    arguments.reportMistake("an end that is not after the start", "a later time");
                 }
             }
-            case "trace-loop" -> trace.loops = (int) words.integer("the number of times", 1, 1_000_000);
-            case "trace-malformed" -> trace.malformedShare = words.share("the share of lines that may be malformed");
+            case "trace-loop" -> trace.loops = (int) arguments.integer("the number of times", 1, 1_000_000);
+            case "trace-malformed" -> trace.malformedShare =
+                    arguments.share("the share of lines that may be malformed");
             default -> {
-                String field = words.oneOf(TRACE_FIELDS);
-                trace.columns.put(field, words.text("the name of the column"));
-                if (field.equals("time") && words.hasMore()) {
-                    trace.unit = words.oneOf("ns", "us", "ms", "s", "iso");
+                String field = arguments.oneOf(TRACE_FIELDS);
+                trace.columns.put(field, arguments.text("the name of the column"));
+                if (field.equals("time") && arguments.hasMore()) {
+                    trace.unit = arguments.oneOf("ns", "us", "ms", "s", "iso");
                 }
             }
         }
@@ -433,79 +437,80 @@
         return flat;
     }
 
-    private void parseArrivals(ArgumentReader words) {
+    private void parseArrivals(ArgumentReader arguments) {
         arrivalProcess = ArrivalProcess.valueOf(
-                words.oneOf("poisson", "constant", "bursts").toUpperCase(Locale.ROOT));
-        if (arrivalProcess == ArrivalProcess.BURSTS && words.takeIfNext("x")) {
-            burstFactor = words.number("the factor on the rate in a burst", 1, 1000);
-            words.expect("for");
-            meanBurstNs = Math.max(1, words.durationNs("a burst's mean length"));
-            words.expect("every");
-            meanPauseNs = Math.max(1, words.durationNs("the mean time between bursts"));
+                arguments.oneOf("poisson", "constant", "bursts").toUpperCase(Locale.ROOT));
+        if (arrivalProcess == ArrivalProcess.BURSTS && arguments.takeIfNext("x")) {
+            burstFactor = arguments.number("the factor on the rate in a burst", 1, 1000);
+            arguments.expect("for");
+            meanBurstNs = Math.max(1, arguments.durationNs("a burst's mean length"));
+            arguments.expect("every");
+            meanPauseNs = Math.max(1, arguments.durationNs("the mean time between bursts"));
         }
     }
 
-    private void parseShape(ArgumentReader words) {
-        switch (words.oneOf("peak", "ramp", "jump", "step", "sine")) {
+    private void parseShape(ArgumentReader arguments) {
+        switch (arguments.oneOf("peak", "ramp", "jump", "step", "sine")) {
             case "peak" -> {
-                words.expect("x");
-                double factor = words.number("the factor on the rate at the peak", 0, 1000);
-                words.expect("at");
-                long at = words.durationNs("the start time");
-                words.expect("width");
-                shapes.add(new Peak(factor, at, Math.max(1, words.durationNs("the width"))));
+                arguments.expect("x");
+                double factor = arguments.number("the factor on the rate at the peak", 0, 1000);
+                arguments.expect("at");
+                long at = arguments.durationNs("the start time");
+                arguments.expect("width");
+                shapes.add(new Peak(factor, at, Math.max(1, arguments.durationNs("the width"))));
             }
             case "ramp" -> {
-                words.expect("from");
-                double from = words.number("the factor at the start", 0, 1000);
-                words.expect("to");
-                double to = words.number("the factor at the end", 0, 1000);
-                words.expect("over");
-                shapes.add(new Ramp(from, to, Math.max(1, words.durationNs("the duration"))));
+                arguments.expect("from");
+                double from = arguments.number("the factor at the start", 0, 1000);
+                arguments.expect("to");
+                double to = arguments.number("the factor at the end", 0, 1000);
+                arguments.expect("over");
+                shapes.add(new Ramp(from, to, Math.max(1, arguments.durationNs("the duration"))));
             }
             case "jump" -> {
-                words.expect("x");
-                double factor = words.number("the factor on the rate", 0, 1000);
-                words.expect("at");
-                long at = words.durationNs("the start time");
-                words.expect("for");
-                shapes.add(new Jump(factor, at, words.durationNs("the duration")));
+                arguments.expect("x");
+                double factor = arguments.number("the factor on the rate", 0, 1000);
+                arguments.expect("at");
+                long at = arguments.durationNs("the start time");
+                arguments.expect("for");
+                shapes.add(new Jump(factor, at, arguments.durationNs("the duration")));
             }
             case "step" -> {
-                words.expect("x");
-                double factor = words.number("the factor on the rate", 0, 1000);
-                words.expect("at");
-                shapes.add(new Jump(factor, words.durationNs("the start time"), Long.MAX_VALUE));
+                arguments.expect("x");
+                double factor = arguments.number("the factor on the rate", 0, 1000);
+                arguments.expect("at");
+                shapes.add(new Jump(factor, arguments.durationNs("the start time"), Long.MAX_VALUE));
             }
             default -> {
-                words.expect("by");
-                double amplitude = words.share("the amplitude");
-                words.expect("every");
-                shapes.add(new Sine(amplitude, Math.max(1, words.durationNs("the period"))));
+                arguments.expect("by");
+                double amplitude = arguments.share("the amplitude");
+                arguments.expect("every");
+                shapes.add(new Sine(amplitude, Math.max(1, arguments.durationNs("the period"))));
             }
         }
     }
 
-    private void parseGroup(ArgumentReader words) {
-        String name = words.text("the group's name");
-        words.expect("share");
-        double share = words.number("its weight among the groups", 0, 1e6);
-        words.expect("utility");
-        double utility = words.number("its utility", 0, 1e6);
-        words.expect("budget");
-        long budget = words.durationNs("its latency budget");
-        words.expect("expiry");
-        long expiry = words.durationNs("its expiry");
-        words.expect("path");
-        String path = words.text("its path");
-        String method = words.takeIfNext("method") ? words.text("its method") : "GET";
-        int body = words.takeIfNext("body") ? (int) words.sizeBytes("its body") : 0;
-        long work = words.takeIfNext("work") ? words.durationNs("the work asked of stand-in servers") : 0;
-        double spread = words.takeIfNext("spread") ? words.number("the log-normal spread of its work", 0.001, 3) : 0;
-        boolean repeats = !words.takeIfNext("non-retriable");
-        String match = words.takeIfNext("match") ? words.text("the start of the paths of a trace") : "";
-        if (words.valid() && budget > expiry) {
-            words.reportMistake("a budget longer than the expiry", "a budget of at most " + expiry / 1e9 + "s");
+    private void parseGroup(ArgumentReader arguments) {
+        String name = arguments.text("the group's name");
+        arguments.expect("share");
+        double share = arguments.number("its weight among the groups", 0, 1e6);
+        arguments.expect("utility");
+        double utility = arguments.number("its utility", 0, 1e6);
+        arguments.expect("budget");
+        long budget = arguments.durationNs("its latency budget");
+        arguments.expect("expiry");
+        long expiry = arguments.durationNs("its expiry");
+        arguments.expect("path");
+        String path = arguments.text("its path");
+        String method = arguments.takeIfNext("method") ? arguments.text("its method") : "GET";
+        int body = arguments.takeIfNext("body") ? (int) arguments.sizeBytes("its body") : 0;
+        long work = arguments.takeIfNext("work") ? arguments.durationNs("the work asked of stand-in servers") : 0;
+        double spread =
+                arguments.takeIfNext("spread") ? arguments.number("the log-normal spread of its work", 0.001, 3) : 0;
+        boolean repeats = !arguments.takeIfNext("non-retriable");
+        String match = arguments.takeIfNext("match") ? arguments.text("the start of the paths of a trace") : "";
+        if (arguments.valid() && budget > expiry) {
+            arguments.reportMistake("a budget longer than the expiry", "a budget of at most " + expiry / 1e9 + "s");
         }
         groups.add(new Group(name, share, utility, budget, expiry, method, path, body, work, spread, repeats, match));
     }
--- a/src/main/java/puffinbarrow/load/Trace.java
+++ b/src/main/java/puffinbarrow/load/Trace.java
@@ -90,7 +90,7 @@
     /** Lines that are read before the share of malformed ones is checked; below, a share says little. */
     private static final int MIN_LINES_FOR_SHARE = 100;
 
-    /** How many malformed lines are kept to be shown. */
+    /** How many malformed lines are kept for the report. */
     private static final int MAX_SHOWN = 5;
     /** Largest request body that a trace may ask for; HAR entries are limited to it. */
     private static final int MAX_BODY_BYTES = 1 << 24;
--- a/src/main/java/puffinbarrow/load/TraceFlows.java
+++ b/src/main/java/puffinbarrow/load/TraceFlows.java
@@ -75,7 +75,7 @@
 
     private long lateEntries;
     private long unmatchedEntries;
-    /** Lines of the loops before the present one; malformed and shown are of those loops, too. */
+    /** Lines of the loops before the present one; malformed and firstProblems are of those loops, too. */
     private long lines;
 
     private long malformed;
--- a/src/test/java/puffinbarrow/day/DayTest.java
+++ b/src/test/java/puffinbarrow/day/DayTest.java
@@ -19,7 +19,7 @@
 import puffinbarrow.control.Order;
 
 /**
- * Plays short days on loopback. The real decision logic must keep every rule; if decisions are altered to break a rule,
+ * Runs short days on loopback. The real decision logic must keep every rule; if decisions are altered to break a rule,
  * the audit must report that rule.
  */
 class DayTest {
@@ -36,8 +36,8 @@
             seed 11
             """;
 
-    /** Plays the small fleet with these further lines. */
-    private static DayReport play(String script, Day.Overrides overrides) throws Exception {
+    /** Runs the small fleet with these further lines. */
+    private static DayReport runDay(String script, Day.Overrides overrides) throws Exception {
         List<Problem> problems = new ArrayList<>();
         Script read = Script.parse("test", SMALL_FLEET + script, problems);
         assertEquals(List.of(), problems);
@@ -60,7 +60,7 @@
 
     @Test
     void dayWithManyFaultsKeepsEveryRuleAndEndsEveryFlowOnce() throws Exception {
-        DayReport report = play(
+        DayReport report = runDay(
                 """
                 length 9s
                 at 1s backends 20% die for 2s
@@ -75,7 +75,7 @@
                 at 7s backends add 1
                 """,
                 new Day.Overrides(Logic::new, List.of()));
-        assertTrue(report.sound(), report.text());
+        assertTrue(report.passed(), report.text());
         assertEquals(report.result().intended, report.flows().size());
         assertTrue(report.chargesHandedOver() > 0 && report.verdict().ordersFrames() > 0);
         for (String fault : List.of(
@@ -98,7 +98,7 @@
     void auditReportsProxiesWithoutBackendsIfLinesAreWithheld() throws Exception {
         assertBroken(
                 Audit.Rule.BARE,
-                play(
+                runDay(
                         "length 6s\nset bare 1s\nat 500ms backends 30% die for 5s\n",
                         new Day.Overrides(
                                 altered(orders -> orders.stream()
@@ -111,7 +111,7 @@
     void auditReportsIgnoredDrains() throws Exception {
         assertBroken(
                 Audit.Rule.DRAIN,
-                play(
+                runDay(
                         "length 6s\nset grace 2s\nset queue 1000\nat 500ms backends 30% preempt for 5s\n",
                         new Day.Overrides(
                                 altered(orders -> orders.stream()
@@ -125,7 +125,7 @@
     void auditReportsRetriesWithoutProof() throws Exception {
         assertBroken(
                 Audit.Rule.TWICE,
-                play(
+                runDay(
                         "length 5s\nat 500ms backends 4 lose 60% for 4s\n",
                         new Day.Overrides(
                                 altered(orders -> orders.stream()
@@ -158,7 +158,7 @@
         };
         assertBroken(
                 Audit.Rule.COLD,
-                play(
+                runDay(
                         "length 7s\nrate 90\ncold 10% for 15s\nset fall-multiple 2 for 1s\n" + "at 1s backends add 1\n",
                         new Day.Overrides(flooding, List.of())));
     }
@@ -168,7 +168,7 @@
         // The coordinator is given limits far above those of the audit.
         assertBroken(
                 Audit.Rule.QUEUE,
-                play(
+                runDay(
                         "length 3s\nset queue 300\n",
                         new Day.Overrides(
                                 altered(orders -> {
@@ -184,7 +184,7 @@
     @Test
     void coordinatorKeepsTheChannelLimitsIfDecisionsExceedThem() throws Exception {
         // Floods only from the first flow on: flooded from its start, a slow fleet never has all its streams at once.
-        DayReport report = play(
+        DayReport report = runDay(
                 "length 3s\nset queue 1500\n",
                 new Day.Overrides(
                         (settings, seed) -> {
--- a/src/test/java/puffinbarrow/day/TakeoverTest.java
+++ b/src/test/java/puffinbarrow/day/TakeoverTest.java
@@ -17,7 +17,7 @@
 import puffinbarrow.control.Order;
 
 /**
- * Plays days in which coordinators are killed, suspended, cut off or leave, on a fixed schedule. No slice may ever have
+ * Runs days in which coordinators are killed, suspended, cut off or leave, on a fixed schedule. No slice may ever have
  * two coordinators in charge.
  */
 class TakeoverTest {
@@ -59,7 +59,7 @@
                 command)) {
             DayReport report = day.run();
             assertTrue(report.verdict().kept(), report.text());
-            assertTrue(report.sound(), report.text());
+            assertTrue(report.passed(), report.text());
             assertTrue(report.chargesHandedOver() >= 36, "charges changed hands: " + report.chargesHandedOver());
         }
     }
--- a/src/test/java/puffinbarrow/emulator/EmulatorTest.java
+++ b/src/test/java/puffinbarrow/emulator/EmulatorTest.java
@@ -44,20 +44,20 @@
             at 14s cut coordinator 0 from proxies for 2s
             """;
 
-    private static EmulatedDay setup(String text) {
+    private static EmulatedDay parseDay(String text) {
         List<Problem> problems = new ArrayList<>();
-        EmulatedDay setup = EmulatedDay.parse("test", text, problems);
+        EmulatedDay emulatedDay = EmulatedDay.parse("test", text, problems);
         assertEquals(List.of(), problems);
-        return setup;
+        return emulatedDay;
     }
 
     private static Outcome run(String text, String policy) {
-        return new Fleet(setup(text), Policy.byName(policy), new QuaternaryHeap(), 50_000_000).run();
+        return new Fleet(parseDay(text), Policy.byName(policy), new QuaternaryHeap(), 50_000_000).run();
     }
 
     private static Outcome run(String text, Controller.Factory controllerFactory, long maxEvents) {
         return new Fleet(
-                        setup(text),
+                        parseDay(text),
                         new Policy("test", trueState -> controllerFactory),
                         new QuaternaryHeap(),
                         maxEvents)
@@ -135,8 +135,9 @@
         assertNotEquals(first, fingerprint(run(SMALL_DAY + FAULTS + "seed 6\n", "ours")));
         assertEquals(
                 first,
-                fingerprint(new Fleet(setup(SMALL_DAY + FAULTS), Policy.byName("ours"), new CalendarQueue(), 50_000_000)
-                        .run()));
+                fingerprint(
+                        new Fleet(parseDay(SMALL_DAY + FAULTS), Policy.byName("ours"), new CalendarQueue(), 50_000_000)
+                                .run()));
     }
 
     @Test
--- a/src/test/java/puffinbarrow/load/EngineTest.java
+++ b/src/test/java/puffinbarrow/load/EngineTest.java
@@ -56,20 +56,20 @@
 
     @Test
     void everyFlowHasOneOutcomeForAllKindsOfAnswers() throws Exception {
-        for (DelayedServer.AnswerStyle manner : List.of(
+        for (DelayedServer.AnswerStyle style : List.of(
                 DelayedServer.AnswerStyle.PLAIN,
                 DelayedServer.AnswerStyle.SPLIT,
                 DelayedServer.AnswerStyle.CHUNKED,
                 DelayedServer.AnswerStyle.CUT_SHORT,
                 DelayedServer.AnswerStyle.CLOSED)) {
             try (DelayedServer target = target(TWO_MS)) {
-                target.answerStyle(manner);
+                target.answerStyle(style);
                 Result result = run(target.address(), "rate 300\nlength 1s\n");
                 boolean complete =
-                        manner != DelayedServer.AnswerStyle.CUT_SHORT && manner != DelayedServer.AnswerStyle.CLOSED;
+                        style != DelayedServer.AnswerStyle.CUT_SHORT && style != DelayedServer.AnswerStyle.CLOSED;
                 long answered = result.all.count(Result.Outcome.IN_BUDGET) + result.all.count(Result.Outcome.LATE);
-                assertEquals(complete ? result.intended : 0, answered, manner + " " + result.all.outcomes);
-                assertEquals(complete ? 0 : result.intended, result.all.count(Result.Outcome.RESET), manner.toString());
+                assertEquals(complete ? result.intended : 0, answered, style + " " + result.all.outcomes);
+                assertEquals(complete ? 0 : result.intended, result.all.count(Result.Outcome.RESET), style.toString());
                 assertEquals(result.intended, result.all.latency.getTotalCount() + (complete ? 0 : result.intended));
             }
         }
@@ -132,17 +132,15 @@
 
     @Test
     void unexpectedDataClosesTheConnectionWithoutHarmToTheNextFlow() throws Exception {
-        for (DelayedServer.AnswerStyle manner :
+        for (DelayedServer.AnswerStyle style :
                 List.of(DelayedServer.AnswerStyle.LONGER, DelayedServer.AnswerStyle.DOUBLED)) {
             try (DelayedServer target = target(TWO_MS)) {
-                target.answerStyle(manner);
+                target.answerStyle(style);
                 Result result = run(target.address(), "rate 300\nlength 1s\n");
                 assertEquals(
-                        result.intended,
-                        result.all.count(Result.Outcome.IN_BUDGET),
-                        manner + " " + result.all.outcomes);
-                assertEquals(result.intended, result.unexpectedData, manner.toString());
-                assertEquals(result.intended, result.connections, manner.toString());
+                        result.intended, result.all.count(Result.Outcome.IN_BUDGET), style + " " + result.all.outcomes);
+                assertEquals(result.intended, result.unexpectedData, style.toString());
+                assertEquals(result.intended, result.connections, style.toString());
             }
         }
     }
