--- a/src/bench/java/puffinbarrow/bench/SocketBench.java
+++ b/src/bench/java/puffinbarrow/bench/SocketBench.java
@@ -92,7 +92,7 @@
                                                 });
                                     }
                                 },
-                                outlet -> uplinks[0] = outlet)
+                                sink -> uplinks[0] = sink)
                         .start());
             }
             awaitCondition(() -> value("streams.joined") == proxyCount && value("slices.charge") == slices);
@@ -158,7 +158,7 @@
                 fleet.registry.update(Fleet.entry(round, Event.Listed.DRAINING));
                 fleet.awaitQuiet();
                 double channelS = (fleet.value("channel.lines.sent") - linesBefore) / fleet.config.linesPerS;
-                double tookS = (fleet.lastAppliedNs - startNs) / 1e9;
+                double elapsedS = (fleet.lastAppliedNs - startNs) / 1e9;
                 System.out.printf(
                         Locale.ROOT,
                         "spread %d: %d proxies, %d slices, %d answers; %.3f s to the last applied, "
@@ -167,9 +167,9 @@
                         proxies,
                         slices,
                         fleet.applied.get() - appliedBefore,
-                        tookS,
+                        elapsedS,
                         channelS,
-                        tookS / channelS);
+                        elapsedS / channelS);
             }
         }
     }
--- a/src/bench/java/puffinbarrow/memory/MemoryBench.java
+++ b/src/bench/java/puffinbarrow/memory/MemoryBench.java
@@ -306,15 +306,15 @@
                     List<Long> falls = times(in);
                     List<Long> returns = times(in);
                     in.nextToken();
-                    String standing = in.getText();
+                    String state = in.getText();
                     long hold = number(in);
                     in.nextToken();
                     double size = in.getDoubleValue();
                     in.nextToken();
-                    double took = in.getDoubleValue();
+                    double latency = in.getDoubleValue();
                     in.nextToken();
                     image.put(new Facts.ServerFact(
-                            id, at, draining, starts, falls, returns, standing, hold, size, took, in.getDoubleValue()));
+                            id, at, draining, starts, falls, returns, state, hold, size, latency, in.getDoubleValue()));
                     in.nextToken();
                 } else {
                     int slice = in.getIntValue();
--- a/src/main/java/puffinbarrow/cli/LoadAccuracyBench.java
+++ b/src/main/java/puffinbarrow/cli/LoadAccuracyBench.java
@@ -59,12 +59,12 @@
         for (Map.Entry<String, DoubleUnaryOperator> kind : kinds.entrySet()) {
             double[] worst = new double[QUANTILES.length];
             double[][] errors = new double[QUANTILES.length][seeds];
-            Histogram lag = new Histogram(60_000_000, 3);
+            Histogram sendLag = new Histogram(60_000_000, 3);
             for (int seed = 0; seed < seeds; seed++) {
                 try (DelayedServer target = target(kind.getValue(), seed);
                         Engine engine = new Engine(scenario(target, seed, "rate 1000\nlength 5s\n"))) {
                     Result result = engine.run(null);
-                    lag.add(result.sendLag);
+                    sendLag.add(result.sendLag);
                     for (int i = 0; i < worst.length; i++) {
                         double reported = result.all.latency.getValueAtPercentile(QUANTILES[i]);
                         double injected = target.delays().getValueAtPercentile(QUANTILES[i]);
@@ -89,8 +89,8 @@
                     "%s median (worst) of %d seeds; senders late by p90 %.2f ms, p99 %.2f ms%n",
                     line,
                     seeds,
-                    lag.getValueAtPercentile(90) / 1e3,
-                    lag.getValueAtPercentile(99) / 1e3);
+                    sendLag.getValueAtPercentile(90) / 1e3,
+                    sendLag.getValueAtPercentile(99) / 1e3);
         }
         measureStall();
         measureBusyHost();
--- a/src/main/java/puffinbarrow/day/BackendControl.java
+++ b/src/main/java/puffinbarrow/day/BackendControl.java
@@ -1,8 +1,8 @@
 package puffinbarrow.day;
 
 /**
- * A backend of a day, on sockets or in the emulator, with the faults that {@link FaultInjector} can apply to it. Called on
- * the thread that applies faults.
+ * A backend of a day, on sockets or in the emulator, with the faults that {@link FaultInjector} can apply to it. Called
+ * on the thread that applies faults.
  */
 public interface BackendControl {
     /** Returns the server id, under which it is listed. */
--- a/src/main/java/puffinbarrow/day/CoordinatorHandle.java
+++ b/src/main/java/puffinbarrow/day/CoordinatorHandle.java
@@ -47,7 +47,7 @@
     void kill();
 
     /** Suspends the whole process, or resumes it. */
-    void freeze(boolean suspend) throws IOException;
+    void setSuspended(boolean suspend) throws IOException;
 
     /** Starts a coordinator inside this process. */
     static CoordinatorHandle inProcess(CoordinatorConfig config, Controller.Factory decisions) throws IOException {
@@ -99,7 +99,7 @@
             }
 
             @Override
-            public void freeze(boolean suspend) throws IOException {
+            public void setSuspended(boolean suspend) throws IOException {
                 throw new IOException("only a coordinator in a child process can be suspended");
             }
         };
@@ -204,7 +204,7 @@
         }
 
         @Override
-        public void freeze(boolean suspend) throws IOException {
+        public void setSuspended(boolean suspend) throws IOException {
             new ProcessBuilder("kill", suspend ? "-STOP" : "-CONT", Long.toString(process.pid())).start();
         }
     }
--- a/src/main/java/puffinbarrow/day/Day.java
+++ b/src/main/java/puffinbarrow/day/Day.java
@@ -557,7 +557,7 @@
         @Override
         public void setSuspended(int coordinator, boolean on) {
             try {
-                coordinators.get(coordinator).freeze(on);
+                coordinators.get(coordinator).setSuspended(on);
             } catch (IOException e) {
                 throw new IllegalStateException("cannot " + (on ? "suspend" : "resume") + " it: " + e.getMessage(), e);
             }
--- a/src/main/java/puffinbarrow/day/FleetControl.java
+++ b/src/main/java/puffinbarrow/day/FleetControl.java
@@ -5,8 +5,8 @@
 import puffinbarrow.control.Event;
 
 /**
- * The fleet that {@link FaultInjector} applies faults to: on sockets or in the emulator. On sockets its methods are called by
- * the day's timer thread, in the emulator by the simulation's thread.
+ * The fleet that {@link FaultInjector} applies faults to: on sockets or in the emulator. On sockets its methods are
+ * called by the day's timer thread, in the emulator by the simulation's thread.
  */
 public interface FleetControl {
     /** Runs the work after a delay on the same thread as the faults. */
--- a/src/main/java/puffinbarrow/emulator/CalendarQueue.java
+++ b/src/main/java/puffinbarrow/emulator/CalendarQueue.java
@@ -5,8 +5,8 @@
 /**
  * An event queue as a calendar queue (R. Brown, CACM 31(10), 1988): days of equal length in a ring of buckets, each a
  * sorted list; a year is one pass over the ring. A day is as long as a few events take; its length and the number of
- * buckets are adjusted when the queue has doubled or halved. Kept as the baseline that {@link QuaternaryHeap} is measured
- * against.
+ * buckets are adjusted when the queue has doubled or halved. Kept as the baseline that {@link QuaternaryHeap} is
+ * measured against.
  */
 public final class CalendarQueue implements EventQueue {
     /** An event in the list of its bucket; the sequence number orders events of the same time. */
--- a/src/main/java/puffinbarrow/emulator/Clients.java
+++ b/src/main/java/puffinbarrow/emulator/Clients.java
@@ -57,10 +57,10 @@
 
         /** Ends the flow, or retries it after a wait that doubles with each attempt. */
         private void handleAnswer(int code) {
-            long tookNs = simulation.now() - startNs;
+            long latencyNs = simulation.now() - startNs;
             if (code == Server.OK) {
-                boolean inBudget = tookNs <= group().budgetNs();
-                latencyUs[flow.group()].recordValue(Math.max(0, tookNs / 1000));
+                boolean inBudget = latencyNs <= group().budgetNs();
+                latencyUs[flow.group()].recordValue(Math.max(0, latencyNs / 1000));
                 finish(inBudget ? Result.Outcome.IN_BUDGET : Result.Outcome.LATE);
                 return;
             }
@@ -69,7 +69,7 @@
             waitNs += waitNs == 0 ? 0 : Math.floorMod(flow.startNs(), waitNs);
             if ((group().retriable() || blocked)
                     && attempt < scenario.retries
-                    && tookNs + waitNs < group().expiryNs()) {
+                    && latencyNs + waitNs < group().expiryNs()) {
                 attempt++;
                 retries++;
                 simulation.after(waitNs, () -> {
--- a/src/main/java/puffinbarrow/emulator/CoordinatorModel.java
+++ b/src/main/java/puffinbarrow/emulator/CoordinatorModel.java
@@ -87,7 +87,7 @@
     private LeaseHolder leaseHolder;
     private Meters meters;
     private boolean up;
-    private boolean frozen;
+    private boolean suspended;
     private boolean registryCut;
     /** Counts starts and kills; scheduled work of an earlier incarnation is ignored. */
     private int incarnation;
@@ -95,7 +95,7 @@
     private long nextTurnAtNs = Long.MAX_VALUE;
     private long storeRedialPauseNs;
     private long registryRedialPauseNs;
-    /** Work that arrived while the coordinator was frozen, in order of arrival. */
+    /** Work that arrived while the coordinator was suspended, in order of arrival. */
     private final List<Runnable> deferred = new ArrayList<>();
 
     private String failure;
@@ -121,7 +121,7 @@
 
     /** Returns whether a proxy can connect. */
     boolean acceptsProxies() {
-        return up && !frozen;
+        return up && !suspended;
     }
 
     /** Returns why the coordinator cannot continue, or null. */
@@ -129,13 +129,13 @@
         return failure;
     }
 
-    // ---- Start, kill and freeze.
+    // ---- Start, kill and suspend.
 
     /** Starts a new incarnation. */
     void start() {
         incarnation++;
         up = true;
-        frozen = false;
+        suspended = false;
         deferred.clear();
         config = fleet.plan.configWithoutAddresses(number, List.of());
         meters = new Meters();
@@ -199,7 +199,7 @@
             return;
         }
         up = false;
-        frozen = false;
+        suspended = false;
         incarnation++;
         nextTurnAtNs = Long.MAX_VALUE;
         deferred.clear();
@@ -212,10 +212,10 @@
         fleet.coordinators.forEach(c -> c.peerLost(number));
     }
 
-    /** Stops the process (on) or lets it continue; its streams stay open meanwhile. */
-    void freeze(boolean on) {
+    /** Suspends the process (on) or resumes it; its streams stay open meanwhile. */
+    void setSuspended(boolean on) {
         if (up) {
-            frozen = on;
+            suspended = on;
             if (!on) {
                 List<Runnable> actions = new ArrayList<>(deferred);
                 deferred.clear();
@@ -226,9 +226,9 @@
         }
     }
 
-    /** Runs the action now, or after the coordinator is unfrozen. */
+    /** Runs the action now, or after the coordinator is resumed. */
     private void runWhenAwake(Runnable action) {
-        if (frozen) {
+        if (suspended) {
             deferred.add(action);
         } else {
             action.run();
@@ -278,7 +278,7 @@
             nextTurnAtNs = at;
             int expectedIncarnation = incarnation;
             simulation.at(at, () -> {
-                if (expectedIncarnation == incarnation && nextTurnAtNs == at && !frozen) {
+                if (expectedIncarnation == incarnation && nextTurnAtNs == at && !suspended) {
                     nextTurnAtNs = Long.MAX_VALUE;
                     long next = core.turn(simulation.now());
                     scheduleTurnAt(Math.max(next, simulation.now() + MIN_TURN_GAP_NS));
--- a/src/main/java/puffinbarrow/emulator/Experiment.java
+++ b/src/main/java/puffinbarrow/emulator/Experiment.java
@@ -210,10 +210,10 @@
         while (range.find()) {
             double low = Double.parseDouble(range.group(1));
             double high = Double.parseDouble(range.group(2));
-            boolean whole = !range.group(1).contains(".") && !range.group(2).contains(".");
+            boolean integer = !range.group(1).contains(".") && !range.group(2).contains(".");
             double value = chooser.between(low, high);
             range.appendReplacement(
-                    out, whole ? Long.toString((long) Math.floor(value)) : String.format(Locale.ROOT, "%.3f", value));
+                    out, integer ? Long.toString((long) Math.floor(value)) : String.format(Locale.ROOT, "%.3f", value));
         }
         return range.appendTail(out).toString();
     }
@@ -227,8 +227,8 @@
     static String drawLine(Drawn drawn, UniformRandomProvider random) {
         return fillRanges(drawn.template, (low, high) -> {
             // If both ends are whole, only whole numbers are drawn, the upper end included.
-            boolean whole = low == Math.rint(low) && high == Math.rint(high);
-            return whole
+            boolean integer = low == Math.rint(low) && high == Math.rint(high);
+            return integer
                     ? low + random.nextLong(Math.max(1, (long) (high - low) + 1))
                     : low + (high - low) * random.nextDouble();
         });
@@ -262,7 +262,7 @@
     }
 
     /** Returns the names of the named lines that are included for a seed. */
-    public List<String> troubleNames(long seed) {
+    public List<String> faultNames(long seed) {
         return includedLines(seed).stream()
                 .map(s -> s.drawn.name)
                 .filter(n -> !n.isEmpty())
--- a/src/main/java/puffinbarrow/emulator/ExperimentRunner.java
+++ b/src/main/java/puffinbarrow/emulator/ExperimentRunner.java
@@ -123,7 +123,7 @@
                 "" + o.cutOffs,
                 "" + o.events,
                 o.broken,
-                String.join("+", experiment.troubleNames(run.seed())),
+                String.join("+", experiment.faultNames(run.seed())),
                 o.failed == null ? "" : o.failed.replace('\n', ' ')));
         return row;
     }
--- a/src/main/java/puffinbarrow/emulator/Fleet.java
+++ b/src/main/java/puffinbarrow/emulator/Fleet.java
@@ -24,8 +24,8 @@
 
 /**
  * Runs a whole day in simulated time: clients, proxies, servers, coordinators, store and registry, with the audit
- * over all of them. The command line and {@link ExperimentRunner} make one fleet per run; a fleet uses only the thread that calls
- * {@link #run}.
+ * over all of them. The command line and {@link ExperimentRunner} make one fleet per run; a fleet uses only the
+ * thread that calls {@link #run}.
  */
 public final class Fleet implements FleetControl {
     private static final long SECOND = 1_000_000_000L;
@@ -338,7 +338,7 @@
 
     @Override
     public void setSuspended(int coordinator, boolean on) {
-        coordinators.get(coordinator).freeze(on);
+        coordinators.get(coordinator).setSuspended(on);
     }
 
     @Override
--- a/src/main/java/puffinbarrow/emulator/Outcome.java
+++ b/src/main/java/puffinbarrow/emulator/Outcome.java
@@ -8,8 +8,8 @@
 import puffinbarrow.load.Scenario;
 
 /**
- * The result of a day in the emulator. Everything but the cost of decisions follows from the day, its seed and the policy
- * alone.
+ * The result of a day in the emulator. Everything but the cost of decisions follows from the day, its seed and
+ * the policy alone.
  */
 public final class Outcome {
     /** Length of the window of {@link #worstWindow}. */
--- a/src/main/java/puffinbarrow/emulator/Report.java
+++ b/src/main/java/puffinbarrow/emulator/Report.java
@@ -194,10 +194,10 @@
                 charts.put("p99 of latency by " + factor, Charts.pngDataUri(chartByFactor(factor, "p99_ms")));
             }
         }
-        Set<String> troubles = new LinkedHashSet<>();
-        results.rows.forEach(r -> troubles.addAll(r.list("troubles")));
-        if (!troubles.isEmpty()) {
-            charts.put("Service on days with each trouble", Charts.pngDataUri(chartByTrouble(troubles)));
+        Set<String> faults = new LinkedHashSet<>();
+        results.rows.forEach(r -> faults.addAll(r.list("troubles")));
+        if (!faults.isEmpty()) {
+            charts.put("Service on days with each trouble", Charts.pngDataUri(chartByFault(faults)));
         }
         if (policies.size() > 1) {
             charts.put("Service of each day, sorted for each policy", Charts.pngDataUri(chartSortedDays()));
@@ -250,25 +250,25 @@
         return chart;
     }
 
-    /** Returns a bar chart of the mean service on days with each named trouble. */
-    private CategoryChart chartByTrouble(Set<String> troubles) {
+    /** Returns a bar chart of the mean service on days with each named fault. */
+    private CategoryChart chartByFault(Set<String> faults) {
         CategoryChart chart = new CategoryChartBuilder()
                 .width(Charts.WIDTH)
                 .height(Charts.HEIGHT)
                 .yAxisTitle("service")
                 .build();
         Charts.applyStyle(chart.getStyler());
-        List<String> names = new ArrayList<>(troubles);
+        List<String> names = new ArrayList<>(faults);
         // Horizontal labels would overlap with a dozen names.
         chart.getStyler().setXAxisLabelRotation(45);
         double lowest = 1;
         int colour = 0;
         for (String policy : policies) {
             List<Double> y = new ArrayList<>();
-            for (String trouble : names) {
+            for (String fault : names) {
                 double mean = ResultTable.mean(
                                 results.select(hasValue("policy", policy)
-                                        .and(r -> r.list("troubles").contains(trouble))),
+                                        .and(r -> r.list("troubles").contains(fault))),
                                 "service")
                         .mean();
                 y.add(Double.isNaN(mean) ? 0 : mean);
--- a/src/main/java/puffinbarrow/emulator/Server.java
+++ b/src/main/java/puffinbarrow/emulator/Server.java
@@ -19,20 +19,20 @@
  */
 final class Server implements BackendControl {
     /**
-     * Fixed properties of a server: speed relative to 1; {@code coldFrom} is the share of its speed right after a
-     * start, {@code coldNs} the time to full speed; {@code fallMultiple} and {@code fallNs} say what overload a cold
-     * server bears.
+     * Fixed properties of a server: speed relative to 1; {@code coldShare} is the share of its speed right after a
+     * start, {@code coldNs} the time to full speed; {@code fallMultiple} and {@code overloadNs} say what overload a
+     * cold server bears.
      */
     record Spec(
             int zone,
             int cell,
             int cores,
             double speed,
-            double coldFrom,
+            double coldShare,
             long coldNs,
             long dedupNs,
             double fallMultiple,
-            long fallNs) {}
+            long overloadNs) {}
 
     /** Status codes as a proxy sees them; 0 is a broken stream, -1 a connection that could not be opened. */
     static final int OK = 200;
@@ -228,7 +228,7 @@
     void markStarted() {
         startedAtNs = simulation.now();
         fleet.observe(
-                new Observation.ServerStarted(startedAtNs, id, spec.cores, spec.speed, spec.coldFrom, spec.coldNs));
+                new Observation.ServerStarted(startedAtNs, id, spec.cores, spec.speed, spec.coldShare, spec.coldNs));
     }
 
     @Override
@@ -285,14 +285,14 @@
         if (startedAtNs == 0 || spec.coldNs <= 0) {
             return 1;
         }
-        return spec.coldFrom
-                + (1 - spec.coldFrom) * Math.min(1, (double) (simulation.now() - startedAtNs) / spec.coldNs);
+        return spec.coldShare
+                + (1 - spec.coldShare) * Math.min(1, (double) (simulation.now() - startedAtNs) / spec.coldNs);
     }
 
     /** Returns the speed of one core now, relative to a core of speed 1. */
     private double rate() {
         int maxHeld = spec.cores * (1 + model.waitingPerCore);
-        double loss = model.lossWhenFull * Math.min(1, (double) held() / maxHeld);
+        double loss = model.lossWhenFull * Math.min(1, (double) flowCount() / maxHeld);
         return spec.speed * warmth() / slowdown * (1 - loss);
     }
 
@@ -302,7 +302,7 @@
     }
 
     /** Returns the number of flows in work and waiting. */
-    int held() {
+    int flowCount() {
         return working + waiting.size();
     }
 
@@ -334,7 +334,7 @@
             answer(attempt, REJECTED);
         } else if (failureShare > 0 && random.nextDouble() < failureShare) {
             answer(attempt, ERROR);
-        } else if (held() >= spec.cores * (1 + model.waitingPerCore)) {
+        } else if (flowCount() >= spec.cores * (1 + model.waitingPerCore)) {
             answer(attempt, REJECTED);
         } else if (dedup.containsKey(attempt.flow.id)) {
             answer(attempt, OK);
@@ -381,16 +381,16 @@
      */
     private boolean recordOverload(long workNs) {
         long now = simulation.now();
-        if (startedAtNs == 0 || now - startedAtNs > spec.coldNs + spec.fallNs) {
+        if (startedAtNs == 0 || now - startedAtNs > spec.coldNs + spec.overloadNs) {
             return false;
         }
         recentRequests.addLast(new long[] {now, workNs});
         recentWorkNs += workNs;
-        while (now - recentRequests.peekFirst()[0] > spec.fallNs) {
+        while (now - recentRequests.peekFirst()[0] > spec.overloadNs) {
             recentWorkNs -= recentRequests.pollFirst()[1];
         }
         crashedUnderLoad |= recentWorkNs
-                > OVERLOAD_TOLERANCE * spec.fallMultiple * spec.cores * spec.speed * warmth() * spec.fallNs;
+                > OVERLOAD_TOLERANCE * spec.fallMultiple * spec.cores * spec.speed * warmth() * spec.overloadNs;
         return crashedUnderLoad;
     }
 
@@ -420,10 +420,10 @@
     /** Takes a job into work on a core of its own. */
     private void beginOnCore(Job job) {
         working++;
-        long tookNs = (long) (beginWork(job) / rate());
-        busyNs += tookNs;
+        long serviceNs = (long) (beginWork(job) / rate());
+        busyNs += serviceNs;
         int expectedIncarnation = incarnation;
-        simulation.after(tookNs, () -> finish(job, expectedIncarnation));
+        simulation.after(serviceNs, () -> finish(job, expectedIncarnation));
     }
 
     /** The work of a job is done, or is interrupted by a pause. */
@@ -581,7 +581,7 @@
         Map<Event.Measure, Double> report = new EnumMap<>(Event.Measure.class);
         report.put(Event.Measure.BUSY, lastBusy);
         report.put(Event.Measure.DELIVERED_PER_S, lastDeliveredPerS);
-        report.put(Event.Measure.HELD, (double) held());
+        report.put(Event.Measure.HELD, (double) flowCount());
         return report;
     }
 
--- a/src/main/java/puffinbarrow/load/Scenario.java
+++ b/src/main/java/puffinbarrow/load/Scenario.java
@@ -100,7 +100,7 @@
      * @param expiryNs when a flow is given up, from the intended start
      * @param workNs mean processing time asked of stand-in servers
      * @param workSpread standard deviation of the log-normal work; 0 for exponential work
-     * @param repeats whether clients may retry an attempt that may have reached the target
+     * @param retriable whether clients may retry an attempt that may have reached the target
      * @param match paths of a trace that start with this belong to the group
      */
     public record Group(
@@ -407,11 +407,11 @@
 
     /** Returns a scenario with the same groups, keys and bounds at a constant rate against one target, without work. */
     public Scenario withConstantRate(double perS, long durationNs, InetSocketAddress target) {
-        Scenario flat = new Scenario();
-        flat.targets.add(target);
-        flat.targetWeights.add(1.0);
+        Scenario scenario = new Scenario();
+        scenario.targets.add(target);
+        scenario.targetWeights.add(1.0);
         for (Group group : groups) {
-            flat.groups.add(new Group(
+            scenario.groups.add(new Group(
                     group.name,
                     group.share,
                     group.utility,
@@ -425,16 +425,16 @@
                     group.retriable,
                     group.match));
         }
-        flat.arrivalProcess = ArrivalProcess.CONSTANT;
-        flat.rate = perS;
-        flat.lengthNs = durationNs;
-        flat.seed = seed;
-        flat.keys = keys;
-        flat.zipf = zipf;
-        flat.connections = connections;
-        flat.inFlight = inFlight;
-        flat.senders = senders;
-        return flat;
+        scenario.arrivalProcess = ArrivalProcess.CONSTANT;
+        scenario.rate = perS;
+        scenario.lengthNs = durationNs;
+        scenario.seed = seed;
+        scenario.keys = keys;
+        scenario.zipf = zipf;
+        scenario.connections = connections;
+        scenario.inFlight = inFlight;
+        scenario.senders = senders;
+        return scenario;
     }
 
     private void parseArrivals(ArgumentReader arguments) {
@@ -507,12 +507,12 @@
         long work = arguments.takeIfNext("work") ? arguments.durationNs("the work asked of stand-in servers") : 0;
         double spread =
                 arguments.takeIfNext("spread") ? arguments.number("the log-normal spread of its work", 0.001, 3) : 0;
-        boolean repeats = !arguments.takeIfNext("non-retriable");
+        boolean retriable = !arguments.takeIfNext("non-retriable");
         String match = arguments.takeIfNext("match") ? arguments.text("the start of the paths of a trace") : "";
         if (arguments.valid() && budget > expiry) {
             arguments.reportMistake("a budget longer than the expiry", "a budget of at most " + expiry / 1e9 + "s");
         }
-        groups.add(new Group(name, share, utility, budget, expiry, method, path, body, work, spread, repeats, match));
+        groups.add(new Group(name, share, utility, budget, expiry, method, path, body, work, spread, retriable, match));
     }
 
     /** Returns the flows per second at a time since the run's start, without bursts. */
--- a/src/test/java/puffinbarrow/emulator/EmulatorTest.java
+++ b/src/test/java/puffinbarrow/emulator/EmulatorTest.java
@@ -337,11 +337,11 @@
                 maybe 70% not at {2..9}s traffic x 1.0{1..9} for {1..3}s
                 maybe 70% nor at {2..9}s hot 1 keys {1..2}% for {1..3}s
                 """);
-        Search.Result find =
+        Search.Result result =
                 new Search(experiment, Policy.byName("ours"), Policy.byName("oracle"), 1, 4, t -> {}).run(24);
-        assertTrue(find.loss() > 0.05 || !find.broken().isEmpty(), find.describe());
-        assertTrue(find.text().contains("slow x 20") && !find.text().contains("hot 1 keys"), find.text());
-        assertEquals(find.text(), DayToken.text(DayToken.of(find.text())));
+        assertTrue(result.loss() > 0.05 || !result.broken().isEmpty(), result.describe());
+        assertTrue(result.text().contains("slow x 20") && !result.text().contains("hot 1 keys"), result.text());
+        assertEquals(result.text(), DayToken.text(DayToken.of(result.text())));
         assertNull(DayToken.text("no token"));
     }
 }
