--- a/src/test/java/puffinbarrow/emulator/EmulatorTest.java
+++ b/src/test/java/puffinbarrow/emulator/EmulatorTest.java
@@ -44,20 +44,20 @@
             at 14s cut coordinator 0 from proxies for 2s
             """;
 
-    private static EmulatedDay setup(String text) {
+    private static EmulatedDay parseDay(String text) {
         List<Problem> problems = new ArrayList<>();
-        EmulatedDay setup = EmulatedDay.parse("test", text, problems);
+        EmulatedDay emulatedDay = EmulatedDay.parse("test", text, problems);
         assertEquals(List.of(), problems);
-        return setup;
+        return emulatedDay;
     }
 
     private static Outcome run(String text, String policy) {
-        return new Fleet(setup(text), Policy.byName(policy), new QuaternaryHeap(), 50_000_000).run();
+        return new Fleet(parseDay(text), Policy.byName(policy), new QuaternaryHeap(), 50_000_000).run();
     }
 
     private static Outcome run(String text, Controller.Factory controllerFactory, long maxEvents) {
         return new Fleet(
-                        setup(text),
+                        parseDay(text),
                         new Policy("test", trueState -> controllerFactory),
                         new QuaternaryHeap(),
                         maxEvents)
@@ -135,8 +135,9 @@
         assertNotEquals(first, fingerprint(run(SMALL_DAY + FAULTS + "seed 6\n", "ours")));
         assertEquals(
                 first,
-                fingerprint(new Fleet(setup(SMALL_DAY + FAULTS), Policy.byName("ours"), new CalendarQueue(), 50_000_000)
-                        .run()));
+                fingerprint(
+                        new Fleet(parseDay(SMALL_DAY + FAULTS), Policy.byName("ours"), new CalendarQueue(), 50_000_000)
+                                .run()));
     }
 
     @Test
@@ -336,11 +337,11 @@
                 maybe 70% not at {2..9}s traffic x 1.0{1..9} for {1..3}s
                 maybe 70% nor at {2..9}s hot 1 keys {1..2}% for {1..3}s
                 """);
-        Search.Result find =
+        Search.Result result =
                 new Search(experiment, Policy.byName("ours"), Policy.byName("oracle"), 1, 4, t -> {}).run(24);
-        assertTrue(find.loss() > 0.05 || !find.broken().isEmpty(), find.describe());
-        assertTrue(find.text().contains("slow x 20") && !find.text().contains("hot 1 keys"), find.text());
-        assertEquals(find.text(), DayToken.text(DayToken.of(find.text())));
+        assertTrue(result.loss() > 0.05 || !result.broken().isEmpty(), result.describe());
+        assertTrue(result.text().contains("slow x 20") && !result.text().contains("hot 1 keys"), result.text());
+        assertEquals(result.text(), DayToken.text(DayToken.of(result.text())));
         assertNull(DayToken.text("no token"));
     }
 }
