--- a/src/main/java/puffinbarrow/Logic.java
+++ b/src/main/java/puffinbarrow/Logic.java
@@ -89,7 +89,7 @@
         ILL,
         /** Unmasked after a hold, on the standby lines it still has; the next sums decide. */
         TRIAL,
-        /** Draining, gone from the list or no longer answering probes. */
+        /** Draining, removed from the list or no longer answering probes. */
         OUT,
         /** Restarted under the same id: masked until no line of an owned slice names it any more. */
         RETURNING
@@ -105,7 +105,7 @@
         AWFUL,
         /** Its hold has ended. */
         HOLD_OVER,
-        /** Draining or gone. */
+        /** Draining or removed from the list. */
         LEAVES,
         /** Listed with a new start time. */
         RESTARTS,
@@ -244,7 +244,7 @@
         boolean owned;
         /** Weight by server id that the slice should have. */
         final TreeMap<String, Double> desired = new TreeMap<>();
-        /** Weight by server id that has been ordered, or stood when the slice was given to this coordinator. */
+        /** Weight by server id that has been ordered, or was in force when the slice was given to this coordinator. */
         final TreeMap<String, Double> sent = new TreeMap<>();
 
         final SlidingSum recentFlows = new SlidingSum(SUM_BUCKETS, SECOND);
@@ -299,7 +299,7 @@
     private boolean levelsDue = true;
     /** Whether to decide in this call without waiting for the tick. */
     private boolean decisionDue;
-    /** Whether sums have arrived since health was last judged. */
+    /** Whether sums have arrived since health was last evaluated. */
     private boolean newSums;
     /** Whether a round of sums has begun since the primaries were last adjusted. */
     private boolean newRound;
@@ -403,7 +403,7 @@
     /**
      * Restores what an earlier run of this coordinator learned, for the first rounds after a restart when no sums have
      * arrived: a server that flapped is suspect until its sums are good, holds go on doubling, and a fleet that was
-     * shedding load is not admitted in full at once. If the fleet has changed meanwhile, a sound server gets orphaned
+     * shedding load is not admitted in full at once. If the fleet has changed meanwhile, a healthy server gets orphaned
      * slices last for a round or two.
      */
     private void applyRecalled(Event.Recalled recalled) {
@@ -507,9 +507,9 @@
     }
 
     /**
-     * Handles a server that is gone from the list. Lists may drop servers that are alive; where the settings allow it,
+     * Handles a server that was removed from the list. Lists may omit servers that are up; where the settings allow it,
      * such a server stays in the tables until it misses two probes (one may coincide with a pause), or, without
-     * probes, until it looks ill. If it has really died, flows sent to it fail for that long.
+     * probes, until it looks ill. If it is in fact down, flows sent to it fail for that long.
      */
     private void delist(Server server) {
         if (!settings.keepsDelisted() || !server.ready) {
@@ -606,9 +606,9 @@
         }
     }
 
-    // ---- Health: judged by drop share and latency over rounds of sums.
+    // ---- Health: evaluated from drop share and latency over rounds of sums.
 
-    /** Judges each server against the median of all, then the fleet as a whole. */
+    /** Evaluates the health of each server against the median of all, then whether the fleet is overloaded. */
     private void judgeHealth() {
         newSums = false;
         List<Server> measured = servers.values().stream()
@@ -642,10 +642,10 @@
             double delivered = server.attempts - server.dropped;
             double slowness =
                     delivered < 3 || medianLatencyNs <= 0 ? 1 : server.deliveredNs / delivered / medianLatencyNs;
-            // Load must not be mistaken for illness. A server that carries more than its part of the owned slices has
-            // slow and late answers for that reason, and a mask would only pass the load on to the next server. While
-            // the fleet is overloaded every server may drop most flows; an ill one then shows by reporting little load
-            // or none. The sums are some seconds old, so load moved away since then is added back.
+            // Effects of load must not make a server ILL. A server that carries more than its part of the owned slices
+            // has slow and late answers for that reason, and a mask would only pass the load on to the next server.
+            // While the fleet is overloaded every server may drop most flows; an ill one then shows by reporting little
+            // load or none. The sums are some seconds old, so load moved away since then is added back.
             double sliceLoad = relativeLoad(server, server.demand)
                     - server.pendingLoad.over(nowNs, PENDING_LOAD_SECONDS) / Math.max(0.01, ownedShare);
             boolean explained = sliceLoad > 1.4
@@ -655,7 +655,7 @@
             double budgetUsed = delivered < 3 ? 0 : server.deliveredNs / delivered / shortestBudgetNs;
             server.overloaded =
                     dropShare > 0.15 + medianDropShare && server.dropped > 1 || slowness > 2 && budgetUsed > 0.4;
-            // The thresholds for "bad" lie well above what an overloaded but sound server shows, those for "good"
+            // The thresholds for "bad" lie well above what an overloaded but healthy server shows, those for "good"
             // well below.
             boolean worse = dropShare > 0.3 + medianDropShare || slowness > 3 && budgetUsed > 0.8;
             boolean good = !worse && dropShare < 0.1 + medianDropShare && slowness < 2 && server.attempts >= 6;
@@ -702,7 +702,7 @@
     private boolean retriesSuspended;
     /** How much is shed, in traffic groups: 0.5 is half of the flows of the first group to be reduced. */
     private double shedGroups;
-    /** Drop share plus share of the latency budget used, of the median server, when last judged. */
+    /** Drop share plus share of the latency budget used, of the median server, at the last evaluation. */
     private double previousSeverity;
 
     /**
@@ -746,7 +746,7 @@
 
     /**
      * Returns the level of a group: the share of its flows that is admitted, or a rate. Groups with the least utility
-     * for their latency budget, which stands in for their work, are reduced first; the last one never is.
+     * for their latency budget, which serves as an estimate of their work, are reduced first; the last one never is.
      */
     private double level(int group) {
         long reducedBefore = IntStream.range(0, settings.groups().size())
@@ -787,7 +787,7 @@
     private double ownedShare;
     /** Mean reported load of the usable servers; above 0. */
     private double meanReportedLoad;
-    /** The largest total size that was ready at one time: that of the fleet when it is whole. */
+    /** The largest total size that was ready at one time: that of the complete fleet. */
     private double wholeFleetSize;
 
     /**
@@ -952,17 +952,17 @@
 
     /** The highest demand per usable capacity seen while the fleet was not overloaded. */
     private double calmLoad;
-    /** The highest demand per size of the whole fleet seen while the fleet was not overloaded. */
+    /** The highest demand per size of the complete fleet seen while the fleet was not overloaded. */
     private double calmLoadWholeFleet;
 
     /**
      * Returns the highest relative load that a cold server may be given, 0 to 1. When demand is a multiple of the
      * highest calm load, the limit shrinks so that the server stays below 0.4 of the load that would make it fall over,
-     * as keys it has not seen cost it more and it may be slower than its listed size says.
+     * as keys it has not seen cost it more and it may be slower than its listed size suggests.
      */
     private double coldLoadLimit() {
         // With less than two fifths of the fleet left, the present load is not calm even if few flows are dropped, so
-        // the reference is then taken over the size of the whole fleet. Where most servers were removed for good, this
+        // the reference is then taken over the size of the full fleet. Where most servers were removed for good, this
         // makes the limit lower than necessary.
         double calm = fleetCapacity < 0.4 * wholeFleetSize ? calmLoadWholeFleet : calmLoad;
         double multiple = calm <= 0 ? 1 : fleetDemand / fleetCapacity / calm;
@@ -992,7 +992,7 @@
     }
 
     /**
-     * Chooses a server without a line of the slice: a well one that the slice fits, else any that it fits, else any
+     * Chooses a server without a line of the slice: a WELL one that the slice fits, else any that it fits, else any
      * usable one. Among those within 10% of the least-loaded the choice goes round robin.
      *
      * @param excluded id of a server not to choose, or null
@@ -1014,7 +1014,7 @@
         if (candidates.isEmpty()) {
             return null;
         }
-        // For a standby line, a third of the demand a server stands by for counts as load, so that these lines spread.
+        // For a standby line, a third of the server's standby demand counts as load, so that these lines spread.
         ToDoubleFunction<Server> rank =
                 server -> server.score + (standby ? 0.3 * relativeLoad(server, server.standbyDemand) : 0);
         double least = candidates.stream().mapToDouble(rank).min().orElse(0);
@@ -1176,7 +1176,7 @@
         evenOut(usable);
     }
 
-    /** Moves one slice to a server with little load (fresh, or back from illness) from the most loaded one. */
+    /** Moves one slice to a server with little load (fresh, or unmasked after it was ILL) from the most loaded one. */
     private void fill(Server target, Server source, List<Slice> movable) {
         movable.stream()
                 .filter(slice -> fits(target, slice) && improvesBalance(slice, source, target))
@@ -1186,8 +1186,8 @@
 
     /**
      * Moves the heaviest slice whose move helps off an overloaded server, one per round of sums, whatever the cause (an
-     * uneven start, a hot slice, lost speed), so that the overload does not reinforce itself. This costs warm caches,
-     * and empties a server step by step whose trouble is not load.
+     * uneven start, a hot slice, a slowdown), so that the overload does not reinforce itself. This costs warm caches,
+     * and a server whose problem is not load is emptied step by step.
      */
     private void relieve(Server source) {
         source.overloaded = false;
@@ -1354,7 +1354,7 @@
         TreeSet<String> lifted = new TreeSet<>(sentMasks);
         lifted.addAll(masksToRestate);
         lifted.removeIf(id -> servers.get(id).masked());
-        // Only a server that left and a slice without a usable line are subject to a deadline; illness is not.
+        // Only a server that left and a slice without a usable line are subject to a deadline; an ILL server is not.
         boolean urgent = masks.stream().anyMatch(Server::leaving)
                 || !due.isEmpty() && urgency(due.get(0)) == URGENCY_UNREACHABLE;
         if (joinedProxies.isEmpty() || masks.isEmpty() && due.isEmpty() && lifted.isEmpty() && !levelsDue) {
@@ -1520,7 +1520,7 @@
     /**
      * Sends level and retry rule of all groups and returns the number of orders. Retries are allowed only on proof that
      * the first attempt never ran: a repeat then cannot take effect twice, nor double the work of servers that are
-     * already late, which is how overload turns into collapse.
+     * already late, which would turn an overload into a collapse.
      */
     private int sendLevels() {
         TreeMap<Double, Integer> groupsByLevel = new TreeMap<>();
--- a/src/main/java/puffinbarrow/audit/Audit.java
+++ b/src/main/java/puffinbarrow/audit/Audit.java
@@ -203,7 +203,7 @@
     }
 
     /**
-     * Judges a complete recording.
+     * Audits a complete recording.
      *
      * @param observations in order of time
      * @param epochNs the time that evidence counts from
@@ -360,7 +360,7 @@
         }
     }
 
-    /** Returns whether the coordinator in charge must provide a backend: it reaches the proxy and knows a warm one. */
+    /** Returns whether the coordinator in charge must provide a backend: it reaches the proxy and lists a warm one. */
     private boolean mustProvideBackend(Proxy proxy, int owner, int slice, long at) {
         Coordinator coordinator = coordinators.get(owner);
         return coordinator != null
@@ -531,7 +531,7 @@
             }
         }
         ColdServer cold = coldServers.get(sent.server());
-        // Informed of this start: what a proxy knows of an earlier process does not hold for the current one.
+        // Informed of this start: a proxy's state for an earlier process does not apply to the current one.
         boolean informed = server != null
                 && server.ready
                 && joined != null
--- a/src/main/java/puffinbarrow/audit/Recorder.java
+++ b/src/main/java/puffinbarrow/audit/Recorder.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Collects what the stand-in servers observe, up to a limit; a recording that exceeded it cannot be judged. All methods
- * may be called from any thread.
+ * Collects what the stand-in servers observe, up to a limit; a recording that exceeded it cannot be audited. All
+ * methods may be called from any thread.
  */
 public final class Recorder {
     private final ConcurrentLinkedQueue<Observation> queue = new ConcurrentLinkedQueue<>();
--- a/src/main/java/puffinbarrow/cli/Main.java
+++ b/src/main/java/puffinbarrow/cli/Main.java
@@ -26,7 +26,7 @@
     }
 
     /**
-     * Runs the service in the foreground until it is told to end, with the configuration file that the environment
+     * Runs the service in the foreground until it is signalled to end, with the configuration file that the environment
      * variable RELAY_CONFIG names. Returns the exit code.
      */
     private static int serve() {
--- a/src/main/java/puffinbarrow/config/CoordinatorConfig.java
+++ b/src/main/java/puffinbarrow/config/CoordinatorConfig.java
@@ -131,7 +131,7 @@
     public Path portFile;
     /** Folder that batches whose decision failed are written to; null: none. */
     public Path failedBatches;
-    /** Folder of what is remembered across restarts; null: nothing is. */
+    /** Folder of the facts kept across restarts; null: none are kept. */
     public Path memory;
     /** Most bytes of disk that {@link #memory} may take. */
     public long memoryBytes = 64 << 20;
@@ -202,7 +202,7 @@
         return fromStatements(StatementReader.read(file, problems), file.toString(), problems);
     }
 
-    /** Parses the text as {@link #read} does a file; {@code name} stands for the file in problems. */
+    /** Parses the text as {@link #read} does a file; {@code name} is the file name given in problems. */
     public static CoordinatorConfig parse(String name, String text, List<Problem> problems) {
         return fromStatements(StatementReader.parse(name, text, problems), name, problems);
     }
--- a/src/main/java/puffinbarrow/config/StatementReader.java
+++ b/src/main/java/puffinbarrow/config/StatementReader.java
@@ -34,7 +34,7 @@
         return reader.statements;
     }
 
-    /** Returns the statements of the text, for which {@code name} stands as the file in problems. */
+    /** Returns the statements of the text; {@code name} is the file name given in problems. */
     public static List<Statement> parse(String name, String text, List<Problem> problems) {
         StatementReader reader = new StatementReader(problems);
         reader.parseText(name, null, text, new LinkedHashSet<>());
--- a/src/main/java/puffinbarrow/control/Controller.java
+++ b/src/main/java/puffinbarrow/control/Controller.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /**
- * The decisions of one coordinator. The host passes in the events that arrived together and carries out the orders
+ * The decision logic of one coordinator. The host passes in the events that arrived together and carries out the orders
  * returned. An instance is called by one thread at a time.
  */
 public interface Controller {
@@ -14,7 +14,7 @@
      */
     List<Order> handle(long nowNs, List<Event> events);
 
-    /** Returns what is worth remembering across a restart, to be given back as events. Called at intervals. */
+    /** Returns the facts to keep across a restart, after which they are passed in as events. Called at intervals. */
     default List<Event.Recalled> rememberedState() {
         return List.of();
     }
--- a/src/main/java/puffinbarrow/control/Event.java
+++ b/src/main/java/puffinbarrow/control/Event.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** What a coordinator is told. Times are in nanoseconds; server ids are passed on unchanged. */
+/** An input of the decision logic. Times are in nanoseconds; server ids are passed on unchanged. */
 public sealed interface Event {
     /** State of a server in the server list. */
     enum Listed {
@@ -12,7 +12,7 @@
         GONE
     }
 
-    /** What a load report can state. */
+    /** A measure in a load report. */
     enum Measure {
         /** Share of the cores that are busy, 0 to 1. */
         BUSY,
@@ -30,7 +30,7 @@
     enum ListKind {
         /** Only entries that changed. */
         PATCH,
-        /** All entries; servers without one are gone. */
+        /** All entries; servers without one have been removed. */
         WHOLE,
         /** All entries, but from a copy that may be out of date. */
         STALE_COPY,
@@ -64,7 +64,7 @@
      * A proxy connected.
      *
      * @param fresh whether it holds nothing from an earlier connection, such as masks
-     * @param flowsPerS the flows per second that it states to have
+     * @param flowsPerS the flows per second that it reports
      */
     record ProxyJoined(int proxy, boolean fresh, double flowsPerS, int zone) implements Event {}
 
@@ -96,7 +96,7 @@
     /** A line that a slice given to this coordinator already has. */
     record StoredLine(int slice, String server, double weight) implements Event {}
 
-    /** What can be remembered from before a restart of the coordinator. */
+    /** Kind of a fact that is kept across a restart of the coordinator. */
     enum Recall {
         /** The server's health changed often. */
         FLAPPING,
@@ -104,7 +104,7 @@
         HOLD_NS,
         /** The highest demand per usable capacity at which the fleet was not overloaded. */
         CALM_LOAD,
-        /** The same per capacity of the whole fleet. */
+        /** The same per capacity of the complete fleet. */
         CALM_WHOLE,
         /** How much traffic was shed, in traffic groups. */
         SHED,
@@ -113,7 +113,7 @@
     }
 
     /**
-     * A fact remembered from before a restart.
+     * A fact kept from before a restart.
      *
      * @param server id of the server, or empty if the fact is about the fleet
      * @param value in the unit of the kind
--- a/src/main/java/puffinbarrow/control/Order.java
+++ b/src/main/java/puffinbarrow/control/Order.java
@@ -1,8 +1,8 @@
 package puffinbarrow.control;
 
-/** What a coordinator orders. Orders are carried out in the order given. */
+/** An output of the decision logic. Orders are carried out in the order given. */
 public sealed interface Order {
-    /** Table number that stands for all tables. */
+    /** Table number that addresses all tables. */
     int ALL_TABLES = 65535;
 
     /** When a proxy may retry a flow at another server. */
@@ -35,7 +35,7 @@
      * Sets how much of some traffic groups is admitted, and their retries.
      *
      * @param groups bit set of traffic groups
-     * @param level share of the flows, 0 to 1, or flows per second if the settings say that levels are rates
+     * @param level share of the flows, 0 to 1, or flows per second if the settings define levels as rates
      */
     record SetLevel(int table, int groups, double level, Retry retry) implements Order {}
 
@@ -50,7 +50,7 @@
     /** Starts or ends following the server list. */
     record Follow(boolean on) implements Order {}
 
-    /** Requests the whole server list once. */
+    /** Requests the complete server list once. */
     record FetchList() implements Order {}
 
     /** Requests a {@link Event.Timer} with this label at this time. */
--- a/src/main/java/puffinbarrow/control/Settings.java
+++ b/src/main/java/puffinbarrow/control/Settings.java
@@ -13,7 +13,7 @@
  * @param soleOwner whether a slice may have only one server at a time
  * @param queueLimitLines lines that may wait in the channel to the proxies
  * @param linesPerS lines per second that the channel sends
- * @param messageOverheadLines what a message costs besides its lines, in lines
+ * @param messageOverheadLines size of a message besides its lines, in lines
  * @param messagesAllowed messages to one proxy allowed within {@code messagesSpanNs}; 0: no limit
  * @param messagesSpanNs span over which messages are counted
  * @param roundNs period of the sums
@@ -50,7 +50,7 @@
     /**
      * A traffic group.
      *
-     * @param utility what a flow delivered within the latency budget is worth
+     * @param utility value of a flow delivered within the latency budget
      * @param budgetNs latency budget
      */
     public record Group(double utility, long budgetNs) {}
--- a/src/main/java/puffinbarrow/coordinator/Coordinator.java
+++ b/src/main/java/puffinbarrow/coordinator/Coordinator.java
@@ -83,7 +83,7 @@
     private final LeaseHolder leaseHolder;
 
     private final Prober prober;
-    /** Tells this process from earlier ones of the same coordinator number. */
+    /** Distinguishes this process from earlier ones of the same coordinator number. */
     private final long incarnation;
     /** Connections of proxies by proxy number. */
     private final Map<Integer, ClientConnection> proxies = new ConcurrentHashMap<>();
@@ -481,7 +481,7 @@
             net.schedule(ns / 1_000_000 + 10, () -> checkIdle(System.nanoTime()));
         }
 
-        /** Pings a peer that has been silent for a third of the idle limit, and closes it after the whole of it. */
+        /** Pings a peer that has been silent for a third of the idle limit, and closes it after the full limit. */
         void checkIdle(long now) {
             Link open = link;
             if (open == null || hello == null) {
@@ -657,7 +657,7 @@
         }
     }
 
-    /** Ends as a killed process would: without a goodbye, with all sockets closed and unsaved state lost. */
+    /** Ends as a killed process would: without sending a Bye frame, with all sockets closed and unsaved state lost. */
     public void kill() {
         running = false;
         LockSupport.unpark(decisionThread);
@@ -667,7 +667,7 @@
         }
     }
 
-    /** Shuts down in order: hands slices on, accepts no more connections, says goodbye and sends what is queued. */
+    /** Shuts down in order: hands slices on, stops listening, sends Bye frames and flushes the send queues. */
     @Override
     public void close() {
         if (leaseHolder != null) {
--- a/src/main/java/puffinbarrow/coordinator/CoordinatorCore.java
+++ b/src/main/java/puffinbarrow/coordinator/CoordinatorCore.java
@@ -66,7 +66,7 @@
         /** Called at an orderly shutdown. */
         default void shutDown(Controller controller) {}
 
-        /** Remembers nothing. */
+        /** Stores nothing. */
         Memory NONE = new Memory() {
             @Override
             public List<Event.Recalled> recall(List<Event.Entry> list) {
@@ -78,7 +78,7 @@
         };
     }
 
-    /** Fences off a coordinator that has lost its lease; asked on the decision thread. */
+    /** Fences off a coordinator that has lost its lease; called on the decision thread. */
     public interface Fence {
         /** Returns whether this coordinator's lease is valid, so that it may send orders. */
         boolean mayWrite(long now);
@@ -114,7 +114,7 @@
         final TreeMap<Integer, Order.SetLevel> levels = new TreeMap<>();
     }
 
-    /** How often to check for a valid lease while the channel is stopped for want of one. */
+    /** How often to check for a valid lease while the channel is stopped without one. */
     private static final long LEASE_CHECK_NS = 10_000_000;
 
     private static final Logger LOG = LoggerFactory.getLogger("puffinbarrow.coordinator");
@@ -124,7 +124,7 @@
     private final Controller controller;
     private final Environment environment;
     private final Memory memory;
-    /** Whether the memory has been asked what it recalls; it is once, at the first server list. */
+    /** Whether the memory has been queried, which happens once, at the first server list. */
     private boolean recalled;
 
     private final Meters meters;
@@ -444,7 +444,7 @@
         } else if (!config.listOnRequest) {
             sink.send(writer.encodeCopy(new Frame.Follow(true)));
         } else if (Boolean.TRUE.equals(subscribed)) {
-            // The subscription ended with the connection; the Controller orders a new one when it wants to.
+            // The subscription ended with the connection; the Controller orders a new one when needed.
             subscribed = null;
         }
     }
@@ -560,7 +560,7 @@
                 .toList();
     }
 
-    /** Binds a proxy to a table, and sends it the whole table: its lines, its levels and the masks on its servers. */
+    /** Binds a proxy to a table, and sends it the full table: its lines, its levels and the masks on its servers. */
     private void bind(Order.Bind order, Map<Integer, List<Order>> perProxy) {
         Proxy proxy = proxies.get(order.proxy());
         if (proxy == null || sliced) {
@@ -664,7 +664,7 @@
             }
             return;
         }
-        // Enforces the limits whatever is ordered; the proxy reconnects and is sent the full state again.
+        // Enforces the limits regardless of the orders; the proxy reconnects and is sent the full state again.
         meters.countCause("channel.cut_off", result);
         LOG.atError()
                 .addKeyValue("proxy", number)
@@ -745,7 +745,7 @@
         }
     }
 
-    /** Sends a goodbye on all connections; on the decision thread, at an orderly shutdown. */
+    /** Sends a Bye frame on all connections; on the decision thread, at an orderly shutdown. */
     void sendBye() {
         ByteBuffer bytes = writer.encodeCopy(new Frame.Bye());
         proxies.values().forEach(p -> p.sink.send(bytes.duplicate()));
--- a/src/main/java/puffinbarrow/coordinator/Dialer.java
+++ b/src/main/java/puffinbarrow/coordinator/Dialer.java
@@ -23,7 +23,7 @@
     private static final Logger LOG = LoggerFactory.getLogger("puffinbarrow.net");
     /** First delay before reconnecting: a server that restarts is found again soon. It doubles after each attempt. */
     private static final long MIN_RETRY_MS = 50;
-    /** Longest delay before reconnecting: keeps attempts cheap while a server is gone. */
+    /** Longest delay before reconnecting: keeps attempts cheap while a server is down. */
     private static final long MAX_RETRY_MS = 1000;
 
     private final Net net;
--- a/src/main/java/puffinbarrow/coordinator/Inbox.java
+++ b/src/main/java/puffinbarrow/coordinator/Inbox.java
@@ -18,7 +18,7 @@
     private final AtomicInteger size = new AtomicInteger();
     private final AtomicLong offered = new AtomicLong();
     private volatile int limit;
-    /** The draining thread, woken by each input; null before it is known. */
+    /** The draining thread, woken by each input; null before it is set. */
     private volatile Thread consumer;
     /** How often a connection stopped reading. */
     private volatile long overflows;
@@ -76,7 +76,7 @@
     /** Removes the waiting inputs, up to the limit, and resumes the connections that stopped reading. */
     public List<T> drain() {
         List<T> drained = new ArrayList<>();
-        // No more than the limit at a time, so that timers still run between the batches of a flood.
+        // No more than the limit at a time, so that timers still run between batches under a flood of inputs.
         for (T next = queue.poll(); next != null; next = drained.size() < limit ? queue.poll() : null) {
             drained.add(next);
             size.decrementAndGet();
--- a/src/main/java/puffinbarrow/coordinator/LeaseHolder.java
+++ b/src/main/java/puffinbarrow/coordinator/LeaseHolder.java
@@ -89,7 +89,7 @@
         } else {
             carryOut(lease.connected(clock.now()));
             up.accept(new Frame.Watch());
-            // Ask again for tables that were asked for over the previous connection.
+            // Request the tables again that were requested over the previous connection.
             for (int slice = 0; slice < config.slices; slice++) {
                 if (lease.owns(slice) && terms.get(slice) == 0) {
                     requestTable(slice, lease.term(slice));
--- a/src/main/java/puffinbarrow/coordinator/PacedChannel.java
+++ b/src/main/java/puffinbarrow/coordinator/PacedChannel.java
@@ -7,7 +7,7 @@
 
 /**
  * The rate-limited queue through which all messages to proxies leave, one after the other, at a fixed number of lines a
- * second. The size of a message is its number of lines plus a fixed overhead. Two limits hold whatever is ordered: the
+ * second. The size of a message is its number of lines plus a fixed overhead. Two limits apply to all orders: the
  * lines waiting, and the messages to one proxy within a time window. A message over a limit is not queued, and the
  * caller disconnects its proxy, which reconnects and is sent the full state; dropping the message would lose it. Used
  * by {@link CoordinatorCore} on the decision thread; the time is passed in.
--- a/src/main/java/puffinbarrow/coordinator/Prober.java
+++ b/src/main/java/puffinbarrow/coordinator/Prober.java
@@ -56,7 +56,7 @@
 
     /**
      * @param addresses maps a server id to its address, or to null if it cannot be probed
-     * @param timeoutMs for connecting, and for the whole probe
+     * @param timeoutMs for connecting, and for the complete probe
      */
     public Prober(Net net, Function<String, InetSocketAddress> addresses, long timeoutMs, ProbeSpec spec) {
         this.spec = spec;
--- a/src/main/java/puffinbarrow/day/CoordinatorHandle.java
+++ b/src/main/java/puffinbarrow/day/CoordinatorHandle.java
@@ -28,7 +28,7 @@
     /** Sets the pace of the order channel to this part (0 to 1) of the configured one. */
     void pace(double part);
 
-    /** Tells the coordinator the address of another one. */
+    /** Passes the coordinator the address of another one. */
     void connectPeer(int number, InetSocketAddress address);
 
     /** Cuts the connection to another coordinator, or allows it again. */
@@ -46,7 +46,7 @@
     /** Ends the coordinator without an orderly shutdown. */
     void kill();
 
-    /** Suspends the whole process, or resumes it. */
+    /** Suspends the process, or resumes it. */
     void setSuspended(boolean suspend) throws IOException;
 
     /** Starts a coordinator inside this process. */
--- a/src/main/java/puffinbarrow/day/Day.java
+++ b/src/main/java/puffinbarrow/day/Day.java
@@ -48,13 +48,13 @@
      * audit notices.
      *
      * @param decisions makes the decision logic of each coordinator
-     * @param settings lines that replace coordinator settings; the audit judges by the unchanged ones
+     * @param settings lines that replace coordinator settings; the audit checks against the unchanged ones
      */
     public record Overrides(Controller.Factory decisions, List<String> settings) {}
 
     /**
-     * Capacity of the recorder. A minute at a few hundred flows a second takes a million records; the report of a day
-     * that needs more than the capacity says so.
+     * Capacity of the recorder. A minute at a few hundred flows a second takes a million records. If a day exceeds the
+     * capacity, its report marks the verdict as incomplete.
      */
     private static final long MAX_RECORDS = 8_000_000;
 
@@ -233,7 +233,7 @@
         return backend;
     }
 
-    /** Starts a coordinator and tells it the addresses of those that run. */
+    /** Starts a coordinator and passes it the addresses of the running ones. */
     private void startCoordinator(int number) throws IOException {
         CoordinatorHandle coordinator;
         try {
--- a/src/main/java/puffinbarrow/day/DayReport.java
+++ b/src/main/java/puffinbarrow/day/DayReport.java
@@ -18,7 +18,7 @@
  * The figures of a day and the report that shows them, as text or as an HTML page. All figures come from stand-in
  * servers on one machine. {@link Day#run} makes it at the end of a day; it does not change afterwards.
  *
- * @param config the settings that the rules are judged by
+ * @param config the settings that the audit checked against
  * @param flows all flows that ended, in the order of their ends
  * @param dayStartNs when the day began, in ns of {@link System#nanoTime}
  * @param recordsLost records that did not fit the recorder; above 0 the verdict is incomplete
--- a/src/main/java/puffinbarrow/day/Plan.java
+++ b/src/main/java/puffinbarrow/day/Plan.java
@@ -118,8 +118,9 @@
     }
 
     /**
-     * Returns the settings that the audit judges by: where a channel was slowed or stopped, the times in the rules grow
-     * accordingly, as the fifth rule of WIRE says.
+     * Returns the settings that the audit checks against. The grace period and the limit on time without a backend are
+     * divided by the lowest pace of the script, and extended by the time for which coordinators are stopped or
+     * suspended, since orders reach the proxies that much later.
      */
     public CoordinatorConfig auditConfig() {
         double pace = 1;
--- a/src/main/java/puffinbarrow/day/Script.java
+++ b/src/main/java/puffinbarrow/day/Script.java
@@ -193,7 +193,7 @@
         return fromStatements(StatementReader.read(file, problems), problems);
     }
 
-    /** Reads a script from text; {@code name} stands for the file in problems. */
+    /** Reads a script from text; {@code name} is the file name given in problems. */
     public static Script parse(String name, String text, List<Problem> problems) {
         return fromStatements(StatementReader.parse(name, text, problems), problems);
     }
--- a/src/main/java/puffinbarrow/day/TakeoverTimes.java
+++ b/src/main/java/puffinbarrow/day/TakeoverTimes.java
@@ -8,8 +8,9 @@
 import puffinbarrow.audit.Observation;
 
 /**
- * Measures how long slices had no coordinator in charge after theirs was killed, suspended or told to leave, from what
- * the store sent. {@link Day} calls it once at the end of a day; it has no state and no side effects.
+ * Measures how long slices had no owner after their coordinator was killed, suspended or made to leave. The times
+ * come from the messages that the store sent. {@link Day} calls it once at the end of a day; it has no state and no
+ * side effects.
  */
 final class TakeoverTimes {
     private TakeoverTimes() {}
--- a/src/main/java/puffinbarrow/emulator/Baseline.java
+++ b/src/main/java/puffinbarrow/emulator/Baseline.java
@@ -19,8 +19,8 @@
 /**
  * Common part of the reference policies that the product is measured against. Each owned slice has one line; a slice
  * whose server is not listed as ready is moved to another; changes leave in messages of a size and spacing that the
- * channel can carry. The policies know neither cold servers nor masks, and their only level allows a second attempt
- * after one that surely did not run. Called on the simulation thread by the core, like any controller.
+ * channel can carry. The policies handle neither cold servers nor masks, and their only level allows a second attempt
+ * after one that provably did not run. Called on the simulation thread by the core, like any controller.
  */
 abstract class Baseline implements Controller {
     /** Largest share of the queue limit that one batch may fill. */
--- a/src/main/java/puffinbarrow/emulator/CoordinatorModel.java
+++ b/src/main/java/puffinbarrow/emulator/CoordinatorModel.java
@@ -40,7 +40,7 @@
     private static final long SECOND = 1_000_000_000L;
 
     /**
-     * Stands in for the memory folder: keeps facts between incarnations, written twice a second as the product does.
+     * Replaces the memory folder: keeps facts between incarnations, written twice a second as the product does.
      */
     private final class MemoryModel implements CoordinatorCore.Memory {
         private static final long WRITE_INTERVAL_NS = SECOND / 2;
--- a/src/main/java/puffinbarrow/emulator/EmulatedDay.java
+++ b/src/main/java/puffinbarrow/emulator/EmulatedDay.java
@@ -18,7 +18,7 @@
         return build(StatementReader.read(file, problems), problems);
     }
 
-    /** Reads a text; the name stands for the file in problems. */
+    /** Reads a text; {@code name} is the file name given in problems. */
     public static EmulatedDay parse(String name, String text, List<Problem> problems) {
         return build(StatementReader.parse(name, text, problems), problems);
     }
--- a/src/main/java/puffinbarrow/emulator/Experiment.java
+++ b/src/main/java/puffinbarrow/emulator/Experiment.java
@@ -20,9 +20,9 @@
 import puffinbarrow.config.StatementReader;
 
 /**
- * Describes an experiment: a base day, lines drawn anew for each seed, factors with levels, policies and seeds. A run
- * is the text of a day and a policy; in a text, a later line overrides earlier ones of its keyword. docs/emulator.md
- * lists the lines of the file.
+ * Describes an experiment: a base day, lines drawn at random for each seed, factors with levels, policies and seeds. A
+ * run is the text of a day and a policy; in a text, a later line overrides earlier ones of its keyword.
+ * docs/emulator.md lists the lines of the file.
  */
 public final class Experiment {
     /**
@@ -42,7 +42,7 @@
     private static final List<String> KEYWORDS =
             List.of("name", "day", "line", "level", "draw", "maybe", "policy", "seeds", "most-events");
     /**
-     * A range such as {@code {2..8}} in a line; the value is written as a whole number unless an end has a decimal
+     * A range such as {@code {2..8}} in a line; the value is written as an integer unless an end has a decimal
      * point.
      */
     private static final Pattern RANGE = Pattern.compile("\\{(-?[0-9.]+?)\\.\\.(-?[0-9.]+?)}");
@@ -51,7 +51,7 @@
     public String name = "experiment";
     /** Factors by name, each with its levels, each of those with its lines. */
     public final Map<String, Map<String, List<String>>> factors = new LinkedHashMap<>();
-    /** Lines drawn anew for each seed. */
+    /** Lines drawn at random for each seed. */
     public final List<Drawn> drawnLines = new ArrayList<>();
 
     /** Names of the policies to compare; the first is the one that reports compare with the others. */
@@ -78,7 +78,7 @@
         return build(StatementReader.read(file, problems), file, builtIn, problems);
     }
 
-    /** Reads an experiment from a text; the name stands for the file in problems. */
+    /** Reads an experiment from a text; {@code name} is the file name given in problems. */
     public static Experiment parse(String name, String text, Function<String, String> builtIn, List<Problem> problems) {
         return build(StatementReader.parse(name, text, problems), Path.of(name), builtIn, problems);
     }
@@ -226,7 +226,7 @@
     /** Returns a line with a value drawn for each of its ranges. */
     static String drawLine(Drawn drawn, UniformRandomProvider random) {
         return fillRanges(drawn.template, (low, high) -> {
-            // If both ends are whole, only whole numbers are drawn, the upper end included.
+            // If both ends are integers, only integers are drawn, the upper end included.
             boolean integer = low == Math.rint(low) && high == Math.rint(high);
             return integer
                     ? low + random.nextLong(Math.max(1, (long) (high - low) + 1))
@@ -320,7 +320,7 @@
         return runs;
     }
 
-    /** Returns a text of everything that the results follow from; its hash tells experiments apart. */
+    /** Returns a text of everything that the results follow from; its hash identifies the experiment. */
     public String identity() {
         return String.join(
                 "\n",
--- a/src/main/java/puffinbarrow/emulator/ExperimentRunner.java
+++ b/src/main/java/puffinbarrow/emulator/ExperimentRunner.java
@@ -27,7 +27,8 @@
 /**
  * Executes the runs of an experiment on several threads. Each finished run is appended to {@code runs.part.csv}, so
  * that an interrupted experiment continues where it stopped; when all are done, {@code results.csv} holds them in
- * order and depends on the experiment alone. What the runs cost on this machine stands apart, in {@code timings.csv}.
+ * order and depends on the experiment alone. The cost of the runs on this machine is written separately, to
+ * {@code timings.csv}.
  */
 public final class ExperimentRunner {
     /** Columns of measures in results.csv, after levels, policy and seed. */
--- a/src/main/java/puffinbarrow/emulator/Fleet.java
+++ b/src/main/java/puffinbarrow/emulator/Fleet.java
@@ -23,7 +23,7 @@
 import puffinbarrow.proto.FrameReader;
 
 /**
- * Runs a whole day in simulated time: clients, proxies, servers, coordinators, store and registry, with the audit
+ * Runs a complete day in simulated time: clients, proxies, servers, coordinators, store and registry, with the audit
  * over all of them. The command line and {@link ExperimentRunner} make one fleet per run; a fleet uses only the
  * thread that calls {@link #run}.
  */
--- a/src/main/java/puffinbarrow/emulator/ModelParameters.java
+++ b/src/main/java/puffinbarrow/emulator/ModelParameters.java
@@ -58,9 +58,9 @@
     long idleConnectionNs = 30_000_000_000L;
     /** Flows that may wait at a server, per core. */
     int waitingPerCore = 8;
-    /** Keys that a server remembers, per core. */
+    /** Keys that a server caches, per core. */
     int warmKeysPerCore = 60;
-    /** Share of the work that a remembered key saves, 0 to 1. */
+    /** Share of the work that a cached key saves, 0 to 1. */
     double warmKeyGain = 0.3;
     /** Interval at which a server refreshes its load report. */
     long reportIntervalNs = 500_000_000L;
--- a/src/main/java/puffinbarrow/emulator/Proxy.java
+++ b/src/main/java/puffinbarrow/emulator/Proxy.java
@@ -275,7 +275,7 @@
             }
         }
 
-        /** Breaks the stream; the coordinator is told unless it is gone itself. */
+        /** Breaks the stream and notifies the coordinator, unless that is down itself. */
         void end() {
             if (joined) {
                 joined = false;
@@ -346,7 +346,7 @@
         /** The coordinator has accepted the stream. */
         private void welcomed(long incarnation) {
             if (incarnation != coordinatorIncarnation) {
-                // Masks and levels die with the coordinator's incarnation: the next one knows nothing of them.
+                // Masks and levels end with the coordinator's incarnation: the next one has no record of them.
                 coordinatorIncarnation = incarnation;
                 List<Order> liftedMasks = new ArrayList<>();
                 masks.stream().sorted().forEach(server -> liftedMasks.add(new Order.Mask(server, false)));
@@ -479,7 +479,7 @@
     private final Map<Integer, Integer> rotations = new HashMap<>();
 
     private long nextFlow;
-    /** Whether a read of the whole store is under way. */
+    /** Whether a read of the complete store is under way. */
     boolean storeReadPending;
 
     long storeLostAtNs;
@@ -548,7 +548,7 @@
 
     // ---- The store.
 
-    /** Takes over the whole contents of the store; the arrays are copies made for this answer. */
+    /** Takes over the complete contents of the store; the arrays are copies made for this answer. */
     void read(int[] storedOwners, long[] storedTerms, Table[] storedTables) {
         storeReadPending = false;
         for (int slice = 0; slice < tables.length; slice++) {
--- a/src/main/java/puffinbarrow/emulator/StoreModel.java
+++ b/src/main/java/puffinbarrow/emulator/StoreModel.java
@@ -16,7 +16,7 @@
 
 /**
  * The table store in simulated time: tables, and records with revisions that are written by compare-and-set and
- * watched. Without leases it deals the slices to the coordinators itself. Faults of the script: unavailable, slow,
+ * watched. Without leases it assigns the slices to the coordinators itself. Faults of the script: unavailable, slow,
  * answers lost, cut off from one coordinator.
  */
 final class StoreModel {
@@ -169,25 +169,25 @@
         return stream;
     }
 
-    /** Tells a coordinator which slices it owns. */
+    /** Notifies a coordinator of the slices that it owns. */
     private void welcome(Stream stream, boolean newStream) {
         for (int slice = 0; slice < slices; slice++) {
             if (owner[slice] == stream.coordinator.number) {
                 announceCharge(stream, slice, true);
             } else if (newStream) {
-                // A coordinator that held the slice before its stream broke must not go on believing that it does.
+                // A coordinator that held the slice before its stream broke must not continue to act as its owner.
                 stream.deliver(new Frame.Charge(slice, false));
             }
         }
-        dealSlices();
+        assignSlices();
     }
 
-    /** Ends a stream; without leases, deals its slices anew after the takeover time. */
+    /** Ends a stream; without leases, reassigns its slices after the takeover time. */
     private void disconnect(Stream stream) {
         if (streams.remove(stream.coordinator.number, stream)) {
             stream.coordinator.storeDown();
             if (!leases) {
-                simulation.after(fleet.script.takeoverNs, this::dealSlices);
+                simulation.after(fleet.script.takeoverNs, this::assignSlices);
             }
         }
     }
@@ -200,8 +200,8 @@
         }
     }
 
-    /** Deals the slices evenly over the connected coordinators; does nothing where coordinators hold leases. */
-    private void dealSlices() {
+    /** Assigns the slices evenly to the connected coordinators; does nothing where coordinators hold leases. */
+    private void assignSlices() {
         if (streams.isEmpty() || leases) {
             return;
         }
@@ -223,7 +223,7 @@
         }
     }
 
-    /** Tells a coordinator that a slice is given to it or taken from it, with the stored table if given. */
+    /** Notifies a coordinator that a slice is given to it or taken from it, with the stored table if given. */
     private void announceCharge(Stream to, int slice, boolean given) {
         fleet.observe(new Observation.ChargeSent(simulation.now(), to.coordinator.number, slice, given));
         to.deliver(new Frame.Charge(slice, given));
@@ -335,7 +335,7 @@
         }
     }
 
-    /** Refuses a write and sends the record as it stands, if there is one. */
+    /** Refuses a write and sends the current record, if there is one. */
     private void refuseWrite(Stream from, Frame previous, long id) {
         if (previous != null) {
             from.deliver(previous);
@@ -350,7 +350,7 @@
         }
     }
 
-    /** Takes over the owner of a slice from a new record and tells the proxies. */
+    /** Takes over the owner of a slice from a new record and notifies the proxies. */
     private void ownerChanged(Frame.SliceOwnerRecord ownerRecord) {
         int slice = ownerRecord.slice();
         if (owner[slice] >= 0) {
--- a/src/main/java/puffinbarrow/lease/Lease.java
+++ b/src/main/java/puffinbarrow/lease/Lease.java
@@ -497,7 +497,7 @@
                 * (disabledGuards.contains(Guard.CLOCK_MARGIN) ? 1 - CLOCK_MARGIN : 1 + CLOCK_MARGIN));
     }
 
-    /** Whether the owner that the record names may still act as owner, as far as this member can tell. */
+    /** Whether the owner that the record names may still act as owner, by what this member has seen. */
     private boolean ownerMayBeActive(SliceOwner record, long now) {
         if (record.owner() < 0) {
             return false;
--- a/src/main/java/puffinbarrow/lease/Member.java
+++ b/src/main/java/puffinbarrow/lease/Member.java
@@ -1,7 +1,7 @@
 package puffinbarrow.lease;
 
 /**
- * A coordinator's record in the store. Each heartbeat rewrites it and starts the lease anew.
+ * A coordinator's record in the store. Each heartbeat rewrites it, which renews the lease.
  *
  * @param number the member number
  * @param incarnation changes with each restart of the process and each expiry of its lease
--- a/src/main/java/puffinbarrow/lease/OwnerChangePause.java
+++ b/src/main/java/puffinbarrow/lease/OwnerChangePause.java
@@ -47,7 +47,7 @@
     private long ownerChanges;
 
     /**
-     * Creates an instance that knows no slices.
+     * Creates an instance without slices.
      *
      * @param proxyLeaseNs how long a proxy without a stream continues to send
      * @param maxWriteNs the longest that a write may be in progress, by its expiry
--- a/src/main/java/puffinbarrow/load/Compare.java
+++ b/src/main/java/puffinbarrow/load/Compare.java
@@ -13,8 +13,8 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Compares two result folders column by column of their seconds.csv, with bootstrap intervals that tell a difference
- * from noise. Called by the load compare command.
+ * Compares two result folders column by column of their seconds.csv, with bootstrap intervals that separate a
+ * difference from noise. Called by the load compare command.
  */
 public final class Compare {
     /** Resamples per column; enough to settle a 95% interval to two digits. */
--- a/src/main/java/puffinbarrow/load/Engine.java
+++ b/src/main/java/puffinbarrow/load/Engine.java
@@ -64,7 +64,7 @@
         }
     }
 
-    /** Returns how many descriptors this process may still open, less the spare ones. */
+    /** Returns how many file descriptors this process may still open, minus {@link #SPARE_HANDLES}, but at least 1. */
     private static int availableHandles() {
         return ManagementFactory.getOperatingSystemMXBean() instanceof UnixOperatingSystemMXBean system
                 ? (int) Math.max(
--- a/src/main/java/puffinbarrow/load/Feeder.java
+++ b/src/main/java/puffinbarrow/load/Feeder.java
@@ -4,8 +4,8 @@
 import java.util.concurrent.ArrayBlockingQueue;
 
 /**
- * Reads flows from a source ahead of their start on a thread of its own and deals them out to the senders in turn. Each
- * sender's queue is bounded, so that an endless source needs no more memory than that.
+ * Reads flows from a source ahead of their start on a thread of its own and distributes them to the senders in turn.
+ * Each sender's queue is bounded, so that an endless source needs no more memory than that.
  */
 final class Feeder implements AutoCloseable {
     /**
--- a/src/main/java/puffinbarrow/load/Result.java
+++ b/src/main/java/puffinbarrow/load/Result.java
@@ -146,9 +146,9 @@
     public long intended;
 
     public long retries;
-    /** Blocked responses that said when to retry. */
+    /** Blocked responses that stated when to retry. */
     public long blockedWithRetryAfter;
-    /** Responses that were followed by unexpected data, came unasked or answered another flow. */
+    /** Responses that were followed by unexpected data, came without a request or answered another flow. */
     public long unexpectedData;
     /** Connections that failed because the system had no descriptor or port left. */
     public long connectionsWithoutHandle;
--- a/src/main/java/puffinbarrow/load/Scenario.java
+++ b/src/main/java/puffinbarrow/load/Scenario.java
@@ -238,7 +238,7 @@
     /**
      * Parses a scenario's text.
      *
-     * @param name stands for the file in problems
+     * @param name the file name given in problems
      */
     public static Scenario parse(String name, String text, List<Problem> problems) {
         return build(StatementReader.parse(name, text, problems), name, problems);
--- a/src/main/java/puffinbarrow/load/Sender.java
+++ b/src/main/java/puffinbarrow/load/Sender.java
@@ -26,11 +26,11 @@
     private static final long SECOND = 1_000_000_000L;
     /** Longest sleep of the sending thread, and so the most that a flow leaves late on a machine with idle CPU. */
     private static final long MAX_SLEEP_NS = 200_000;
-    /** Usual lateness of a wake-up on a quiet machine; waits shorter than this spin. */
+    /** Usual lateness of a wake-up on an idle machine; waits shorter than this spin. */
     private static final long SPIN_BELOW_NS = 80_000;
     /** After the system ran out of descriptors or ports, the connection limit rises by one at this interval. */
     private static final long RAISE_LIMIT_EVERY_NS = SECOND;
-    /** A request up to this size fits the socket's send buffer, so it is sent whole before its response can arrive. */
+    /** A request up to this size fits the socket's send buffer, so it is fully sent before its response can arrive. */
     private static final int MAX_BUFFERED_REQUEST_BYTES = 64 * 1024;
     /** Largest response accepted. Responses are kilobytes; a target that sends more is not read further. */
     private static final int MAX_RESPONSE_BYTES = 16 << 20;
--- a/src/main/java/puffinbarrow/load/Trace.java
+++ b/src/main/java/puffinbarrow/load/Trace.java
@@ -83,11 +83,11 @@
     }
 
     /**
-     * Longest line. Lines of a log have some hundred bytes; longer ones are attacks on the log's readers or not lines
-     * at all.
+     * Longest line. Lines of a log have some hundred bytes; longer ones are attacks on log readers, or the file is
+     * not a log.
      */
     private static final int MAX_LINE_BYTES = 64 * 1024;
-    /** Lines that are read before the share of malformed ones is checked; below, a share says little. */
+    /** Lines that are read before the share of malformed ones is checked; with fewer, the share is not significant. */
     private static final int MIN_LINES_FOR_SHARE = 100;
 
     /** How many malformed lines are kept for the report. */
--- a/src/main/java/puffinbarrow/load/TraceFlows.java
+++ b/src/main/java/puffinbarrow/load/TraceFlows.java
@@ -13,10 +13,10 @@
 import puffinbarrow.config.Problem;
 
 /**
- * Turns a recorded trace into flows in the order of their starts, scaled, cut and looped as the scenario says. Logs are
- * written when answers end, so entries come a little out of order: a bounded window sorts them; an entry older than
- * that is sent at once and counted as late. Entries timed to the whole second are spread evenly over it in the file's
- * order. Read by the feeder's thread during a run; not thread-safe.
+ * Turns a recorded trace into flows in the order of their starts, scaled, cut and looped as the scenario specifies.
+ * A log entry is written when its answer ends, so entries are slightly out of order: a window of bounded length sorts
+ * them, and an entry older than the window is sent at once and counted as late. Entries timed to the whole second are
+ * spread evenly over it in the file's order. Read by the feeder's thread during a run; not thread-safe.
  */
 public final class TraceFlows implements FlowSource {
     /**
@@ -138,8 +138,8 @@
     }
 
     /**
-     * Adds the flows of an entry: as many whole copies as the rate says, and one more with the probability of its
-     * fraction, spread evenly until the next entry.
+     * Adds the flows of an entry: as many as the integer part of the rate, and one more with a probability equal to its
+     * fractional part, spread evenly until the next entry.
      */
     private void addFlows(Timed timed, long nextNs) {
         int group = group(timed.entry);
--- a/src/main/java/puffinbarrow/memory/Codec.java
+++ b/src/main/java/puffinbarrow/memory/Codec.java
@@ -58,7 +58,7 @@
         return header.putInt((int) checksum.getValue()).flip();
     }
 
-    /** A file's header; {@code kind} tells snapshots from journals. */
+    /** A file's header; {@code kind} distinguishes snapshots from journals. */
     record Header(int version, int kind, long generation) {}
 
     static Header readHeader(ByteBuffer in) throws CorruptException {
@@ -246,7 +246,7 @@
         if (body.hasRemaining()) {
             throw new CorruptException("batch is longer than its facts");
         }
-        // The visitor is called only once the whole batch has been read without error.
+        // The visitor is called only once the complete batch has been read without error.
         calls.forEach(Runnable::run);
         in.position(start + BATCH_HEADER + length);
         return sequence;
--- a/src/main/java/puffinbarrow/memory/FactCollector.java
+++ b/src/main/java/puffinbarrow/memory/FactCollector.java
@@ -17,7 +17,7 @@
  * in simulated time; an event costs a few map operations. Does no I/O; the wall time is passed in, in nanoseconds.
  */
 public final class FactCollector {
-    /** What is known of a server; see {@link Facts.ServerFact} for the fields. */
+    /** The collected state of a server; see {@link Facts.ServerFact} for the fields. */
     private static final class ServerState {
         boolean listed;
         long drainingSinceNs;
--- a/src/main/java/puffinbarrow/memory/FactWriter.java
+++ b/src/main/java/puffinbarrow/memory/FactWriter.java
@@ -62,7 +62,7 @@
     }
 
     /**
-     * Reads the directory and starts the writer thread. If the directory cannot be used, nothing is remembered and the
+     * Reads the directory and starts the writer thread. If the directory cannot be used, nothing is stored and the
      * writer tries to open it again.
      *
      * @param maxBytes the most bytes that the directory may take
--- a/src/main/java/puffinbarrow/memory/Facts.java
+++ b/src/main/java/puffinbarrow/memory/Facts.java
@@ -47,7 +47,7 @@
             double latencyNs,
             double load)
             implements Fact {
-        /** The most times kept in each list; enough to tell flapping from a release. */
+        /** The most times kept in each list; enough to distinguish flapping from a release. */
         public static final int TIMES = 8;
 
         @Override
--- a/src/main/java/puffinbarrow/memory/RecallFilter.java
+++ b/src/main/java/puffinbarrow/memory/RecallFilter.java
@@ -9,7 +9,7 @@
 
 /**
  * Turns the facts of a previous run into events for the decision logic, each with a confidence that decays with the
- * fact's age by a half-life per kind. The current server list takes precedence over remembered facts. Stateless; called
+ * fact's age by a half-life per kind. The current server list takes precedence over stored facts. Stateless; called
  * once, when the first list arrives.
  */
 public final class RecallFilter {
@@ -44,7 +44,7 @@
     private RecallFilter() {}
 
     /**
-     * Returns the events for the remembered facts that still count.
+     * Returns the events for the stored facts that are still used.
      *
      * @param list the current server list
      * @param nowNs the wall time
--- a/src/main/java/puffinbarrow/net/HttpParser.java
+++ b/src/main/java/puffinbarrow/net/HttpParser.java
@@ -123,7 +123,7 @@
         }
     }
 
-    /** Tells the parser that the peer closed the connection, which ends a body without a stated length. */
+    /** Handles the end of the connection by the peer, which ends a body without a stated length. */
     public void endOfInput() {
         if (state == State.TO_CLOSE) {
             emit(Arrays.copyOf(body, bodyLength));
--- a/src/main/java/puffinbarrow/net/Link.java
+++ b/src/main/java/puffinbarrow/net/Link.java
@@ -12,7 +12,7 @@
  * One TCP connection over an asynchronous channel. Received bytes are passed to the receiver on a thread of the channel
  * group, one read at a time and in order. Any thread may send; buffers are written in order from a queue that is
  * bounded in bytes. A buffer that does not fit closes the link with {@link Cause#SLOW_READER}, which bounds the
- * memory that a peer that reads nothing can cost. The receiver is told of the end exactly once.
+ * memory that a peer that reads nothing can cost. The receiver is notified of the end exactly once.
  */
 public final class Link {
     /** Why a link ended. */
@@ -81,7 +81,7 @@
         this.queueBytes = queueBytes;
     }
 
-    /** Tells the receiver that the link is open, and starts to read. */
+    /** Notifies the receiver that the link is open, and starts to read. */
     public void start() {
         receiver.opened(this);
         read();
--- a/src/main/java/puffinbarrow/net/Net.java
+++ b/src/main/java/puffinbarrow/net/Net.java
@@ -192,7 +192,7 @@
                 try {
                     channel.close();
                 } catch (IOException ignored) {
-                    // The completion handler is told of the failure in any case.
+                    // The completion handler is notified of the failure in any case.
                 }
             }
         });
--- a/src/main/java/puffinbarrow/platform/DiscoveryClient.java
+++ b/src/main/java/puffinbarrow/platform/DiscoveryClient.java
@@ -12,15 +12,15 @@
 
 /**
  * Client of the discovery service: a watch by long polling, which the controller turns on and off, and single requests
- * for the whole server list. Each answer of the watch is followed by the next request. A failed request ends the watch
- * and is reported to the controller, which starts a new watch when it sees fit. All methods run on the decision thread
- * unless noted.
+ * for the complete server list. Each answer of the watch is followed by the next request. A failed request ends the
+ * watch and is reported to the controller, which decides when to start a new one. All methods run on the decision
+ * thread unless noted.
  */
 final class DiscoveryClient {
     /**
      * How long discovery may hold a watch request. A change counts as announced two seconds after it at the latest,
-     * even if discovery has fallen silent; so a longer hold only hides a dead connection, and a shorter one costs
-     * requests.
+     * even if discovery does not answer; so a longer hold only delays the detection of a broken connection, and a
+     * shorter one costs requests.
      */
     private static final long HOLD_MS = 5000;
     /** Time-out on top of the hold; discovery itself gives up after two seconds. */
@@ -104,7 +104,7 @@
         try {
             PlatformCodec.Listing listing = decode(result);
             if (generationRestarted(listing, since) && listing.list().kind() != Event.ListKind.WHOLE) {
-                requestWholeList(watch);
+                requestCompleteList(watch);
                 return;
             }
             if (first || !listing.list().entries().isEmpty() || listing.list().kind() == Event.ListKind.WHOLE) {
@@ -132,8 +132,8 @@
         return true;
     }
 
-    /** Requests the whole list, as changes are useless without their base; then the watch goes on. */
-    private void requestWholeList(long watch) {
+    /** Requests the complete list, as changes cannot be applied without their base; then the watch continues. */
+    private void requestCompleteList(long watch) {
         watchCaller.call(
                 discovery,
                 get("/api/targets"),
@@ -150,7 +150,7 @@
         loop.enqueue(new Event.ServerList(Event.ListKind.BROKEN, List.of()));
     }
 
-    /** Requests the whole list once, independent of the watch. */
+    /** Requests the complete list once, independent of the watch. */
     void fetchList() {
         long since = version;
         fetchCaller.call(
@@ -162,7 +162,7 @@
                         PlatformCodec.Listing listing = decode(result);
                         generationRestarted(listing, since);
                         if (!accept(listing)) {
-                            // An answer of the watch overtook this one, but the controller still waits for a whole
+                            // A newer answer of the watch came first, but the controller still waits for a complete
                             // list.
                             fetchList();
                         }
--- a/src/main/java/puffinbarrow/platform/PlatformCodec.java
+++ b/src/main/java/puffinbarrow/platform/PlatformCodec.java
@@ -213,11 +213,11 @@
 
     // ---- Discovery's server lists
 
-    /** Decodes a parsed JSON server list, whole or with changes only. */
+    /** Decodes a parsed JSON server list, complete or with changes only. */
     Listing decodeListing(Object json) {
         Map<?, ?> all = Configuration.object(json, "server list");
         if (!(all.get("generation") instanceof Number version)
-                || !(all.get("reset") instanceof Boolean whole)
+                || !(all.get("reset") instanceof Boolean complete)
                 || !(all.get("instances") instanceof List<?> instances)) {
             throw new ProtocolException("server list: expected generation, reset and instances");
         }
@@ -243,7 +243,7 @@
         }
         return new Listing(
                 version.longValue(),
-                new Event.ServerList(whole ? Event.ListKind.WHOLE : Event.ListKind.PATCH, entries),
+                new Event.ServerList(complete ? Event.ListKind.WHOLE : Event.ListKind.PATCH, entries),
                 addresses);
     }
 
@@ -270,7 +270,7 @@
         return null;
     }
 
-    /** Returns the names of the traffic groups in the bit set; 0 stands for all. */
+    /** Returns the names of the traffic groups in the bit set; 0 means all. */
     private String groupNames(int bits) {
         if (bits == 0) {
             return "*";
--- a/src/main/java/puffinbarrow/platform/RelayClient.java
+++ b/src/main/java/puffinbarrow/platform/RelayClient.java
@@ -62,13 +62,13 @@
     /** Silence after which an event stream counts as broken: keep-alives come every second, so two were missed. */
     private static final long MAX_SILENCE_NS = 2_300_000_000L;
     /**
-     * Quiet time after which a state on the event stream counts as complete, as the relay sends it in one go. A
-     * keep-alive shows the same at once.
+     * Quiet time after which a state on the event stream counts as complete, as the relay sends it in one burst. A
+     * keep-alive proves the same at once.
      */
     private static final long SETTLE_MS = 60;
     /**
      * Longest time for which pending slices are held back while acknowledgements of marks keep the stream from being
-     * quiet; no longer than an order takes to a proxy.
+     * idle; no longer than an order takes to a proxy.
      */
     private static final long MAX_PENDING_NS = 250_000_000;
 
@@ -78,7 +78,7 @@
     /** A call with its orders; the two lists run in parallel. */
     private static final class Call {
         final List<Order> orders = new ArrayList<>();
-        /** The orders as the relay reads them. */
+        /** The orders as encoded for the relay. */
         final List<String> texts = new ArrayList<>();
 
         int syntaxErrors;
@@ -251,7 +251,7 @@
 
     /**
      * Handles the acceptance of the call's first orders. If they are not all, the relay refused the next one: that is
-     * dropped, and the orders behind it are sent again.
+     * discarded, and the orders after it are sent again.
      */
     private void handleAccepted(Call call, int accepted) {
         loop.counters().increment("calls.taken");
@@ -437,7 +437,7 @@
     /**
      * Sends orders for newly assigned slices again. The relay may have accepted them while the slice belonged to
      * another coordinator, where they have no effect, or before another coordinator set its lines; but the controller
-     * was told that they are in effect. Only orders already sent are repeated, ahead of the queued calls; setting a
+     * was notified that they are in effect. Only orders already sent are repeated, ahead of the queued calls; setting a
      * line twice does no harm.
      */
     private void resendOrders(Set<Integer> assigned, List<Order> inFlight) {
--- a/src/main/java/puffinbarrow/platform/RelaySnapshot.java
+++ b/src/main/java/puffinbarrow/platform/RelaySnapshot.java
@@ -20,7 +20,7 @@
  * <p>Does no I/O; used on the decision thread only.
  */
 final class RelaySnapshot {
-    /** Relative difference up to which weights count as equal: the way to the relay and back may cost digits. */
+    /** Relative difference up to which weights count as equal: the relay's text format may lose digits. */
     private static final double WEIGHT_TOLERANCE = 1e-6;
 
     private final PlatformCodec codec;
--- a/src/main/java/puffinbarrow/proto/Frame.java
+++ b/src/main/java/puffinbarrow/proto/Frame.java
@@ -118,7 +118,7 @@
     /** A proxy's demand in one reporting round, by slice and traffic group. */
     record Demand(long round, long spanNs, List<Came> came) implements Frame {}
 
-    /** The registry's list of servers, whole or as a patch. */
+    /** The registry's list of servers, complete or as a patch. */
     record ServerList(Event.ListKind kind, long version, List<Event.Entry> entries) implements Frame {}
 
     /** Starts or ends a subscription to the registry's list. */
@@ -140,7 +140,7 @@
     record ReadSlice(int slice) implements Frame {}
 
     /**
-     * Tells a proxy which coordinator controls a slice.
+     * Notifies a proxy which coordinator controls a slice.
      *
      * @param coordinator its number, or -1 if there is none
      * @param term the lease term, or 0 if the store itself assigns slices to coordinators
--- a/src/main/java/puffinbarrow/proto/FrameReader.java
+++ b/src/main/java/puffinbarrow/proto/FrameReader.java
@@ -21,7 +21,7 @@
  * cached, so that decoding a line allocates only its record. Not thread-safe: each link has its own.
  */
 public final class FrameReader {
-    /** Default limit for a frame's body in bytes: a whole list of 10,000 servers fits. */
+    /** Default limit for a frame's body in bytes: a complete list of 10,000 servers fits. */
     public static final int DEFAULT_LIMIT_BYTES = 1 << 20;
 
     private static final int INITIAL_BUFFER_BYTES = 4096;
--- a/src/main/java/puffinbarrow/proto/FrameTypes.java
+++ b/src/main/java/puffinbarrow/proto/FrameTypes.java
@@ -48,7 +48,7 @@
     static final byte ORDER_SET_LEVEL = 5;
     static final byte ORDER_MARK = 6;
 
-    /** Frame flag: a receiver that does not know the type skips the frame. */
+    /** Frame flag: a receiver skips the frame if its type is unknown. */
     static final int FLAG_OPTIONAL = 1;
 
     /** The measures of a load report; their index is the bit number in the report's bit set. */
--- a/src/main/java/puffinbarrow/standin/Backend.java
+++ b/src/main/java/puffinbarrow/standin/Backend.java
@@ -440,7 +440,7 @@
         }
     }
 
-    /** Returns the load report header, computed anew once {@link #REPORT_INTERVAL_NS} has passed. */
+    /** Returns the load report header, recomputed once {@link #REPORT_INTERVAL_NS} has passed. */
     private String loadReport(long now) {
         if (now - reportedAt > REPORT_INTERVAL_NS) {
             double span = reportedAt == 0 ? REPORT_INTERVAL_NS : now - reportedAt;
--- a/src/main/java/puffinbarrow/standin/DelayedServer.java
+++ b/src/main/java/puffinbarrow/standin/DelayedServer.java
@@ -22,9 +22,9 @@
 public final class DelayedServer implements AutoCloseable {
     /** How an answer is written. */
     public enum AnswerStyle {
-        /** Whole, in one write. */
+        /** Complete, in one write. */
         PLAIN,
-        /** Whole, in three writes 5 ms apart. */
+        /** Complete, in three writes 5 ms apart. */
         SPLIT,
         /** With chunked transfer encoding. */
         CHUNKED,
--- a/src/main/java/puffinbarrow/standin/Registry.java
+++ b/src/main/java/puffinbarrow/standin/Registry.java
@@ -20,9 +20,9 @@
 import puffinbarrow.proto.FrameWriter;
 
 /**
- * A stand-in registry for scripted days and tests: each coordinator learns of a change after a random delay of its
- * own, by push or on request. It states whatever entries it is given, right or wrong, and can break a stream in the
- * middle of a list. Frames arrive on the threads of {@link Net}; all state is guarded by {@code this}.
+ * A stand-in registry for scripted days and tests: each coordinator is notified of a change after a random delay of its
+ * own, by push or on request. It lists the entries that it is given without checking them, and can break a stream in
+ * the middle of a list. Frames arrive on the threads of {@link Net}; all state is guarded by {@code this}.
  */
 public final class Registry implements AutoCloseable {
     private final Net net;
@@ -99,9 +99,9 @@
         private final FrameReader reader = new FrameReader(1 << 20, this::onFrame);
         private Link link;
         private int coordinator = -1;
-        /** The coordinator has asked for changes to be pushed. */
+        /** The coordinator has requested that changes be pushed. */
         private boolean follows;
-        /** A whole list was sent on this stream; the first one counts as a stale copy. */
+        /** A complete list was sent on this stream; the first one counts as a stale copy. */
         private boolean sentWhole;
         /** Changes that are not sent yet, in order; sent together when the first is due. */
         private final LinkedHashMap<String, Event.Entry> pendingChanges = new LinkedHashMap<>();
--- a/src/main/java/puffinbarrow/standin/StandInProxy.java
+++ b/src/main/java/puffinbarrow/standin/StandInProxy.java
@@ -267,7 +267,7 @@
     private void onStreamChange(CoordinatorSession session, FrameSink up) {
         synchronized (this) {
             if (up != null && session.dialer.incarnation() != session.incarnation) {
-                // Masks and levels end with the coordinator's process, since its successor does not know them.
+                // Masks and levels end with the coordinator's process, since its successor has no record of them.
                 session.incarnation = session.dialer.incarnation();
                 List<Order> lifted = new ArrayList<>();
                 session.masks.forEach(server -> lifted.add(new Order.Mask(server, false)));
@@ -424,7 +424,7 @@
         readStore(-1);
     }
 
-    /** Asks the store for the table and owner of the slice; -1: of all. */
+    /** Requests from the store the table and owner of the slice; -1: of all. */
     private void readStore(int slice) {
         FrameSink to;
         synchronized (this) {
--- a/src/main/java/puffinbarrow/standin/Store.java
+++ b/src/main/java/puffinbarrow/standin/Store.java
@@ -365,7 +365,7 @@
             }
         }
 
-        /** Tells a coordinator which slices are still its own, and assigns all slices anew. */
+        /** Sends a coordinator the slices that it still owns, then reassigns all slices. */
         private void onCoordinatorHello() {
             Stream before = coordinatorStreams.put(number, this);
             if (leases) {
--- a/src/main/java/puffinbarrow/wire/JsonReader.java
+++ b/src/main/java/puffinbarrow/wire/JsonReader.java
@@ -29,7 +29,7 @@
 
     private final JsonParser in;
 
-    /** Reads from the parser's present position. */
+    /** Reads from the parser's current position. */
     public JsonReader(JsonParser in) {
         this.in = in;
     }
@@ -44,7 +44,7 @@
         }
     }
 
-    /** Reads a whole number; null counts as 0, and larger numbers keep their lowest 64 bits. */
+    /** Reads an integer; null counts as 0, and larger numbers keep their lowest 64 bits. */
     long readLong(String field) throws IOException {
         return toLong(field, in.nextToken());
     }
@@ -59,7 +59,7 @@
         return in.getBigIntegerValue().longValue();
     }
 
-    /** Reads a whole number that fits an int, else throws ArithmeticException. */
+    /** Reads an integer that fits an int, else throws ArithmeticException. */
     int readInt(String field) throws IOException {
         return Math.toIntExact(readLong(field));
     }
@@ -152,7 +152,7 @@
         return in.currentName();
     }
 
-    /** Skips to the end of the present array, at whose end later versions of the wire may add values. */
+    /** Skips to the end of the current array, to which later versions of the wire format may append values. */
     void skipRestOfArray() throws IOException {
         for (JsonToken t = in.nextToken(); t != JsonToken.END_ARRAY; t = in.nextToken()) {
             if (t == null) {
--- a/src/main/java/puffinbarrow/wire/OrderWriter.java
+++ b/src/main/java/puffinbarrow/wire/OrderWriter.java
@@ -4,7 +4,7 @@
 import java.io.IOException;
 import puffinbarrow.control.Order;
 
-/** Writes orders in the wire's format: an array of the order's name, the coordinator's number and its values. */
+/** Writes orders in the wire format: an array of the order's name, the coordinator's number and its values. */
 final class OrderWriter {
     private OrderWriter() {}
 
--- a/src/main/java/puffinbarrow/wire/WireHost.java
+++ b/src/main/java/puffinbarrow/wire/WireHost.java
@@ -43,7 +43,7 @@
     /**
      * Answers batches until the end of input.
      *
-     * @throws MalformedInputException if a line does not follow the wire's format
+     * @throws MalformedInputException if a line does not follow the wire format
      */
     public void run(InputStream from, OutputStream to) throws IOException {
         BufferedReader lines = new BufferedReader(new InputStreamReader(from, StandardCharsets.UTF_8), 1 << 16);
@@ -71,7 +71,7 @@
     private void answer(String line, OutputStream to) throws IOException {
         Batch batch = new Batch();
         JsonGenerator out;
-        // The time may come after the events in the object, so the events are kept until the whole batch is read.
+        // The time may come after the events in the object, so the events are kept until the batch is read completely.
         try (JsonParser parser = json.createParser(line)) {
             JsonReader in = new JsonReader(parser);
             in.expect(JsonToken.START_OBJECT, "batch");
--- a/src/test/java/puffinbarrow/memory/RecallFilterTest.java
+++ b/src/test/java/puffinbarrow/memory/RecallFilterTest.java
@@ -10,7 +10,7 @@
 import puffinbarrow.control.Event.Recall;
 import puffinbarrow.control.Order;
 
-/** Tests which remembered facts still count, and the facts that {@link FactCollector} derives. */
+/** Tests which stored facts are still used, and the facts that {@link FactCollector} derives. */
 class RecallFilterTest {
     private static final long SECOND = 1_000_000_000L;
     private static final long MINUTE = 60 * SECOND;
--- a/src/test/java/puffinbarrow/platform/RaceTest.java
+++ b/src/test/java/puffinbarrow/platform/RaceTest.java
@@ -236,11 +236,11 @@
         start(List.of());
         StubServer moved = new StubServer();
         Path file = folder.resolve("config.json");
-        String whole = configuration(moved.listener.address());
-        Files.writeString(file, whole.substring(0, whole.length() / 2));
+        String complete = configuration(moved.listener.address());
+        Files.writeString(file, complete.substring(0, complete.length() / 2));
         service.reload();
         await(() -> counters.value("reloads.refused") == 1);
-        Files.writeString(file, whole);
+        Files.writeString(file, complete);
         await(() -> moved.streamCount() == 1);
         assertEquals(1, counters.value("reloads"));
     }
@@ -259,8 +259,8 @@
 
     // ---- Watching the server list
 
-    private static String list(int generation, boolean whole, String id, String state) {
-        return "{\"generation\":" + generation + ",\"reset\":" + whole + ",\"instances\":["
+    private static String list(int generation, boolean complete, String id, String state) {
+        return "{\"generation\":" + generation + ",\"reset\":" + complete + ",\"instances\":["
                 + ENTRY.replace("\"s1\"", "\"" + id + "\"").replace("SERVING", state) + "]}";
     }
 
--- a/src/test/java/puffinbarrow/platform/ServiceTest.java
+++ b/src/test/java/puffinbarrow/platform/ServiceTest.java
@@ -36,17 +36,17 @@
                 new Order.SetLine(2, "s9", 0.03),
                 new Order.Mask("s1", true),
                 new Order.SetLevel(Order.ALL_TABLES, 1, 0.9, Order.Retry.ON_PROOF)));
-        String wholeCall =
+        String completeCall =
                 "/api/Action=CommitChanges&changes=share,3,s1,1.0;share,2,s9,0.03;withdraw,s1;admit,*,x,0.9,1";
         // A broken connection, BUSY, an impossible count and silence: the call is repeated. Then the relay accepts the
         // first order and refuses the second, which is dropped.
         await(() -> relay.requests()
                 .equals(List.of(
-                        wholeCall,
-                        wholeCall,
-                        wholeCall,
-                        wholeCall,
-                        wholeCall,
+                        completeCall,
+                        completeCall,
+                        completeCall,
+                        completeCall,
+                        completeCall,
                         "/api/Action=CommitChanges&changes=withdraw,s1;admit,*,x,0.9,1")));
         await(() -> counters.value("orders.refused") == 1);
     }
--- a/src/test/java/puffinbarrow/proto/FrameTest.java
+++ b/src/test/java/puffinbarrow/proto/FrameTest.java
@@ -108,9 +108,9 @@
 
     @Test
     void everyDamagedByteIsDetected() {
-        ByteBuffer whole = FrameWriter.encode(ALL.get(6));
-        for (int at = 0; at < whole.limit(); at++) {
-            ByteBuffer bytes = ByteBuffer.wrap(Arrays.copyOf(whole.array(), whole.limit()));
+        ByteBuffer intact = FrameWriter.encode(ALL.get(6));
+        for (int at = 0; at < intact.limit(); at++) {
+            ByteBuffer bytes = ByteBuffer.wrap(Arrays.copyOf(intact.array(), intact.limit()));
             bytes.put(at, (byte) (bytes.get(at) ^ 0x20));
             List<Frame> read = new ArrayList<>();
             FrameReader reader = new FrameReader(1 << 12, read::add);
