--- a/src/bench/java/puffinbarrow/bench/TurnBench.java
+++ b/src/bench/java/puffinbarrow/bench/TurnBench.java
@@ -20,8 +20,8 @@
 import puffinbarrow.control.Settings;
 
 /**
- * Measures one turn of the decision logic, without news and with a report of sums from all servers, by the number of
- * servers; there are four slices per server.
+ * Measures one turn of the decision logic, with a timer event only and with a report of sums from all servers, by the
+ * number of servers; there are four slices per server.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
--- a/src/main/java/puffinbarrow/cli/BenchCommands.java
+++ b/src/main/java/puffinbarrow/cli/BenchCommands.java
@@ -113,7 +113,7 @@
                 """;
 
         /**
-         * Faults of each kind of day. {@code right}: what is remembered still holds after the restart, as the same
+         * Faults of each kind of day. {@code right}: the stored facts are still valid after the restart, as the same
          * backends flap and drain. {@code wrong}: half of the fleet is replaced during the restart.
          */
         private static final Map<String, String> KINDS = new TreeMap<>(Map.of(
--- a/src/main/java/puffinbarrow/day/Day.java
+++ b/src/main/java/puffinbarrow/day/Day.java
@@ -115,7 +115,7 @@
     private final Registry registry;
     private final Store store;
 
-    /** Settings without overrides, which stand-ins and the audit go by. */
+    /** Settings without overrides, which stand-ins and the audit use. */
     private final CoordinatorConfig config;
 
     private final Map<Integer, CoordinatorHandle> coordinators = new TreeMap<>();
@@ -147,7 +147,7 @@
     /** Each proxy's weight in the traffic. */
     private final List<Double> weights = new ArrayList<>();
 
-    /** The load generator, which stands in for all clients; null until the fleet is ready. */
+    /** The load generator, which takes the role of all clients; null until the fleet is ready. */
     private Engine clients;
 
     /** Number of backends created so far. */
--- a/src/main/java/puffinbarrow/day/FaultInjector.java
+++ b/src/main/java/puffinbarrow/day/FaultInjector.java
@@ -106,7 +106,7 @@
         });
     }
 
-    /** Begins a fault; one that cannot be applied is noted in the day's log and passed over. */
+    /** Begins a fault; one that cannot be applied is noted in the day's log and skipped. */
     public void inject(Script.Fault fault) {
         try {
             switch (fault.kind()) {
--- a/src/main/java/puffinbarrow/day/Plan.java
+++ b/src/main/java/puffinbarrow/day/Plan.java
@@ -99,7 +99,7 @@
         return names.toString().trim();
     }
 
-    /** Returns settings with placeholder addresses, for the audit and for whatever opens no sockets. */
+    /** Returns settings with placeholder addresses, for the audit and all users that open no sockets. */
     public CoordinatorConfig configWithoutAddresses(int number, List<String> more) {
         List<String> lines = settings(number, more);
         lines.add("registry 127.0.0.1:1 " + (script.pollsRegistry ? "ask" : "push"));
--- a/src/main/java/puffinbarrow/day/Script.java
+++ b/src/main/java/puffinbarrow/day/Script.java
@@ -45,7 +45,7 @@
 
     /**
      * The kinds of faults. {@code die}, {@code vanish} and {@code preempt} of a script are the constants in lower case.
-     * STOP sets the pace of a coordinator's order channel to almost 0, FREEZE suspends its whole process.
+     * STOP sets the pace of a coordinator's order channel to almost 0, FREEZE suspends its process.
      */
     public enum Kind {
         TRAFFIC,
@@ -149,7 +149,7 @@
     /** Length of a coordinator's lease; 0 without leases. */
     public long leaseNs = 1_500_000_000L;
 
-    /** Above 0: there are no leases, and the store reassigns the slices of a coordinator that is gone for this time. */
+    /** Above 0: there are no leases, and the store reassigns the slices of a coordinator disconnected for this time. */
     public long takeoverNs;
 
     /** Whether coordinators poll the registry in place of being sent its list. */
--- a/src/main/java/puffinbarrow/emulator/Report.java
+++ b/src/main/java/puffinbarrow/emulator/Report.java
@@ -22,7 +22,7 @@
 
 /** Writes the results of an experiment as text and as one HTML file with charts; called by the command line. */
 public final class Report {
-    /** Colours that can be told apart on white, also without seeing the difference between red and green. */
+    /** Colours that can be distinguished on white, also without seeing the difference between red and green. */
     private static final Color[] COLOURS = {
         new Color(0x00, 0x72, 0xb2),
         new Color(0xd5, 0x5e, 0x00),
--- a/src/main/java/puffinbarrow/emulator/Server.java
+++ b/src/main/java/puffinbarrow/emulator/Server.java
@@ -20,8 +20,8 @@
 final class Server implements BackendControl {
     /**
      * Fixed properties of a server: speed relative to 1; {@code coldShare} is the share of its speed right after a
-     * start, {@code coldNs} the time to full speed; {@code fallMultiple} and {@code overloadNs} say what overload a
-     * cold server bears.
+     * start, {@code coldNs} the time to full speed; {@code fallMultiple} and {@code overloadNs} define the overload
+     * that a cold server withstands.
      */
     record Spec(
             int zone,
@@ -65,7 +65,7 @@
         }
     }
 
-    /** Tolerance on the load that a cold server bears before it crashes: slack for uneven draws. */
+    /** Tolerance on the load that a cold server withstands before it crashes: slack for uneven draws. */
     private static final double OVERLOAD_TOLERANCE = 1.1;
 
     private final Fleet fleet;
--- a/src/main/java/puffinbarrow/emulator/Simulation.java
+++ b/src/main/java/puffinbarrow/emulator/Simulation.java
@@ -9,7 +9,7 @@
  * one thread; {@link Fleet} advances it.
  */
 public final class Simulation {
-    /** Thrown when a run exceeds its limit of events: a mistake in the day or a policy that keeps itself busy. */
+    /** Thrown when a run exceeds its limit of events: a mistake in the day, or a policy that never stops acting. */
     public static final class EventLimitException extends RuntimeException {
         private static final long serialVersionUID = 1;
 
--- a/src/main/java/puffinbarrow/emulator/StoreModel.java
+++ b/src/main/java/puffinbarrow/emulator/StoreModel.java
@@ -119,7 +119,7 @@
 
     // ---- Faults.
 
-    /** Makes the store unavailable to everybody, or available again. */
+    /** Makes the store unavailable to all, or available again. */
     void setUnavailable(boolean on) {
         unavailable = on;
         if (on) {
--- a/src/main/java/puffinbarrow/load/Trace.java
+++ b/src/main/java/puffinbarrow/load/Trace.java
@@ -73,7 +73,7 @@
         }
     }
 
-    /** A line that cannot be read; the message says what was found and expected. */
+    /** A line that cannot be read; the message states what was found and expected. */
     private static final class MalformedLineException extends Exception {
         private static final long serialVersionUID = 1;
 
--- a/src/main/java/puffinbarrow/proto/FrameException.java
+++ b/src/main/java/puffinbarrow/proto/FrameException.java
@@ -1,6 +1,6 @@
 package puffinbarrow.proto;
 
-/** A frame that cannot be decoded. The connection it came on is refused, and a counter named by the cause goes up. */
+/** A frame that cannot be decoded. The connection it came on is refused, and a counter for the cause is incremented. */
 public final class FrameException extends RuntimeException {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/puffinbarrow/proto/FrameReader.java
+++ b/src/main/java/puffinbarrow/proto/FrameReader.java
@@ -333,7 +333,7 @@
             case FrameTypes.PEER: {
                 int sender = in.getInt();
                 String text = text(in);
-                // The limit is the interface's own; the content is up to the decisions of the two coordinators.
+                // Only the length is limited here; the decision logic of the two coordinators defines the content.
                 if (text.getBytes(StandardCharsets.UTF_8).length > MAX_PEER_MESSAGE_BYTES) {
                     throw malformed("a peer message over 256 bytes");
                 }
--- a/src/main/java/puffinbarrow/proto/FrameTypes.java
+++ b/src/main/java/puffinbarrow/proto/FrameTypes.java
@@ -37,7 +37,7 @@
     static final int SLICE_OWNER_RECORD = 37;
     static final int WRITTEN = 38;
 
-    // Coordinators among each other.
+    // Between coordinators.
     static final int PEER = 40;
 
     // Orders within an orders frame.
--- a/src/main/java/puffinbarrow/replay/CoordinatorAdapter.java
+++ b/src/main/java/puffinbarrow/replay/CoordinatorAdapter.java
@@ -156,7 +156,7 @@
         coordinator = new Coordinator(
                         config, decisions, CoordinatorCore.RateLimits.UNLIMITED, server -> backendsListener.address())
                 .startManually();
-        // The streams to registry and store are up once the inputs they give have arrived.
+        // The streams to registry and store are up once the inputs that they cause have arrived.
         awaitUntil("registry and store", () -> coordinator.offered() >= (settings.slices() > 0 ? 2 : 1));
         coordinator.turnAt(Long.MIN_VALUE / 4);
         if (!settings.listOnRequest()) {
@@ -303,7 +303,7 @@
         });
     }
 
-    // ---- Probed backends: one listener serves them all and tells them apart by the host header.
+    // ---- Probed backends: one listener serves them all and distinguishes them by the host header.
 
     private final class ProbeReceiver implements Link.Receiver {
         private final HttpParser parser = new HttpParser(true, 4096, this::onRequest);
--- a/src/main/java/puffinbarrow/standin/Store.java
+++ b/src/main/java/puffinbarrow/standin/Store.java
@@ -23,7 +23,8 @@
 
 /**
  * A stand-in table store for scripted days and tests: keeps a table for each slice and puts one coordinator in charge
- * of each. Some time after that one's stream ended it puts another in charge, and the first again once it has returned.
+ * of each. Some time after that coordinator's stream ended it assigns the slice to another one, and back to the first
+ * once that has reconnected.
  * Proxies read tables and owners from it. Writes of a coordinator that is not in charge are refused and counted.
  *
  * <p>With leases it assigns no slices: it keeps records with revisions, which coordinators write by compare-and-set and
@@ -201,7 +202,7 @@
         }
     }
 
-    /** Tells a coordinator that it is, or is no longer, in charge of the slice, and sends the table with it. */
+    /** Notifies a coordinator that it is, or is no longer, in charge of the slice, and sends the table with it. */
     private void sendCharge(Stream to, int slice, boolean given) {
         recorder.add(new Observation.ChargeSent(System.nanoTime(), to.number, slice, given));
         to.send(new Frame.Charge(slice, given));
@@ -216,7 +217,7 @@
         return new Frame.Stored(slice, lines);
     }
 
-    /** Tells a proxy the owner and the table of the slice. */
+    /** Sends a proxy the owner and the table of the slice. */
     private void sendOwner(Stream reader, int slice) {
         reader.send(new Frame.Owner(slice, owner[slice], term(slice)));
         reader.send(stored(slice));
@@ -375,7 +376,7 @@
                 if (owner[slice] == number) {
                     sendCharge(this, slice, true);
                 } else if (before == null) {
-                    // It may have been in charge before its stream broke, and must learn that it no longer is.
+                    // It may have been in charge before its stream broke, and must be notified that it no longer is.
                     send(new Frame.Charge(slice, false));
                 }
             }
