--- a/src/main/java/puffinbarrow/proto/FrameTypes.java
+++ b/src/main/java/puffinbarrow/proto/FrameTypes.java
@@ -37,7 +37,7 @@
     static final int SLICE_OWNER_RECORD = 37;
     static final int WRITTEN = 38;
 
-    // Coordinators among each other.
+    // Between coordinators.
     static final int PEER = 40;
 
     // Orders within an orders frame.
@@ -48,7 +48,7 @@
     static final byte ORDER_SET_LEVEL = 5;
     static final byte ORDER_MARK = 6;
 
-    /** Frame flag: a receiver that does not know the type skips the frame. */
+    /** Frame flag: a receiver skips the frame if its type is unknown. */
     static final int FLAG_OPTIONAL = 1;
 
     /** The measures of a load report; their index is the bit number in the report's bit set. */
